--- a/crates/controller/src/actor/gossip.rs
+++ b/crates/controller/src/actor/gossip.rs
@@ -14,7 +14,7 @@
 use stakker::{CX, Share, fwd_to};
 
 use crate::message::message;
-use crate::world::World;
+use crate::state::World;
 
 /// How long a peer may take to answer a report.
 const EXCHANGE: Duration = Duration::from_secs(1);
--- a/crates/controller/src/actor/membership.rs
+++ b/crates/controller/src/actor/membership.rs
@@ -8,7 +8,7 @@
 use corianderfork_runtime::timer::Tick;
 use stakker::{CX, fwd_to};
 
-use crate::tenure::{Tenure, Turn};
+use crate::lease::{Tenure, Turn};
 
 /// The actor.
 pub struct Membership {
--- a/crates/controller/src/actor/mod.rs
+++ b/crates/controller/src/actor/mod.rs
@@ -3,4 +3,4 @@
 pub mod gossip;
 pub mod membership;
 pub mod planner;
-pub mod view;
+pub mod sync;
--- a/crates/controller/src/actor/planner/mod.rs
+++ b/crates/controller/src/actor/planner/mod.rs
@@ -1,6 +1,6 @@
 //! Decides for the fleet while this process holds the lease.
 
-mod end;
+mod outcome;
 mod poll;
 mod submit;
 
@@ -22,14 +22,14 @@
 use corianderfork_runtime::worker::Pool;
 use stakker::{CX, Share, after, fwd_to};
 
+use crate::execute::Written;
 use crate::facts::Facts;
 use crate::gauges::Gauges;
-use crate::ledger::{Heard, Lines, Told};
-use crate::perform::Written;
+use crate::lease::{Tenure, Turn};
+use crate::outbox::{Heard, Lines, Told};
 use crate::plan::action::{Action, Write};
 use crate::plan::{Inputs, Planner as Plan};
-use crate::tenure::{Tenure, Turn};
-use crate::world::World;
+use crate::state::World;
 use poll::{Polled, Source};
 
 pub use poll::Poll;
--- a/crates/controller/src/actor/planner/end.rs
+++ b/crates/controller/src/actor/planner/outcome.rs
@@ -8,8 +8,8 @@
 use stakker::CX;
 
 use super::{Planner, Poll};
+use crate::execute::Written;
 use crate::facts::Listed;
-use crate::perform::Written;
 use crate::plan::action::{Action, Write, summary};
 
 impl Planner {
--- a/crates/controller/src/actor/planner/submit.rs
+++ b/crates/controller/src/actor/planner/submit.rs
@@ -9,11 +9,11 @@
 use stakker::CX;
 
 use super::{Incoming, Planner};
+use crate::execute;
 use crate::facts::Change;
-use crate::perform;
+use crate::lease::Fence;
 use crate::plan::Round;
 use crate::plan::action::{Action, Write};
-use crate::tenure::Fence;
 
 impl Planner {
     pub(super) fn carry_out(&mut self, now: Time, fence: &Fence, round: &Round) {
@@ -39,7 +39,7 @@
         let (write, name) = (Box::new(write.clone()), write.vm.clone());
         let job = move || {
             let key = key::vm(&write.vm);
-            let end = perform::put(&*store, || fence.holds(), &key, &value, write.expect);
+            let end = execute::put(&*store, || fence.holds(), &key, &value, write.expect);
             let _ = port.send_wait(Incoming::Written(write, value, end));
         };
         let taken = self.outside.writes.submit(job).is_ok();
@@ -55,7 +55,7 @@
             (Arc::clone(&self.outside.store), self.port.clone(), fence.clone());
         let (from, wave) = (Box::new(from.clone()), Box::new(wave.clone()));
         let job = move || {
-            let end = perform::put(&*store, || fence.holds(), key::WAVE, &value, expect);
+            let end = execute::put(&*store, || fence.holds(), key::WAVE, &value, expect);
             let _ = port.send_wait(Incoming::WaveWritten(from, wave, end));
         };
         let taken = self.outside.writes.submit(job).is_ok();
@@ -70,7 +70,7 @@
             (Arc::clone(&self.outside.control), self.port.clone(), fence.clone());
         let sent = action.clone();
         let job = move || {
-            let end = perform::call(&*control, || fence.holds(), &sent);
+            let end = execute::call(&*control, || fence.holds(), &sent);
             let _ = port.send_wait(Incoming::Called(sent, end));
         };
         if self.outside.calls.submit(job).is_err() {
@@ -99,7 +99,7 @@
         let explain = Box::new(explain);
         let expect = self.told.begin(now).map_or(Expect::Absent, Expect::Revision);
         let job = move || {
-            let end = perform::put(&*store, || fence.holds(), key::EXPLAIN, &value, expect);
+            let end = execute::put(&*store, || fence.holds(), key::EXPLAIN, &value, expect);
             let _ = port.send_wait(Incoming::Explained(explain, end));
         };
         if self.outside.writes.submit(job).is_err() {
@@ -115,7 +115,7 @@
         let (store, port) = (Arc::clone(&self.outside.store), self.port.clone());
         let job = move || {
             let holds = || fence.holds();
-            let end = perform::put(&*store, holds, key::HEARD, &value, Expect::Anything);
+            let end = execute::put(&*store, holds, key::HEARD, &value, Expect::Anything);
             let _ = port.send_wait(Incoming::Heard(newest, end));
         };
         if self.outside.writes.submit(job).is_ok() {
@@ -144,7 +144,7 @@
             let again = (write.clone(), value.clone());
             let job = move || {
                 let key = key::vm(&write.vm);
-                let end = perform::read_back(&*store, &key, &value, "still no answer");
+                let end = execute::read_back(&*store, &key, &value, "still no answer");
                 let _ = port.send_wait(Incoming::Written(write, value, end));
             };
             if self.outside.reads.submit(job).is_err() {
--- a/crates/controller/src/actor/view.rs
+++ b/crates/controller/src/actor/sync.rs
@@ -9,7 +9,7 @@
 use corianderfork_runtime::timer::Tick;
 use stakker::{CX, Share};
 
-use crate::world::World;
+use crate::state::World;
 
 /// Why the process is not ready, shared with the admin thread.
 pub type Ready = Arc<Mutex<Option<String>>>;
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -1,6 +1,6 @@
 //! Puts the parts together: threads, ports and the supervisor tree.
 
-mod calls;
+mod control;
 mod tree;
 
 use std::io::Write as _;
@@ -28,12 +28,12 @@
 
 use crate::actor::gossip::Door;
 use crate::actor::planner::Outside;
-use crate::actor::view::Ready;
+use crate::actor::sync::Ready;
 use crate::directory::Directory;
 use crate::gauges::Gauges;
 use crate::settings::Settings;
-use crate::world::World;
-use calls::Calls;
+use crate::state::World;
+use control::Calls;
 use tree::{Parts, Stops};
 
 /// Events that wait for the core, at most.
--- a/crates/controller/src/daemon/tree.rs
+++ b/crates/controller/src/daemon/tree.rs
@@ -19,11 +19,11 @@
 use crate::actor::gossip::{Door, Gossip};
 use crate::actor::membership::Membership;
 use crate::actor::planner::{Outside, Planner, Poll};
-use crate::actor::view::{Ready, View};
+use crate::actor::sync::{Ready, View};
+use crate::lease::{Keeper, Tenure};
 use crate::plan::{self, Limits};
 use crate::settings::Settings;
-use crate::tenure::{Keeper, Tenure};
-use crate::world::World;
+use crate::state::World;
 
 /// What the actors are made from, each time one is started.
 #[derive(Clone)]
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -8,7 +8,7 @@
 //! I/O. Around it, [`view`] keeps the shared records, [`directory`] the other
 //! processes and what they confirmed, and [`facts`] what the platform said. All
 //! of these are pure. The rest is the shell: [`actor`]s on the core thread,
-//! [`tenure`] and [`perform`] on threads that may block, [`daemon`] to put it
+//! [`lease`] and [`execute`] on threads that may block, [`daemon`] to put it
 //! together.
 //!
 //! A decision never rests on being the only one to decide. Each write of a
@@ -29,15 +29,15 @@
 pub mod actor;
 pub mod daemon;
 pub mod directory;
+pub mod execute;
 pub mod facts;
 pub mod gauges;
-pub mod ledger;
+pub mod lease;
 pub mod message;
-pub mod perform;
+pub mod outbox;
 pub mod plan;
 pub mod settings;
-pub mod tenure;
+pub mod state;
 pub mod view;
-pub mod world;
 
 pub use settings::Settings;
--- a/crates/controller/src/plan/mod.rs
+++ b/crates/controller/src/plan/mod.rs
@@ -13,20 +13,20 @@
 pub mod action;
 pub mod barriers;
 mod bucket;
-mod carry;
 pub mod change;
 pub mod count;
 pub mod directive;
 pub mod explain;
-mod follow;
 pub mod limits;
 pub mod load;
 mod observe;
-mod pace;
+mod rate_limit;
 mod reason;
 pub mod situation;
+mod steps;
 mod stops;
 mod track;
+mod transition;
 pub mod wave;
 
 pub use limits::Limits;
@@ -49,7 +49,7 @@
 use barriers::Barriers;
 use count::Count;
 use load::Sampler;
-use pace::Pace;
+use rate_limit::Pace;
 use stops::Stops;
 use track::Tracker;
 
@@ -238,10 +238,10 @@
         let decision =
             corianderfork_policy::decide(fleet, &self.state, &directive, config, inputs.unix);
         let mut turn = Turn::new(&decision.steps);
-        follow::follow(self, fleet, inputs, &mut turn);
+        transition::follow(self, fleet, inputs, &mut turn);
         let rule = explanation.decision().name().to_string();
-        carry::carry(self, fleet, inputs, &mut turn, &decision.steps, &rule);
-        carry::stop_strays(self, fleet, inputs, &mut turn);
+        steps::carry(self, fleet, inputs, &mut turn, &decision.steps, &rule);
+        steps::stop_strays(self, fleet, inputs, &mut turn);
         self.tidy(inputs);
         let problems = problems(inputs.view, &turn, fleet);
         let explain = explain::explain(&explain::Source {
--- a/crates/controller/src/plan/carry.rs
+++ b/crates/controller/src/plan/steps.rs
@@ -11,7 +11,7 @@
 
 use crate::facts::{Change, Copy};
 use crate::plan::action::Action;
-use crate::plan::{Inputs, Planner, Turn, change, follow, observe};
+use crate::plan::{Inputs, Planner, Turn, change, observe, transition};
 
 /// Carries out `steps`, each decided by the rule `rule`.
 pub(crate) fn carry(
@@ -70,7 +70,7 @@
             turn.write(name, held, change::switched(record, to, lent, unix), who);
         }
         Act::Admit { .. } if may_serve(record.phase) => {
-            let runners = follow::runners(planner, fleet, inputs, name, record);
+            let runners = transition::runners(planner, fleet, inputs, name, record);
             turn.write(name, held, change::serving(record, runners, unix), who);
         }
         Act::SetOut { .. } if record.phase == Phase::Drained => {
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -4,8 +4,8 @@
 //! own writes and from peers, in any order. Each record is kept by the revision
 //! of its write and never goes back.
 
+mod drains;
 mod snapshot;
-mod wish;
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use corianderfork_controller::ledger::Lines;
-use corianderfork_controller::perform::{Written, call, put, read_back};
+use corianderfork_controller::execute::{Written, call, put, read_back};
+use corianderfork_controller::outbox::Lines;
 use corianderfork_controller::plan::action::Action;
 use corianderfork_controller::view::View;
 use corianderfork_model::{Name, Time};
