--- a/crates/controller/src/plan/wave.rs
+++ b/crates/controller/src/plan/wave.rs
@@ -1,8 +1,9 @@
-//! The wave that operators ordered, as its record says and as the VMs show.
+//! The wave that operators ordered, according to its record and the state of
+//! the VMs.
 //!
-//! Whoever writes a wave with a new number orders it: the VMs to do, or none
-//! for all of the fleet. The holder of the lease keeps the lists true; nothing
-//! of a wave is in memory alone.
+//! Writing a wave with a new number orders it: it names its VMs, or none for
+//! the whole fleet. The holder of the lease updates the lists. Nothing about a
+//! wave is kept in memory alone.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,19 +16,19 @@
 use corianderfork_policy::{Note, State};
 use corianderfork_provider::record::Wave;
 
-/// How long a wave may take before its deadline presses, if none is named.
-const DEADLINE: Duration = Duration::from_secs(24 * 3600);
-/// Failed starts in a row that make a VM count as failing.
-const UNFIT: u16 = 2;
+/// The deadline of a wave that names none, counted from its start.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(24 * 3600);
+/// The number of consecutive failed starts that make a VM count as failing.
+const UNFIT_AFTER: u16 = 2;
 
 /// Whether nothing is left to do.
 pub fn is_finished(wave: &Wave) -> bool {
-    let ran = !wave.done.is_empty() || !wave.failed.is_empty();
-    wave.todo.is_empty() && wave.doing.is_empty() && ran
+    let has_run = !wave.done.is_empty() || !wave.failed.is_empty();
+    wave.todo.is_empty() && wave.doing.is_empty() && has_run
 }
 
-/// Tells the policy of `wave`: the order, its pace, and which VMs are none of
-/// its business.
+/// Passes `wave` to the policy: its order, its pace, and the VMs that it does
+/// not include.
 pub fn apply(wave: &Wave, fleet: &Fleet, state: &mut State, directive: &mut Directive) {
     if is_finished(wave) {
         state.wave = None;
@@ -35,23 +36,23 @@
     }
     let began = Time::from_millis(wave.began_ms);
     let deadline = match wave.deadline_ms {
-        0 => began + DEADLINE,
+        0 => began + DEFAULT_DEADLINE,
         millis => Time::from_millis(millis),
     };
     let mut order = Order::new(began, deadline);
-    // Failures listed while the wave is not halted are ones that an operator
-    // has seen: clearing the halt is how they say to go on.
-    order.resumed = forgiven(wave, fleet, state);
+    // Failures listed while the wave is not halted have been seen by an
+    // operator, who continues the wave by clearing the halt.
+    order.resumed = resumed_at(wave, fleet, state);
     state.wave = Some(order);
-    spare_others(wave, fleet, state, began);
+    exclude_others(wave, fleet, state, began);
     if wave.halted.is_some() {
         directive.pace = Pace::Paused;
     } else if wave.step > 0 {
-        directive.pace = slower(directive.pace, wave.step);
+        directive.pace = limit_pace(directive.pace, wave.step);
     }
 }
 
-fn forgiven(wave: &Wave, fleet: &Fleet, state: &State) -> Option<Time> {
+fn resumed_at(wave: &Wave, fleet: &Fleet, state: &State) -> Option<Time> {
     if wave.halted.is_some() {
         return None;
     }
@@ -61,22 +62,22 @@
 }
 
 /// The policy orders waves by pool. VMs that this wave does not name count as
-/// maintained, so that it passes them over.
-fn spare_others(wave: &Wave, fleet: &Fleet, state: &mut State, began: Time) {
+/// maintained, so that it skips them.
+fn exclude_others(wave: &Wave, fleet: &Fleet, state: &mut State, began: Time) {
     if wave.todo.is_empty() && wave.doing.is_empty() {
         return;
     }
     let names: BTreeSet<&Name> = wave.todo.iter().chain(&wave.doing).collect();
-    for (id, row) in fleet.vms() {
-        let named = names.contains(&row.name);
+    for (id, spec) in fleet.vms() {
+        let is_named = names.contains(&spec.name);
         let vm = state.vm_mut(id);
-        if !named && vm.phase == Phase::Serving {
+        if !is_named && vm.phase == Phase::Serving {
             vm.maintained = vm.maintained.max(Some(began));
         }
     }
 }
 
-fn slower(pace: Pace, step: u32) -> Pace {
+fn limit_pace(pace: Pace, step: u32) -> Pace {
     match pace {
         Pace::Measured => Pace::AtMost(step),
         Pace::AtMost(most) => Pace::AtMost(most.min(step)),
@@ -84,38 +85,38 @@
     }
 }
 
-/// Where a VM of a wave stands.
+/// The progress of a VM in a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum Progress {
     Todo,
     Doing,
     Done,
     Failing,
 }
 
-fn standing(vm: &Vm, began: Time) -> Standing {
-    let back = vm.maintained.is_some_and(|then| then >= began);
+fn progress(vm: &Vm, began: Time) -> Progress {
+    let is_back = vm.maintained.is_some_and(|then| then >= began);
     let serving = vm.phase == Phase::Serving;
-    if !back {
+    if !is_back {
         let out = vm.phase == Phase::Out;
         return if out {
-            Standing::Failing
+            Progress::Failing
         } else if serving {
-            Standing::Todo
+            Progress::Todo
         } else {
-            Standing::Doing
+            Progress::Doing
         };
     }
     let all_fail = !vm.copies.is_empty() && vm.copies.iter().all(|copy| copy.failing);
-    let unfit = vm.phase == Phase::Out || vm.purpose == Some(Purpose::Unfit);
-    if unfit || all_fail || vm.failed_starts >= UNFIT {
-        return Standing::Failing;
+    let is_unfit = vm.phase == Phase::Out || vm.purpose == Some(Purpose::Unfit);
+    if is_unfit || all_fail || vm.failed_starts >= UNFIT_AFTER {
+        return Progress::Failing;
     }
-    let well = serving && vm.lost.is_none() && vm.copies.iter().all(|copy| copy.warm);
-    if well { Standing::Done } else { Standing::Doing }
+    let is_healthy = serving && vm.lost.is_none() && vm.copies.iter().all(|copy| copy.warm);
+    if is_healthy { Progress::Done } else { Progress::Doing }
 }
 
-/// The record as it should be, `state` being before [`apply`].
+/// Returns the updated record. `state` is the state before [`apply`].
 pub fn advance(wave: &Wave, fleet: &Fleet, state: &State, notes: &[Note]) -> Wave {
     let mut next = wave.clone();
     if is_finished(wave) {
@@ -129,12 +130,12 @@
     let mut failing = Vec::new();
     for name in names {
         let vm: Option<VmId> = fleet.find_vm(name.as_str());
-        match vm.map(|id| standing(state.vm(id), began)) {
-            Some(Standing::Todo) => next.todo.push(name),
-            Some(Standing::Doing) => next.doing.push(name),
-            Some(Standing::Done) => next.done.push(name),
-            Some(Standing::Failing) => failing.push(name),
-            // It left the configuration: there is nothing to maintain.
+        match vm.map(|id| progress(state.vm(id), began)) {
+            Some(Progress::Todo) => next.todo.push(name),
+            Some(Progress::Doing) => next.doing.push(name),
+            Some(Progress::Done) => next.done.push(name),
+            Some(Progress::Failing) => failing.push(name),
+            // The VM left the configuration, so it can't be maintained.
             None => next.failed.push(name),
         }
     }
@@ -145,8 +146,8 @@
         _ => None,
     });
     if next.halted.is_none() && halted.is_some() {
-        // Some show only after they counted as done. Left there, the wave would
-        // stand still and its record would not say why.
+        // Some VMs fail only after they counted as done. If they stayed there,
+        // the wave would be halted without its record saying why.
         failing.extend(take_failing(&mut next.done, fleet, state, began));
     }
     if next.halted.is_none() && halted.is_some() && !failing.is_empty() {
@@ -160,11 +161,11 @@
     next
 }
 
-/// Takes the VMs that fail out of those that were done.
+/// Removes the failing VMs from `done` and returns them.
 fn take_failing(done: &mut Vec<Name>, fleet: &Fleet, state: &State, began: Time) -> Vec<Name> {
     let fails = |name: &Name| {
         let vm = fleet.find_vm(name.as_str());
-        vm.is_some_and(|id| standing(state.vm(id), began) == Standing::Failing)
+        vm.is_some_and(|id| progress(state.vm(id), began) == Progress::Failing)
     };
     let failing = done.iter().filter(|name| fails(name)).cloned().collect();
     done.retain(|name| !fails(name));
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -1,4 +1,5 @@
-//! What all actors share: the records and the other processes.
+//! State shared by all actors on the core thread: the records and the other
+//! processes.
 
 use std::time::Instant;
 
@@ -9,21 +10,22 @@
 use crate::directory::Directory;
 use crate::view::View;
 
-/// What is known, on the core thread.
+/// State shared by the actors.
 #[derive(Debug)]
-pub struct World {
-    /// The process's clock.
+pub struct State {
+    /// The clock of this process.
     pub clock: Monotonic,
     /// The shared records.
     pub view: View,
     /// The other processes.
     pub directory: Directory,
-    /// Wakes the reader of the store.
+    /// Wakes the thread that reads the store.
     pub waker: Waker,
 }
 
-impl World {
-    /// The process's time of `instant`, which is past.
+impl State {
+    /// Converts `instant`, which must not be in the future, to the time of this
+    /// process's clock.
     pub fn time(&self, instant: Instant) -> Time {
         let now = self.clock.now();
         let age = u64::try_from(instant.elapsed().as_millis()).unwrap_or(u64::MAX);
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -1,8 +1,8 @@
-//! The shared records as this process knows them. Pure.
+//! This process's view of the shared records. Does no I/O.
 //!
-//! What is known comes by reads, by watches, by the answers to this process's
-//! own writes and from peers, in any order. Each record is kept by the revision
-//! of its write and never goes back.
+//! Records arrive in any order: from reads, watches, responses to this
+//! process's own writes, and peers. Each record keeps the revision of its write
+//! and never goes back to an older one.
 
 mod drains;
 mod snapshot;
@@ -20,17 +20,17 @@
 
 /// The configuration in force.
 #[derive(Clone, Debug)]
-pub struct Active {
-    /// Its INI text.
+pub struct ActiveConfig {
+    /// The INI text.
     pub text: String,
-    /// What the text says.
+    /// The parsed text.
     pub parsed: Rc<Parsed>,
 }
 
-/// A record with the revision of its write.
+/// The record of a VM with the revision of its write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// The revision.
+pub struct VmEntry {
+    /// The revision of the write.
     pub revision: Revision,
     /// The record.
     pub record: Vm,
@@ -39,21 +39,21 @@
 /// The shared records.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    config: Register<Active>,
-    vms: BTreeMap<Name, Register<Option<Held>>>,
+    config: Register<ActiveConfig>,
+    vms: BTreeMap<Name, Register<Option<VmEntry>>>,
     drains: BTreeMap<Name, Register<Option<Drain>>>,
     members: BTreeMap<String, Register<Option<Member>>>,
     problems: BTreeMap<String, String>,
-    /// Entries taken in so far.
-    news: u64,
-    complete: Revision,
-    synced: Option<Time>,
+    /// Entries applied so far.
+    generation: u64,
+    synced_revision: Revision,
+    last_sync: Option<Time>,
     failing_since: Option<Time>,
 }
 
 impl View {
-    /// Takes in a read of all shared keys that was sent at `sent`.
-    pub fn on_whole(&mut self, sent: Time, range: &Range) {
+    /// Applies a read of all shared keys that was sent at `sent`.
+    pub fn on_range(&mut self, sent: Time, range: &Range) {
         for entry in &range.entries {
             self.on_entry(&entry.key, entry.revision, Some(entry));
         }
@@ -63,44 +63,45 @@
                 self.on_entry(&key, range.revision, None);
             }
         }
-        self.on_complete(sent, range.revision);
+        self.on_synced(sent, range.revision);
     }
 
-    /// Takes in what a watch that was sent at `sent` saw.
+    /// Applies the changes from a watch that was sent at `sent`.
     pub fn on_changes(&mut self, sent: Time, changes: &Changes) {
         for change in &changes.changes {
             self.on_entry(&change.key, change.revision, change.entry.as_ref());
         }
-        self.on_complete(sent, changes.revision);
+        self.on_synced(sent, changes.revision);
     }
 
-    /// The store did not answer.
+    /// Records that the store did not answer.
     pub fn on_failure(&mut self, now: Time) {
         self.failing_since.get_or_insert(now);
     }
 
-    /// Grows with each entry taken in: the same number, nothing new.
-    pub fn news(&self) -> u64 {
-        self.news
+    /// Returns a number that grows with each entry applied: while it is equal,
+    /// nothing has changed.
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
-    /// Takes in one entry, or that it was gone at `revision`.
+    /// Applies one entry, or its absence at `revision`.
     pub fn on_entry(&mut self, key: &str, revision: Revision, entry: Option<&Entry>) {
-        self.news += 1;
+        self.generation += 1;
         let rev = revision.0;
         let text = entry.map(|entry| entry.value.as_str());
         if key == key::CONFIG {
             if let Some(config) = self.read::<Config>(key, text) {
                 self.offer_config(rev, &config.text);
             }
-        } else if let Some(name) = name_in(key, key::VMS) {
-            let held = self.read(key, text).map(|record| Held { revision, record });
-            if held.is_some() || text.is_none() {
-                let _ = self.vms.entry(name).or_default().offer(rev, held);
+        } else if let Some(name) = parse_name(key, key::VMS) {
+            let vm = self.read(key, text).map(|record| VmEntry { revision, record });
+            if vm.is_some() || text.is_none() {
+                let _ = self.vms.entry(name).or_default().offer(rev, vm);
             }
-        } else if let Some(name) = name_in(key, key::DRAINS) {
-            // A drain that doesn't parse is a drain all the same: taking it for
-            // none would put back to work what an operator wants out.
+        } else if let Some(name) = parse_name(key, key::DRAINS) {
+            // A drain that doesn't parse still counts as a drain. If it were
+            // ignored, a VM that an operator wants out would get work again.
             let unreadable =
                 || Drain { by: "unknown".to_owned(), reason: "unreadable record".to_owned() };
             let record = text.map(|_| self.read(key, text).unwrap_or_else(unreadable));
@@ -111,8 +112,9 @@
         }
     }
 
-    /// Takes in a configuration text. One that does not parse leaves the one
-    /// before in force and is told as a problem.
+    /// Applies a configuration text and returns whether it came into force. If
+    /// it is invalid, the previous configuration stays in force and a problem
+    /// is reported.
     pub fn offer_config(&mut self, revision: u64, text: &str) -> bool {
         if revision <= self.config.revision() {
             return false;
@@ -120,7 +122,7 @@
         match corianderfork_config::parse(text) {
             Ok(parsed) => {
                 self.problems.remove(key::CONFIG);
-                let active = Active { text: text.to_owned(), parsed: Rc::new(parsed) };
+                let active = ActiveConfig { text: text.to_owned(), parsed: Rc::new(parsed) };
                 self.config.offer(revision, active) == Offer::Applied
             }
             Err(mistakes) => {
@@ -151,75 +153,76 @@
         vms.chain(drains).chain(self.members.keys().cloned()).collect()
     }
 
-    fn on_complete(&mut self, sent: Time, revision: Revision) {
-        self.complete = self.complete.max(revision);
-        self.synced = self.synced.max(Some(sent));
+    fn on_synced(&mut self, sent: Time, revision: Revision) {
+        self.synced_revision = self.synced_revision.max(revision);
+        self.last_sync = self.last_sync.max(Some(sent));
         self.failing_since = None;
     }
 
-    /// The configuration in force and its revision.
-    pub fn config(&self) -> Option<(u64, &Active)> {
+    /// Returns the configuration in force and its revision.
+    pub fn config(&self) -> Option<(u64, &ActiveConfig)> {
         self.config.get().map(|active| (self.config.revision(), active))
     }
 
-    /// The revision of the configuration in force, 0 for none.
+    /// Returns the revision of the configuration in force, or 0 if there is
+    /// none.
     pub fn config_revision(&self) -> u64 {
         self.config.revision()
     }
 
-    /// The record of a VM.
-    pub fn vm(&self, name: &Name) -> Option<&Held> {
+    /// Returns the record of a VM.
+    pub fn vm(&self, name: &Name) -> Option<&VmEntry> {
         self.vms.get(name)?.get()?.as_ref()
     }
 
-    /// Whether the record of a VM is there but can't be read.
+    /// Whether the record of a VM exists but can't be parsed.
     pub fn is_unreadable(&self, name: &Name) -> bool {
         self.problems.contains_key(&key::vm(name))
     }
 
-    /// All VM records.
-    pub fn vms(&self) -> impl Iterator<Item = (&Name, &Held)> {
+    /// Returns all VM records.
+    pub fn vms(&self) -> impl Iterator<Item = (&Name, &VmEntry)> {
         self.vms.iter().filter_map(|(name, register)| Some((name, register.get()?.as_ref()?)))
     }
 
-    /// The operator's wish to drain a VM.
+    /// Returns the operators' drain request for a VM.
     pub fn drain(&self, name: &Name) -> Option<&Drain> {
         self.drains.get(name)?.get()?.as_ref()
     }
 
-    /// The revision of the newest write of operators that is known: of a drain, of
-    /// the end of one, or of a configuration.
-    pub fn operators_revision(&self) -> u64 {
+    /// Returns the newest known revision written by operators: of a drain
+    /// request, of its removal, or of a configuration.
+    pub fn operator_revision(&self) -> u64 {
         let drains = self.drains.values().map(Register::revision);
         drains.chain([self.config.revision()]).max().unwrap_or(0)
     }
 
-    /// The members the store lists.
+    /// Returns the members that the store lists.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter_map(|register| register.get()?.as_ref())
     }
 
-    /// The revision up to which all shared records are known.
-    pub fn complete(&self) -> Revision {
-        self.complete
+    /// Returns the revision up to which all shared records are known.
+    pub fn synced_revision(&self) -> Revision {
+        self.synced_revision
     }
 
-    /// When the last successful read or watch was sent.
-    pub fn synced(&self) -> Option<Time> {
-        self.synced
+    /// Returns when the last successful read or watch was sent.
+    pub fn last_sync(&self) -> Option<Time> {
+        self.last_sync
     }
 
-    /// Since when the store has not answered, if it doesn't.
+    /// Returns since when the store has not answered, or `None` if it answers.
     pub fn failing_since(&self) -> Option<Time> {
         self.failing_since
     }
 
-    /// What cannot be read, a line each.
+    /// Returns one line for each record that can't be read.
     pub fn problems(&self) -> impl Iterator<Item = &String> {
         self.problems.values()
     }
 }
 
-fn name_in(key: &str, prefix: &str) -> Option<Name> {
+fn parse_name(key: &str, prefix: &str) -> Option<Name> {
     Name::new(key.strip_prefix(prefix)?).ok()
 }
--- a/crates/controller/src/view/drains.rs
+++ b/crates/controller/src/view/drains.rs
@@ -1,4 +1,4 @@
-//! Operators' wishes to drain, as peers tell each other of them.
+//! Operators' drain requests, as exchanged between peers.
 
 use corianderfork_coord::register::Register;
 use corianderfork_model::Name;
@@ -6,40 +6,46 @@
 use corianderfork_provider::record::Drain;
 use corianderfork_wire::peer;
 
-use super::snapshot::{entry, record};
-use super::{View, name_in};
+use super::snapshot::{to_entry, to_record};
+use super::{View, parse_name};
 
 impl View {
-    /// The wishes that hold and that no VM's record shows yet, to be told to
-    /// peers. The others are told of as leaving, with the epoch of their drain.
-    pub fn wishes(&self) -> Vec<peer::Record> {
-        let takes_work = |vm: &Name| self.vm(vm).is_some_and(|vm| vm.record.phase.takes_work());
-        let unseen = self.held().filter(|(vm, ..)| takes_work(vm));
-        unseen.filter_map(|(vm, revision, wish)| record(key::drain(vm), wish, revision)).collect()
+    /// Returns the drain requests that no VM record reflects yet, to be passed
+    /// on to peers. The other drains are reported as leaving VMs, with their
+    /// epoch.
+    pub fn pending_drains(&self) -> Vec<peer::Record> {
+        let is_in_service = |vm: &Name| self.vm(vm).is_some_and(|vm| vm.record.phase.takes_work());
+        let pending = self.active_drains().filter(|(vm, ..)| is_in_service(vm));
+        pending
+            .filter_map(|(vm, revision, drain)| to_record(key::drain(vm), drain, revision))
+            .collect()
     }
 
-    /// Takes in wishes that a peer told of, so that they are passed on.
+    /// Applies drain requests from a peer, so that they are passed on.
     ///
-    /// What is not newer than what this process read is over: it would have
-    /// been in that read, and a peer that lags still tells of it.
-    pub fn on_wishes(&mut self, wishes: &[peer::Record]) {
-        for wish in wishes {
-            let Some(vm) = name_in(&wish.key, key::DRAINS) else { continue };
+    /// A request that is not newer than the last read has been removed:
+    /// otherwise that read would have returned it. A peer that lags still
+    /// reports it.
+    pub fn on_peer_drains(&mut self, drains: &[peer::Record]) {
+        for drain in drains {
+            let Some(vm) = parse_name(&drain.key, key::DRAINS) else { continue };
             let known = self.drains.get(&vm).map_or(0, Register::revision);
-            if wish.revision > known.max(self.complete.0) {
-                let entry = entry(wish);
-                self.on_entry(&wish.key, entry.revision, Some(&entry));
+            if drain.revision > known.max(self.synced_revision.0) {
+                let entry = to_entry(drain);
+                self.on_entry(&drain.key, entry.revision, Some(&entry));
             }
         }
     }
 
-    /// The wishes that hold, as a peer is sent them.
-    pub(super) fn wish_records(&self) -> impl Iterator<Item = peer::Record> {
-        self.held().filter_map(|(vm, revision, wish)| record(key::drain(vm), wish, revision))
+    /// Returns all active drain requests as peer records.
+    pub(super) fn drain_records(&self) -> impl Iterator<Item = peer::Record> {
+        self.active_drains()
+            .filter_map(|(vm, revision, drain)| to_record(key::drain(vm), drain, revision))
     }
 
-    fn held(&self) -> impl Iterator<Item = (&Name, u64, &Drain)> {
+    fn active_drains(&self) -> impl Iterator<Item = (&Name, u64, &Drain)> {
         let drains = self.drains.iter();
-        drains.filter_map(|(vm, one)| Some((vm, one.revision(), one.get()?.as_ref()?)))
+        drains
+            .filter_map(|(vm, register)| Some((vm, register.revision(), register.get()?.as_ref()?)))
     }
 }
--- a/crates/controller/src/view/snapshot.rs
+++ b/crates/controller/src/view/snapshot.rs
@@ -1,4 +1,4 @@
-//! The records as peers send them to each other.
+//! Snapshots of the records, exchanged between peers.
 
 use corianderfork_provider::key;
 use corianderfork_provider::record::Config;
@@ -9,11 +9,11 @@
 use super::View;
 
 impl View {
-    /// What a peer asks for that knows less.
+    /// Returns the records that are newer than those of the requesting peer.
     pub fn snapshot(&self, request: &peer::SnapshotRequest) -> peer::SnapshotReply {
         let mut reply = peer::SnapshotReply {
             config_revision: self.config_revision(),
-            store_revision: self.complete().0,
+            store_revision: self.synced_revision().0,
             ..peer::SnapshotReply::default()
         };
         if let Some((revision, active)) = self.config()
@@ -21,45 +21,51 @@
         {
             reply.config.clone_from(&active.text);
         }
-        if self.complete().0 > request.store_revision {
-            let vms = self.vms().map(|(name, held)| (key::vm(name), held));
+        if self.synced_revision().0 > request.store_revision {
+            let vms = self.vms().map(|(name, vm)| (key::vm(name), vm));
             reply.vms =
-                vms.filter_map(|(key, held)| record(key, &held.record, held.revision.0)).collect();
+                vms.filter_map(|(key, vm)| to_record(key, &vm.record, vm.revision.0)).collect();
             let members =
                 self.members().map(|member| (key::member(member.role, &member.name), member));
-            reply.members = members.filter_map(|(key, member)| record(key, member, 0)).collect();
-            // A proxy takes a wish that is missing here for one that is over,
+            reply.members = members.filter_map(|(key, member)| to_record(key, member, 0)).collect();
+            // A proxy treats a drain request that is missing here as removed,
             // and would send requests to the drained VM again.
-            reply.members.extend(self.wish_records());
+            reply.members.extend(self.drain_records());
         }
         reply
     }
 
-    /// Takes in what a peer sent; says whether a configuration came into force.
+    /// Applies a peer's snapshot. Returns whether it brought a configuration
+    /// into force.
     pub fn on_snapshot(&mut self, snapshot: &peer::SnapshotReply) -> bool {
-        let mut is_news = false;
+        let mut config_changed = false;
         if !snapshot.config.is_empty() {
-            // Peers send the text, an entry of the store holds a record around it.
+            // Peers send the plain text; an entry of the store holds a record
+            // around it.
             let text = serde_json::from_str::<Config>(&snapshot.config).map(|config| config.text);
             let text = text.unwrap_or_else(|_| snapshot.config.clone());
-            is_news = self.offer_config(snapshot.config_revision, &text);
+            config_changed = self.offer_config(snapshot.config_revision, &text);
         }
-        for one in &snapshot.vms {
-            let entry = entry(one);
-            self.on_entry(&one.key, entry.revision, Some(&entry));
+        for record in &snapshot.vms {
+            let entry = to_entry(record);
+            self.on_entry(&record.key, entry.revision, Some(&entry));
         }
-        self.on_wishes(&snapshot.members);
-        is_news
+        self.on_peer_drains(&snapshot.members);
+        config_changed
     }
 }
 
-pub(super) fn record(key: String, value: &impl Serialize, revision: u64) -> Option<peer::Record> {
+pub(super) fn to_record(
+    key: String,
+    value: &impl Serialize,
+    revision: u64,
+) -> Option<peer::Record> {
     let value = serde_json::to_string(value).ok()?;
     Some(peer::Record { key, value, revision })
 }
 
-/// A record of a peer as an entry of the store.
-pub(super) fn entry(record: &peer::Record) -> Entry {
+/// Converts a peer's record to an entry of the store.
+pub(super) fn to_entry(record: &peer::Record) -> Entry {
     let (key, value) = (record.key.clone(), record.value.clone());
     Entry { key, value, revision: Revision(record.revision), lease: None }
 }
--- a/crates/controller/tests/phases.rs
+++ b/crates/controller/tests/phases.rs
@@ -1,178 +1,176 @@
-//! Each step of a VM, and a successor that goes on from it.
+//! The transitions of a VM, and their continuation by a new holder of the
+//! lease.
 
 mod support;
 
 use corianderfork_provider::fleet::VmState;
 use corianderfork_provider::record::Phase;
-use support::{FLEET, World, moved, name};
+use support::{FLEET, Simulation, fleet_with_v3_moved, name};
 
-/// Rounds after which proxies have been known for longer than a request may take.
-const LONG_KNOWN: usize = 20;
+/// Rounds after which every proxy has been known for longer than a request may
+/// take.
+const ROUNDS_TO_KNOW_PROXIES: usize = 20;
 
-fn serving() -> World {
-    let mut world = World::new(2, 2);
-    world.until(0, "serving", |w| {
-        w.store.entries.contains_key("shared/vm/v5")
-            && (1..=5).any(|i| !w.store.vm(&format!("v{i}")).runners.is_empty())
-            && w.running("transfer") > 0
-            && w.running("dossier") > 0
+fn running_fleet() -> Simulation {
+    let mut sim = Simulation::new(2, 2);
+    sim.run_until(0, "serving", |sim| {
+        sim.store.entries.contains_key("shared/vm/v5")
+            && (1..=5).any(|i| !sim.store.vm(&format!("v{i}")).runners.is_empty())
+            && sim.running("transfer") > 0
+            && sim.running("dossier") > 0
     });
-    world
+    sim
 }
 
-fn carrier(world: &World, service: &str) -> String {
-    let copy = world.tasks.keys().find(|copy| copy.1.as_str() == service);
+fn vm_running(sim: &Simulation, service: &str) -> String {
+    let copy = sim.tasks.keys().find(|copy| copy.1.as_str() == service);
     copy.expect("a copy runs").0.to_string()
 }
 
 #[test]
-fn decide_creates_records_and_starts_copies_from_nothing() {
-    let world = serving();
-    assert_eq!(world.store.vm("v1").pool, name("registry"));
-    assert_eq!(world.store.vm("v4").pool, name("archive"));
-    let vm = world.store.vm(&carrier(&world, "transfer"));
+fn decide_empty_store_creates_records_and_starts_copies() {
+    let sim = running_fleet();
+    assert_eq!(sim.store.vm("v1").pool, name("registry"));
+    assert_eq!(sim.store.vm("v4").pool, name("archive"));
+    let vm = sim.store.vm(&vm_running(&sim, "transfer"));
     assert_eq!((vm.phase, vm.epoch), (Phase::Serving, 0));
     let listed: Vec<&str> = vm.runners.iter().map(|runner| runner.service.as_str()).collect();
     assert_eq!(listed.iter().filter(|service| **service == "transfer").count(), 1);
-    assert!(!listed.contains(&"dossier"), "of another pool");
+    assert!(!listed.contains(&"dossier"), "lists a service of another pool");
 }
 
 #[test]
-fn drain_holds_until_undrained() {
-    let mut world = serving();
-    let vm = carrier(&world, "transfer");
-    world.drain(&vm);
-    world.until(0, "drained", |w| w.store.vm(&vm).phase == Phase::Drained);
-    assert_eq!(world.store.vm(&vm).epoch, 1);
+fn drain_stays_until_undrained() {
+    let mut sim = running_fleet();
+    let vm = vm_running(&sim, "transfer");
+    sim.drain(&vm);
+    sim.run_until(0, "drained", |sim| sim.store.vm(&vm).phase == Phase::Drained);
+    assert_eq!(sim.store.vm(&vm).epoch, 1);
     for _ in 0..5 {
-        world.round(0);
+        sim.round(0);
     }
-    assert_eq!(world.store.vm(&vm).phase, Phase::Drained, "held");
-    assert!(world.running("transfer") > 0, "another copy took its place");
-    world.undrain(&vm);
-    world.until(0, "serving", |w| w.store.vm(&vm).phase == Phase::Serving);
-    assert!(world.reboots.is_empty());
+    assert_eq!(sim.store.vm(&vm).phase, Phase::Drained, "returned to service");
+    assert!(sim.running("transfer") > 0, "no other copy replaced it");
+    sim.undrain(&vm);
+    sim.run_until(0, "serving", |sim| sim.store.vm(&vm).phase == Phase::Serving);
+    assert!(sim.reboots.is_empty());
 }
 
-// Symptom: a VM whose drain was taken back is emptied all the same, and serves nobody
-//   until copies happen to be placed there again.
-// Sequence: a drain waits for its proxies; they confirm it, and the operator takes it
-//   back, between two decisions.
-// Cause: that the proxies had confirmed was followed without a look at the wish.
+// Guards against a VM that is emptied although its drain was cancelled, and
+// then has no copies until some happen to be placed there again. The proxies
+// confirm the drain and the operator cancels it between two decisions;
+// following the confirmation without checking the drain request empties the VM.
 #[test]
-fn undrain_of_a_vm_whose_proxies_have_just_confirmed() {
-    let mut world = serving();
-    let vm = carrier(&world, "transfer");
-    let carried = world.store.vm(&vm).runners;
-    // No proxy is waited for on account of an earlier process of it.
-    for _ in 0..LONG_KNOWN {
-        world.round(0);
+fn undrain_after_confirmation_keeps_copies() {
+    let mut sim = running_fleet();
+    let vm = vm_running(&sim, "transfer");
+    let runners_before = sim.store.vm(&vm).runners;
+    // Now no proxy is waited for because of an earlier process.
+    for _ in 0..ROUNDS_TO_KNOW_PROXIES {
+        sim.round(0);
     }
-    world.drain(&vm);
-    let is_begun = (0..LONG_KNOWN).any(|_| {
-        world.round(0);
-        world.store.vm(&vm).phase == Phase::Draining
+    sim.drain(&vm);
+    let is_draining = (0..ROUNDS_TO_KNOW_PROXIES).any(|_| {
+        sim.round(0);
+        sim.store.vm(&vm).phase == Phase::Draining
     });
-    assert!(is_begun);
-    world.settle_proxies();
-    world.undrain(&vm);
-    world.until(0, "back", |w| w.store.vm(&vm).phase != Phase::Draining);
-    assert_eq!(world.store.vm(&vm).phase, Phase::Serving);
-    assert_eq!(world.store.vm(&vm).runners, carried, "it was emptied");
+    assert!(is_draining);
+    sim.settle_proxies();
+    sim.undrain(&vm);
+    sim.run_until(0, "back", |sim| sim.store.vm(&vm).phase != Phase::Draining);
+    assert_eq!(sim.store.vm(&vm).phase, Phase::Serving);
+    assert_eq!(sim.store.vm(&vm).runners, runners_before, "its copies changed");
 }
 
 #[test]
 fn wave_reboots_each_vm_once_and_ends() {
-    let mut world = serving();
-    world.order_wave(&["v1", "v2"], 1);
-    world.until(0, "done", |w| w.store.wave().done.len() == 2);
-    let mut reboots = world.reboots.clone();
+    let mut sim = running_fleet();
+    sim.order_wave(&["v1", "v2"], 1);
+    sim.run_until(0, "done", |sim| sim.store.wave().done.len() == 2);
+    let mut reboots = sim.reboots.clone();
     reboots.sort();
     assert_eq!(reboots, [name("v1"), name("v2")]);
-    assert_eq!(world.store.vm("v1").phase, Phase::Serving);
-    assert!(world.store.vm("v1").maintained_ms >= world.store.wave().began_ms);
-    assert_eq!(world.store.vm("v3").epoch, 0, "not named by the wave");
+    assert_eq!(sim.store.vm("v1").phase, Phase::Serving);
+    assert!(sim.store.vm("v1").maintained_ms >= sim.store.wave().began_ms);
+    assert_eq!(sim.store.vm("v3").epoch, 0, "not named by the wave");
 }
 
-// Symptom: a VM stays out for ever after its controller died.
-// Sequence: the controller dies right after it wrote a phase, before whatever
-// comes next.
-// Cause: what comes next was known to the dead process alone. A successor has
-// to go on from the record of each phase.
+// Guards against a VM that stays out for ever after its controller died right
+// after writing a phase. The next holder has to continue from the record of any
+// phase, without what only the dead process knew.
 #[test]
-fn wave_goes_on_from_each_phase_under_a_successor() {
+fn wave_new_holder_continues_from_each_phase() {
     let phases = [Phase::Draining, Phase::Drained, Phase::Rebooting, Phase::Returning];
     for phase in phases {
-        let mut world = serving();
-        world.order_wave(&["v1"], 1);
-        for turn in 0..60 {
-            world.round(0);
-            if world.store.vm("v1").phase == phase {
+        let mut sim = running_fleet();
+        sim.order_wave(&["v1"], 1);
+        for round in 0..60 {
+            sim.round(0);
+            if sim.store.vm("v1").phase == phase {
                 break;
             }
-            if turn % 2 == 0 {
-                world.boot();
+            if round % 2 == 0 {
+                sim.complete_reboots();
             }
         }
-        assert_eq!(world.store.vm("v1").phase, phase);
-        world.holder = 1;
-        world.until(1, "done", |w| w.store.wave().done.len() == 1);
-        assert_eq!(world.store.vm("v1").phase, Phase::Serving, "from {phase}");
-        assert!(!world.reboots.is_empty(), "from {phase}");
+        assert_eq!(sim.store.vm("v1").phase, phase);
+        sim.holder = 1;
+        sim.run_until(1, "done", |sim| sim.store.wave().done.len() == 1);
+        assert_eq!(sim.store.vm("v1").phase, Phase::Serving, "from {phase}");
+        assert!(!sim.reboots.is_empty(), "from {phase}");
     }
 }
 
-// Symptom: a VM is rebooted again and again and never comes back to work.
-// Sequence: its reboot is over before the lagging list is read again.
-// Cause: only a VM that was seen down counted as rebooted.
+// Guards against a VM that is rebooted again and again and never returns to
+// work. Its reboot is over before the lagging list is read again, so it is
+// never seen down.
 #[test]
-fn reboot_never_seen_is_asked_for_twice_at_most() {
-    let mut world = serving();
-    world.order_wave(&["v1"], 1);
+fn reboot_never_listed_is_requested_twice_at_most() {
+    let mut sim = running_fleet();
+    sim.order_wave(&["v1"], 1);
     for _ in 0..60 {
-        world.round(0);
-        world.boot();
+        sim.round(0);
+        sim.complete_reboots();
     }
-    assert_eq!(world.store.wave().done, [name("v1")]);
-    assert_eq!(world.reboots.len(), 2);
+    assert_eq!(sim.store.wave().done, [name("v1")]);
+    assert_eq!(sim.reboots.len(), 2);
 }
 
 #[test]
 fn rehomed_vm_moves_through_drain_and_switch() {
-    let mut world = serving();
-    world.apply(&moved());
-    world.until(0, "switched", |w| w.store.vm("v3").pool == name("archive"));
-    world.until(0, "serving", |w| w.store.vm("v3").phase == Phase::Serving);
-    assert_eq!(world.store.vm("v3").epoch, 1);
+    let mut sim = running_fleet();
+    sim.apply_config(&fleet_with_v3_moved());
+    sim.run_until(0, "switched", |sim| sim.store.vm("v3").pool == name("archive"));
+    sim.run_until(0, "serving", |sim| sim.store.vm("v3").phase == Phase::Serving);
+    assert_eq!(sim.store.vm("v3").epoch, 1);
     let stray = (name("v3"), name("transfer"));
-    assert!(!world.tasks.contains_key(&stray), "the old pool's copy is gone");
-    world.apply(FLEET);
-    world.until(0, "back", |w| w.store.vm("v3").pool == name("registry"));
+    assert!(!sim.tasks.contains_key(&stray), "the copy of the old pool still runs");
+    sim.apply_config(FLEET);
+    sim.run_until(0, "back", |sim| sim.store.vm("v3").pool == name("registry"));
 }
 
 #[test]
 fn removed_vm_is_drained_and_emptied() {
-    let mut world = serving();
-    let vm = carrier(&world, "dossier");
+    let mut sim = running_fleet();
+    let vm = vm_running(&sim, "dossier");
     let rest = if vm == "v4" { "v5" } else { "v4" };
-    world.apply(&FLEET.replace("v[4..5]", rest));
-    world.until(0, "out", |w| w.store.vm(&vm).phase == Phase::Out);
-    assert!(world.tasks.keys().all(|copy| copy.0.as_str() != vm));
+    sim.apply_config(&FLEET.replace("v[4..5]", rest));
+    sim.run_until(0, "out", |sim| sim.store.vm(&vm).phase == Phase::Out);
+    assert!(sim.tasks.keys().all(|copy| copy.0.as_str() != vm));
 }
 
-// Symptom: callers' requests go to a VM that is being taken away.
-// Sequence: the platform's list says that a VM is leaving, or gone.
-// Cause: only drains that this system asked for took VMs out.
+// Guards against requests that go to a VM that the platform lists as leaving or
+// gone. Such a VM has to be taken out although no operator drained it.
 #[test]
-fn leaving_and_gone_vms_take_no_work() {
-    let mut world = serving();
-    let vm = carrier(&world, "transfer");
-    world.vms.insert(name(&vm), VmState::Leaving);
-    world.round(0);
-    assert_eq!(world.store.vm(&vm).phase, Phase::Draining, "at the first look");
-    let mut world = serving();
-    let vm = carrier(&world, "transfer");
-    world.vms.insert(name(&vm), VmState::Gone);
-    world.round(0);
-    assert!(world.store.vm(&vm).runners.is_empty());
+fn leaving_and_gone_vms_get_no_work() {
+    let mut sim = running_fleet();
+    let vm = vm_running(&sim, "transfer");
+    sim.vms.insert(name(&vm), VmState::Leaving);
+    sim.round(0);
+    assert_eq!(sim.store.vm(&vm).phase, Phase::Draining, "not draining after the first decision");
+    let mut sim = running_fleet();
+    let vm = vm_running(&sim, "transfer");
+    sim.vms.insert(name(&vm), VmState::Gone);
+    sim.round(0);
+    assert!(sim.store.vm(&vm).runners.is_empty());
 }
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -1,11 +1,11 @@
-//! What is kept of records, and writes whose end is lost.
+//! The view of the records, and writes whose outcome is unknown.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use corianderfork_controller::execute::{Written, call, put, read_back};
-use corianderfork_controller::outbox::Lines;
+use corianderfork_controller::execute::{Outcome, call, put, read_back};
+use corianderfork_controller::outbox::Audit;
 use corianderfork_controller::plan::action::Action;
 use corianderfork_controller::view::View;
 use corianderfork_model::{Name, Time};
@@ -29,16 +29,16 @@
     Entry { key, value, revision: Revision(revision), lease: None }
 }
 
-/// A store of one key whose answers are lost.
+/// A store with one key that loses its responses.
 #[derive(Default)]
-struct Lossy {
+struct LossyStore {
     entry: Mutex<Option<Entry>>,
-    /// Writes that take effect before their answer is lost.
+    /// Whether a write takes effect before its response is lost.
     applies: bool,
     puts: AtomicUsize,
 }
 
-impl Store for Lossy {
+impl Store for LossyStore {
     fn get(&self, _: &str) -> Result<Found, Error> {
         let entry = self.entry.lock().expect("not poisoned").clone();
         Ok(Found { revision: Revision(9), entry })
@@ -83,7 +83,7 @@
     }
 }
 
-impl Control for Lossy {
+impl Control for LossyStore {
     fn vms(&self) -> Result<Vec<Vm>, Error> {
         Ok(Vec::new())
     }
@@ -110,29 +110,29 @@
     }
 }
 
-// Symptom: a controller takes its own write for another's and decides anew.
-// Sequence: a write takes effect, its answer is lost.
-// Cause: the write was repeated, or given up, without reading back.
+// Guards against a controller that takes its own write for another process's
+// and decides again. A write takes effect but its response is lost; the write
+// must be read back, not repeated or dropped.
 #[test]
-fn put_answer_lost_is_read_back() {
-    let store = Lossy { applies: true, ..Lossy::default() };
-    let end = put(&store, || true, "k", "new", Expect::Absent);
-    assert_eq!(end, Written::Applied(Revision(9)));
-    let store = Lossy::default();
-    assert_eq!(put(&store, || true, "k", "new", Expect::Absent), Written::Conflict(None));
+fn put_lost_response_is_read_back() {
+    let store = LossyStore { applies: true, ..LossyStore::default() };
+    let outcome = put(&store, || true, "k", "new", Expect::Absent);
+    assert_eq!(outcome, Outcome::Applied(Revision(9)));
+    let store = LossyStore::default();
+    assert_eq!(put(&store, || true, "k", "new", Expect::Absent), Outcome::Conflict(None));
     *store.entry.lock().expect("not poisoned") = Some(entry("k", "other", 4));
-    let end = read_back(&store, "k", "new", "cut");
-    assert_eq!(end, Written::Conflict(Some(entry("k", "other", 4))));
+    let outcome = read_back(&store, "k", "new", "cut");
+    assert_eq!(outcome, Outcome::Conflict(Some(entry("k", "other", 4))));
 }
 
-// Symptom: a VM that serves under a new holder is rebooted.
-// Sequence: a call waits in a queue while its process is paused past its lease.
-// Cause: the lease was looked at when the call was decided, not when it is made.
+// Guards against the reboot of a VM that serves under a new holder. A call
+// waits in a queue while its process is paused past its lease; the lease has to
+// be checked when the call is made, not only when it is decided.
 #[test]
-fn acts_lapsed_lease_holds_them_back() {
-    let platform = Lossy::default();
-    let end = put(&platform, || false, "k", "new", Expect::Absent);
-    assert!(matches!(end, Written::Refused(_)));
+fn execute_expired_lease_blocks_writes_and_calls() {
+    let platform = LossyStore::default();
+    let outcome = put(&platform, || false, "k", "new", Expect::Absent);
+    assert!(matches!(outcome, Outcome::Refused(_)));
     let reboot = Action::Reboot(name("v1"));
     assert_eq!(call(&platform, || false, &reboot), Err(Error::Lapsed));
     assert_eq!(platform.puts.load(Ordering::SeqCst), 0);
@@ -140,28 +140,28 @@
     assert_eq!(platform.puts.load(Ordering::SeqCst), 1);
 }
 
-// Symptom: a VM falls back to an older record and is decided on twice.
-// Sequence: the answer to a write, a late watch and a peer's snapshot bring the
-// same record at different revisions, the newest first.
-// Cause: the message heard last won.
+// Guards against a VM that falls back to an older record and is decided on
+// twice. The response to a write, a late watch and a peer's snapshot bring the
+// same record at different revisions, the newest first; the last message must
+// not win.
 #[test]
-fn view_record_never_goes_back() {
+fn view_keeps_newest_revision() {
     let mut view = View::default();
     let key = key::vm(&name("v1"));
     let drained = VM.replace("serving", "drained");
     view.on_entry(&key, Revision(8), Some(&entry(&key, &drained, 8)));
     view.on_entry(&key, Revision(5), Some(&entry(&key, VM, 5)));
     view.on_entry(&key, Revision(6), None);
-    let held = view.vm(&name("v1")).expect("it is there");
-    assert_eq!((held.revision, held.record.phase.takes_work()), (Revision(8), false));
-    // A whole read that lacks it is newer, and tells that it was deleted.
-    view.on_whole(Time::ZERO, &Range { revision: Revision(9), entries: Vec::new() });
+    let stored = view.vm(&name("v1")).expect("the VM has a record");
+    assert_eq!((stored.revision, stored.record.phase.takes_work()), (Revision(8), false));
+    // A complete read without the record is newer and means that it was
+    // deleted.
+    view.on_range(Time::ZERO, &Range { revision: Revision(9), entries: Vec::new() });
     assert_eq!(view.vm(&name("v1")), None);
 }
 
-// Symptom: a VM that an operator took out, or nobody can read, gets work.
-// Sequence: a record is not what it should be.
-// Cause: what did not parse counted as absent.
+// Guards against work on a VM that an operator took out or whose record can't
+// be read. A record that doesn't parse must not count as absent.
 #[test]
 fn view_unreadable_records_are_not_absent() {
     let mut view = View::default();
@@ -172,14 +172,13 @@
     assert!(view.is_unreadable(&name("v1")));
     assert!(view.drain(&name("v1")).is_some());
     assert_eq!((view.config_revision(), view.problems().count()), (0, 3));
-    assert!(!view.offer_config(4, "[fleet]\nversion = 1\n"), "a configuration with mistakes");
+    assert!(!view.offer_config(4, "[fleet]\nversion = 1\n"), "accepted an invalid configuration");
 }
 
-// Symptom: changes are missing in the audit trail after an outage.
-// Sequence: the trail can't be written for a while.
-// Cause: lines were dropped with the write that failed.
+// Guards against gaps in the audit trail after an outage. While the trail can't
+// be written, a failed write must not drop its lines.
 #[test]
-fn lines_failed_write_keeps_them() {
+fn audit_failed_write_keeps_lines() {
     let line = |revision| Line {
         at_ms: 0,
         who: String::new(),
@@ -188,65 +187,62 @@
         to: String::new(),
         revision,
     };
-    let mut lines = Lines::default();
+    let mut audit = Audit::default();
     let at = Time::from_millis;
-    lines.push(line(1));
-    assert_eq!(lines.take(at(10_000)).map(|taken| taken.len()), Some(1));
-    lines.push(line(2));
-    assert_eq!(lines.take(at(20_000)), None, "one write at a time");
-    lines.on_end(false);
-    assert_eq!(lines.take(at(30_000)).map(|taken| taken.len()), Some(2));
-    lines.on_end(true);
-    assert_eq!(lines.take(at(40_000)), None);
+    audit.push(line(1));
+    assert_eq!(audit.take(at(10_000)).map(|taken| taken.len()), Some(1));
+    audit.push(line(2));
+    assert_eq!(audit.take(at(20_000)), None, "two writes at the same time");
+    audit.on_end(false);
+    assert_eq!(audit.take(at(30_000)).map(|taken| taken.len()), Some(2));
+    audit.on_end(true);
+    assert_eq!(audit.take(at(40_000)), None);
 }
 
 const DRAIN: &str = r#"{"by":"asha","reason":"fan"}"#;
 
-fn shown(wishes: &[peer::Record]) -> Vec<(&str, u64)> {
-    wishes.iter().map(|wish| (wish.key.as_str(), wish.revision)).collect()
+fn summarize(records: &[peer::Record]) -> Vec<(&str, u64)> {
+    records.iter().map(|record| (record.key.as_str(), record.revision)).collect()
 }
 
 #[test]
-fn drain_wished_is_in_what_a_controller_sends() {
-    // Symptom: a proxy that is cut off from the store sends to a drained VM
-    // again.
-    // Sequence: it heard of the drain; then it asks a controller for all
-    // records.
-    // Cause: the controller leaves the wishes out, and what is left out counts
-    // as over.
+fn snapshot_includes_drain_requests() {
+    // Guards against a proxy that sends work to a drained VM again. A proxy
+    // that is cut off from the store has learned of the drain from a peer and
+    // then requests all records from a controller. It takes a drain request
+    // that is missing there as removed.
     let mut view = View::default();
     let vm = entry("shared/vm/v01", VM, 4);
     let entries = vec![vm, entry("shared/drain/v01", DRAIN, 7)];
-    view.on_whole(Time::ZERO, &Range { revision: Revision(7), entries });
+    view.on_range(Time::ZERO, &Range { revision: Revision(7), entries });
     let sent = view.snapshot(&peer::SnapshotRequest::default());
-    let wish = ("shared/drain/v01", 7);
-    assert_eq!(shown(&sent.members), [wish]);
-    assert_eq!(shown(&view.wishes()), [wish]);
-    // Once the VM's record says it, reports tell of it as leaving.
+    let drain = ("shared/drain/v01", 7);
+    assert_eq!(summarize(&sent.members), [drain]);
+    assert_eq!(summarize(&view.pending_drains()), [drain]);
+    // Once the VM's record shows the drain, reports list the VM as leaving.
     let draining = entry("shared/vm/v01", &VM.replace("serving", "draining"), 8);
     view.on_entry("shared/vm/v01", Revision(8), Some(&draining));
-    assert_eq!(view.wishes(), []);
-    assert_eq!(shown(&view.snapshot(&peer::SnapshotRequest::default()).members), [wish]);
+    assert_eq!(view.pending_drains(), []);
+    assert_eq!(summarize(&view.snapshot(&peer::SnapshotRequest::default()).members), [drain]);
 }
 
 #[test]
-fn drain_wished_is_passed_on_by_a_controller_that_is_cut_off() {
-    // Symptom: a drain that one process heard of before the store went down
-    // reaches the others late.
-    // Sequence: controllers are told of it by a peer, and call others.
-    // Cause: they tell only what the store told them.
+fn on_peer_drains_newer_request_is_passed_on() {
+    // Guards against a drain that reaches other processes late. A controller
+    // that learned of a drain from a peer, not from the store, has to pass it
+    // on.
     let mut view = View::default();
     let entries = vec![entry("shared/vm/v01", VM, 4)];
-    view.on_whole(Time::ZERO, &Range { revision: Revision(6), entries });
-    let told = |revision| {
+    view.on_range(Time::ZERO, &Range { revision: Revision(6), entries });
+    let drains = |revision| {
         let (key, value) = ("shared/drain/v01".to_owned(), DRAIN.to_owned());
         [peer::Record { key, value, revision }]
     };
-    view.on_wishes(&told(5));
-    assert!(view.drain(&name("v01")).is_none(), "over before the read");
-    view.on_wishes(&told(7));
-    assert_eq!(shown(&view.wishes()), [("shared/drain/v01", 7)]);
-    let news = view.news();
-    view.on_wishes(&told(7));
-    assert_eq!(view.news(), news, "told again");
+    view.on_peer_drains(&drains(5));
+    assert!(view.drain(&name("v01")).is_none(), "was removed before the read");
+    view.on_peer_drains(&drains(7));
+    assert_eq!(summarize(&view.pending_drains()), [("shared/drain/v01", 7)]);
+    let generation = view.generation();
+    view.on_peer_drains(&drains(7));
+    assert_eq!(view.generation(), generation, "the same request again changes nothing");
 }
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of fakes at the planner's borders: a store with revisions, a
-//! platform that runs tasks, and proxies that send work by what they know.
+//! A simulated fleet around the planner: a store with revisions, a platform
+//! that runs tasks, and proxies that send work according to the records that
+//! they have read.
 #![allow(dead_code, clippy::unwrap_used)]
 
 mod proxy;
@@ -9,11 +10,11 @@
 use std::time::Duration;
 
 use corianderfork_controller::directory::Directory;
-use corianderfork_controller::facts::{Change, Copy, Facts, Listed};
+use corianderfork_controller::facts::{Change, Copy, Facts, Reading};
 use corianderfork_controller::plan::action::Action;
 use corianderfork_controller::plan::{Inputs, Limits, Planner};
 use corianderfork_controller::view::View;
-use corianderfork_controller::{Settings, plan::Round};
+use corianderfork_controller::{Settings, plan::Decision};
 use corianderfork_coord::member;
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::fleet::{self, Task, TaskState, VmState};
@@ -82,24 +83,24 @@
 then = normal
 ";
 
-/// [`FLEET`] with `v3` at home in the archive.
-pub fn moved() -> String {
+/// Returns [`FLEET`] with `v3` at home in the pool `archive`.
+pub fn fleet_with_v3_moved() -> String {
     FLEET.replace("v[1..3]", "v[1..2]").replace("v[4..5]", "v[3..5]")
 }
 
-/// [`FLEET`] without the service `rally`.
-pub fn without_rally() -> String {
+/// Returns [`FLEET`] without the service `rally`.
+pub fn fleet_without_rally() -> String {
     let (from, to) = (FLEET.find("[service.rally]"), FLEET.find("[service.dossier]"));
     FLEET.replace(&FLEET[from.unwrap()..to.unwrap()], "")
 }
 
-/// A controller: a planner and what it knows.
+/// A controller: a planner and its input.
 pub struct Controller {
     pub planner: Planner,
     pub view: View,
     pub directory: Directory,
     pub facts: Facts,
-    /// Decided on, not carried out yet.
+    /// Actions that are decided but not carried out yet.
     pub queue: Vec<Action>,
     pub conflicts: usize,
 }
@@ -125,21 +126,21 @@
     Proxy::new(member(Role::Proxy, &format!("p{i}")))
 }
 
-/// The whole fleet.
-pub struct World {
+/// The simulated fleet.
+pub struct Simulation {
     pub now: u64,
     pub store: Store,
     pub tasks: BTreeMap<Copy, Task>,
     pub vms: BTreeMap<Name, VmState>,
     pub proxies: Vec<Proxy>,
     pub controllers: Vec<Controller>,
-    /// The controller that holds the lease; the platform's calls of others are
-    /// held back by their fence.
+    /// The index of the controller that holds the lease. The fence holds back
+    /// the platform calls of all others.
     pub holder: usize,
     pub reboots: Vec<Name>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(controllers: usize, proxies: usize) -> Self {
         Self::with(controllers, proxies, &Limits::new(&settings()))
     }
@@ -159,7 +160,7 @@
             queue: Vec::new(),
             conflicts: 0,
         };
-        let mut world = Self {
+        let mut sim = Self {
             now: 10_000_000,
             store: Store::default(),
             tasks: BTreeMap::new(),
@@ -170,21 +171,22 @@
             reboots: Vec::new(),
         };
         for p in 0..proxies {
-            world.register(p);
+            sim.register(p);
         }
-        world.apply(FLEET);
-        world
+        sim.apply_config(FLEET);
+        sim
     }
 
-    /// A proxy registers as a member.
+    /// Registers a proxy as a member.
     fn register(&mut self, p: usize) {
-        let me = &self.proxies[p].me;
-        let (key, value) = (key::member(Role::Proxy, &me.name), serde_json::to_string(me).unwrap());
+        let member = &self.proxies[p].member;
+        let (key, value) =
+            (key::member(Role::Proxy, &member.name), serde_json::to_string(member).unwrap());
         self.store.put(&key, value, Expect::Absent).unwrap();
     }
 
-    /// One more proxy starts.
-    pub fn join(&mut self) -> usize {
+    /// Starts another proxy and returns its index.
+    pub fn add_proxy(&mut self) -> usize {
         let p = self.proxies.len();
         self.proxies.push(proxy(p));
         self.register(p);
@@ -192,12 +194,12 @@
         p
     }
 
-    /// A proxy reads all records.
+    /// Reads all records into a proxy.
     pub fn sync(&mut self, p: usize) {
         self.proxies[p].sync(&self.store);
     }
 
-    pub fn apply(&mut self, text: &str) {
+    pub fn apply_config(&mut self, text: &str) {
         let (text, by) = (text.to_owned(), "test".to_owned());
         let config = Config { text, by, note: String::new(), token: "1".to_owned() };
         let value = serde_json::to_string(&config).unwrap();
@@ -230,13 +232,14 @@
         self.store.put(key::WAVE, value, Expect::Anything).unwrap();
     }
 
-    /// The time as controllers see it: the tests' one clock stands for both
-    /// the monotonic one and the one since the Unix epoch.
+    /// Returns the current time. One clock serves as both the monotonic one and
+    /// the one since the Unix epoch.
     fn time(&self) -> Time {
         Time::from_millis(self.now)
     }
 
-    /// A controller reads everything anew.
+    /// Reads the complete state of the store and the platform into a
+    /// controller.
     pub fn read(&mut self, c: usize) {
         let (now, range) = (self.time(), self.store.range());
         let wave = self.store.entry(key::WAVE);
@@ -244,46 +247,50 @@
         let vms =
             self.vms.iter().map(|(name, state)| fleet::Vm { name: name.clone(), state: *state });
         let controller = &mut self.controllers[c];
-        controller.view.on_whole(now, &range);
-        let revision = controller.view.complete().0;
+        controller.view.on_range(now, &range);
+        let revision = controller.view.synced_revision().0;
         controller.directory.on_store(now, now, revision, controller.view.members());
         controller.facts.on_tasks(now, self.tasks.values().cloned().collect());
         controller.facts.on_vms(now, vms.collect());
-        controller.facts.wave = Some(Listed { sent: now, value: wave });
+        controller.facts.wave = Some(Reading { sent: now, value: wave });
     }
 
-    /// A proxy tells a controller what it knows.
+    /// Delivers a proxy's report to a controller.
     pub fn gossip(&mut self, p: usize, c: usize) {
         let (now, report) = (self.time(), self.proxies[p].report());
         self.controllers[c].directory.on_report(now, Some(now), &report);
     }
 
-    /// A controller decides; what it decided waits in its queue.
-    pub fn decide(&mut self, c: usize) -> Option<Round> {
+    /// Makes a controller decide. Its actions wait in its queue.
+    pub fn decide(&mut self, c: usize) -> Option<Decision> {
         let now = self.time();
         let controller = &mut self.controllers[c];
-        let round = controller.planner.decide(&mut Inputs {
+        let decision = controller.planner.decide(&mut Inputs {
             now,
             unix: now,
             view: &controller.view,
             directory: &controller.directory,
             facts: &mut controller.facts,
         })?;
-        for action in &round.actions {
+        for action in &decision.actions {
             match action {
                 Action::Write(write) => controller.planner.on_write(&write.vm),
-                Action::Wave { .. } => controller.planner.on_wave(true),
-                Action::Start(copy) => controller.facts.on_asked(copy.clone(), Change::Start),
-                Action::Stop(copy) => controller.facts.on_asked(copy.clone(), Change::Stop),
-                Action::Reboot(vm) => controller.facts.on_reboot_asked(now, vm),
+                Action::Wave { .. } => controller.planner.set_wave_writing(true),
+                Action::Start(copy) => {
+                    controller.facts.on_change_requested(copy.clone(), Change::Start)
+                }
+                Action::Stop(copy) => {
+                    controller.facts.on_change_requested(copy.clone(), Change::Stop)
+                }
+                Action::Reboot(vm) => controller.facts.on_reboot_requested(now, vm),
                 _ => {}
             }
         }
-        controller.queue.extend(round.actions.iter().cloned());
-        Some(round)
+        controller.queue.extend(decision.actions.iter().cloned());
+        Some(decision)
     }
 
-    /// Carries out what a controller decided, however long ago.
+    /// Carries out the queued actions of a controller, however old they are.
     pub fn carry_out(&mut self, c: usize) {
         for action in std::mem::take(&mut self.controllers[c].queue) {
             self.carry_out_one(c, action);
@@ -305,7 +312,7 @@
             Action::Wave { expect, wave, .. } => {
                 let value = serde_json::to_string(&wave).unwrap();
                 let _ = self.store.put(key::WAVE, value, expect);
-                self.controllers[c].planner.on_wave(false);
+                self.controllers[c].planner.set_wave_writing(false);
             }
             call => self.call(c, &call),
         }
@@ -314,7 +321,7 @@
     fn call(&mut self, c: usize, call: &Action) {
         let now = self.time();
         if let Action::Start(copy) | Action::Stop(copy) = call {
-            self.controllers[c].facts.on_ended(now, copy);
+            self.controllers[c].facts.on_change_finished(now, copy);
         }
         if c != self.holder {
             return;
@@ -327,11 +334,11 @@
                 self.tasks.insert(copy.clone(), task);
             }
             Action::Stop(copy) => {
-                self.assert_clear(|other| other == copy, "stopped");
+                self.assert_nothing_in_flight(|other| other == copy, "stopped");
                 self.tasks.remove(copy);
             }
             Action::Reboot(vm) => {
-                self.assert_clear(|other| other.0 == *vm, "rebooted");
+                self.assert_nothing_in_flight(|other| other.0 == *vm, "rebooted");
                 self.vms.insert(vm.clone(), VmState::Rebooting);
                 self.reboots.push(vm.clone());
             }
@@ -339,15 +346,19 @@
         }
     }
 
-    fn assert_clear(&self, there: impl Fn(&Copy) -> bool, what: &str) {
+    fn assert_nothing_in_flight(&self, there: impl Fn(&Copy) -> bool, what: &str) {
         for proxy in &self.proxies {
             let cut = proxy.in_flight.iter().find(|copy| there(copy));
-            assert!(cut.is_none(), "{cut:?} was {what} with work of {} in flight", proxy.me.name);
+            assert!(
+                cut.is_none(),
+                "{cut:?} was {what} while {} had a request in flight",
+                proxy.member.name
+            );
         }
     }
 
-    /// The VMs that were down are back.
-    pub fn boot(&mut self) {
+    /// Completes all reboots.
+    pub fn complete_reboots(&mut self) {
         for state in self.vms.values_mut() {
             if *state == VmState::Rebooting {
                 *state = VmState::Live;
@@ -355,7 +366,8 @@
         }
     }
 
-    /// Proxies learn everything, finish their work and tell all controllers.
+    /// Updates all proxies, completes their requests, and delivers their
+    /// reports to all controllers.
     pub fn settle_proxies(&mut self) {
         for p in 0..self.proxies.len() {
             self.proxies[p].sync(&self.store);
@@ -366,7 +378,7 @@
         }
     }
 
-    /// One round of everything for a controller, two seconds later.
+    /// Advances time by two seconds and runs all parts once for a controller.
     pub fn round(&mut self, c: usize) {
         self.now += 2_000;
         self.read(c);
@@ -375,8 +387,8 @@
         self.carry_out(c);
     }
 
-    /// Rounds of `c` until `done`; the VMs that reboot come back between them.
-    pub fn until(&mut self, c: usize, what: &str, done: impl Fn(&Self) -> bool) {
+    /// Runs rounds of `c` until `done`, completing reboots in between.
+    pub fn run_until(&mut self, c: usize, what: &str, done: impl Fn(&Self) -> bool) {
         for _ in 0..60 {
             self.round(c);
             if done(self) {
@@ -385,16 +397,16 @@
             self.read(c);
             self.decide(c);
             self.carry_out(c);
-            self.boot();
+            self.complete_reboots();
         }
-        panic!("not {what}: {:?}", self.store.entries);
+        panic!("not {what} after 60 rounds: {:?}", self.store.entries);
     }
 
     pub fn running(&self, service: &str) -> usize {
         self.tasks.keys().filter(|copy| copy.1.as_str() == service).count()
     }
 
-    /// No proxy has work of one pool in flight on a VM that is another's.
+    /// Asserts that no proxy has work of one pool in flight on a VM of another.
     pub fn assert_pools(&self) {
         let pool = |service: &str| if service == "dossier" { "archive" } else { "registry" };
         for proxy in &self.proxies {
--- a/crates/controller/tests/support/proxy.rs
+++ b/crates/controller/tests/support/proxy.rs
@@ -1,9 +1,10 @@
-//! A proxy: it sends work by what it knows, and confirms drains.
+//! A simulated proxy: it sends work according to the records that it has read,
+//! and confirms drains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use corianderfork_controller::facts::Copy;
-use corianderfork_controller::message::message;
+use corianderfork_controller::message::encode_member;
 use corianderfork_model::Name;
 use corianderfork_provider::key;
 use corianderfork_provider::record::{Member, Phase, Vm};
@@ -11,18 +12,18 @@
 
 use super::store::Store;
 
-/// A proxy: what it knows, and its work in flight.
+/// A proxy with the records it has read and its requests in flight.
 pub struct Proxy {
-    pub me: Member,
-    known: BTreeMap<Name, Vm>,
+    pub member: Member,
+    vms: BTreeMap<Name, Vm>,
     revision: u64,
     pub in_flight: BTreeSet<Copy>,
 }
 
 impl Proxy {
-    /// One that knows nothing yet.
-    pub fn new(me: Member) -> Self {
-        Self { me, known: BTreeMap::new(), revision: 0, in_flight: BTreeSet::new() }
+    /// Creates a proxy that has not read any records.
+    pub fn new(member: Member) -> Self {
+        Self { member, vms: BTreeMap::new(), revision: 0, in_flight: BTreeSet::new() }
     }
 
     /// Reads all records.
@@ -31,36 +32,37 @@
         let vms = store.entries.iter().filter_map(|(key, (_, value))| {
             Some((Name::new(key.strip_prefix(key::VMS)?).ok()?, serde_json::from_str(value).ok()?))
         });
-        self.known = vms.collect();
+        self.vms = vms.collect();
     }
 
-    /// Sends a request to `copy`, if it knows that to serve.
+    /// Sends a request to `copy` if the proxy's records show it serving.
     pub fn send_to(&mut self, copy: &Copy) {
-        let vm = self.known.get(&copy.0).filter(|vm| vm.phase == Phase::Serving);
+        let vm = self.vms.get(&copy.0).filter(|vm| vm.phase == Phase::Serving);
         if vm.is_some_and(|vm| vm.runners.iter().any(|runner| runner.service == copy.1)) {
             self.in_flight.insert(copy.clone());
         }
     }
 
-    /// Sends a request to some runner, by what it knows.
-    pub fn send(&mut self, pick: usize) {
-        let serving = self.known.iter().filter(|(_, vm)| vm.phase == Phase::Serving);
+    /// Sends a request to one of the runners in the proxy's records, chosen by
+    /// `index`.
+    pub fn send(&mut self, index: usize) {
+        let serving = self.vms.iter().filter(|(_, vm)| vm.phase == Phase::Serving);
         let copies: Vec<Copy> = serving
             .flat_map(|(name, vm)| vm.runners.iter().map(|r| (name.clone(), r.service.clone())))
             .collect();
-        if let Some(copy) = copies.get(pick % copies.len().max(1)) {
+        if let Some(copy) = copies.get(index % copies.len().max(1)) {
             self.in_flight.insert(copy.clone());
         }
     }
 
-    /// What it tells its peers.
+    /// Returns the report that the proxy sends to its peers.
     pub fn report(&self) -> peer::Report {
-        let draining = self.known.iter().filter(|(_, vm)| vm.phase == Phase::Draining);
+        let draining = self.vms.iter().filter(|(_, vm)| vm.phase == Phase::Draining);
         let clear =
             draining.filter(|(name, _)| !self.in_flight.iter().any(|copy| copy.0 == **name));
         let acks = clear.map(|(name, vm)| peer::Ack { vm: name.to_string(), epoch: vm.epoch });
-        let me = Some(message(&self.me));
-        let own = peer::Seen { member: me.clone(), acks: acks.collect(), ..Default::default() };
+        let member = Some(encode_member(&self.member));
+        let own = peer::Seen { member: member.clone(), acks: acks.collect(), ..Default::default() };
         let load = |copy: &Copy| peer::Load {
             vm: copy.0.to_string(),
             service: copy.1.to_string(),
@@ -68,7 +70,7 @@
             waiting: 0,
         };
         peer::Report {
-            from: me,
+            from: member,
             store_revision: self.revision,
             seen: vec![own],
             loads: self.in_flight.iter().map(load).collect(),
--- a/crates/controller/tests/waves.rs
+++ b/crates/controller/tests/waves.rs
@@ -1,115 +1,114 @@
-//! Waves that go wrong, and what operators are told.
+//! Waves that go wrong, and the explanations for operators.
 
 mod support;
 
 use corianderfork_controller::Settings;
-use corianderfork_controller::message::message;
+use corianderfork_controller::message::encode_member;
 use corianderfork_controller::plan::wave;
 use corianderfork_model::Time;
 use corianderfork_policy::directive::{Directive, Pace};
 use corianderfork_policy::{Note, State, state};
 use corianderfork_provider::record::{Phase, Role, Wave};
 use corianderfork_wire::peer;
-use support::{FLEET, World, name};
+use support::{FLEET, Simulation, name};
 
-fn serving() -> World {
-    let mut world = World::new(1, 2);
-    world.until(0, "serving", |w| {
-        ["transfer", "rally", "dossier"].iter().all(|service| w.running(service) > 0)
-            && (1..=5).any(|i| !w.store.vm(&format!("v{i}")).runners.is_empty())
+fn running_fleet() -> Simulation {
+    let mut sim = Simulation::new(1, 2);
+    sim.run_until(0, "serving", |sim| {
+        ["transfer", "rally", "dossier"].iter().all(|service| sim.running(service) > 0)
+            && (1..=5).any(|i| !sim.store.vm(&format!("v{i}")).runners.is_empty())
     });
-    world
+    sim
 }
 
-/// Every proxy suspects all copies of `vm`.
-fn suspect(world: &mut World, vm: &str) {
-    for proxy in &world.proxies {
+/// Reports from every proxy that it suspects all copies of `vm`.
+fn suspect(sim: &mut Simulation, vm: &str) {
+    for proxy in &sim.proxies {
         let services = ["transfer", "rally", "dossier"];
         let suspect =
             |service: &&str| peer::Suspect { vm: vm.to_owned(), service: (*service).to_owned() };
         let report = peer::Report {
-            from: Some(message(&proxy.me)),
+            from: Some(encode_member(&proxy.member)),
             store_revision: u64::MAX,
             suspects: services.iter().map(suspect).collect(),
             ..peer::Report::default()
         };
-        let now = Time::from_millis(world.now);
-        world.controllers[0].directory.on_report(now, Some(now), &report);
+        let now = Time::from_millis(sim.now);
+        sim.controllers[0].directory.on_report(now, Some(now), &report);
     }
 }
 
-// Symptom: callers get nothing but failures from a copy that runs.
-// Sequence: a copy fails all that it is given; the platform shows it running.
-// Cause: only the platform's word counted for whether a copy is able to serve.
+// Guards against callers that get only errors from a running copy. A copy fails
+// every request while the platform shows it running; the platform's state alone
+// must not decide whether it can serve.
 #[test]
 fn suspected_copy_is_replaced() {
-    let mut world = serving();
-    let copy = world.tasks.keys().find(|copy| copy.1.as_str() == "dossier").cloned();
+    let mut sim = running_fleet();
+    let copy = sim.tasks.keys().find(|copy| copy.1.as_str() == "dossier").cloned();
     let copy = copy.expect("a copy runs");
     for _ in 0..12 {
-        world.now += 2_000;
-        world.read(0);
+        sim.now += 2_000;
+        sim.read(0);
         for p in 0..2 {
-            world.sync(p);
-            world.gossip(p, 0);
+            sim.sync(p);
+            sim.gossip(p, 0);
         }
-        suspect(&mut world, copy.0.as_str());
-        world.decide(0);
-        world.carry_out(0);
+        suspect(&mut sim, copy.0.as_str());
+        sim.decide(0);
+        sim.carry_out(0);
     }
-    let others = world.tasks.keys().filter(|other| other.1 == copy.1 && other.0 != copy.0).count();
-    assert!(others > 0, "another copy runs elsewhere: {:?}", world.tasks.keys());
+    let others = sim.tasks.keys().filter(|other| other.1 == copy.1 && other.0 != copy.0).count();
+    assert!(others > 0, "no other copy runs: {:?}", sim.tasks.keys());
 }
 
 #[test]
-fn explain_tells_the_rule_and_those_passed() {
-    let mut world = serving();
-    world.apply(&FLEET.replace(
+fn explain_names_deciding_and_passed_rules() {
+    let mut sim = running_fleet();
+    sim.apply_config(&FLEET.replace(
         "[rule.otherwise]",
         "[rule.never]\nwhen = store_down\nthen = hold\n\n[rule.otherwise]",
     ));
-    world.now += 500;
-    world.read(0);
-    let explain = world.decide(0).expect("there is a configuration").explain;
+    sim.now += 500;
+    sim.read(0);
+    let explain = sim.decide(0).expect("there is a configuration").explain;
     assert_eq!(explain.rule, "otherwise");
     assert!(explain.passed[0].starts_with("never"), "{:?}", explain.passed);
 }
 
-// Symptom: a VM in a pool that nobody knows is left without a word.
-// Sequence: operators take a pool out of the configuration, in two steps, while
-// a VM's record still names it.
-// Cause: the VM was taken for one at home, silently.
+// Guards against a VM in an unknown pool that is ignored silently. Operators
+// remove a pool from the configuration while a VM's record still names it; the
+// VM must not be treated as if it were at home.
 #[test]
 fn explain_names_vms_in_unknown_pools() {
-    let mut world = serving();
-    let mut vm = world.store.vm("v1");
+    let mut sim = running_fleet();
+    let mut vm = sim.store.vm("v1");
     vm.pool = name("gone");
     let value = serde_json::to_string(&vm).expect("a record is JSON");
     let key = corianderfork_provider::key::vm(&name("v1"));
-    let _ = world.store.put(&key, value, corianderfork_provider::store::Expect::Anything);
-    world.now += 500;
-    world.read(0);
-    let explain = world.decide(0).expect("there is a configuration").explain;
+    let _ = sim.store.put(&key, value, corianderfork_provider::store::Expect::Anything);
+    sim.now += 500;
+    sim.read(0);
+    let explain = sim.decide(0).expect("there is a configuration").explain;
     assert!(explain.problems.iter().any(|line| line.contains("pool gone")), "{explain:?}");
 }
 
-// Symptom: a wave takes down VM after VM with a kernel that does not work.
-// Sequence: two VMs come back failing; the controller dies; an operator looks at
-// them and says to go on.
-// Cause: that the wave had halted, and that it may go on, was in memory alone.
+// Guards against a wave that continues over VMs with a faulty update. Two VMs
+// come back failing, the controller dies, and an operator inspects them and
+// resumes the wave. The halt and the resumption must not be kept in memory
+// alone.
 #[test]
-fn wave_halts_on_failing_vms_until_an_operator_clears_it() {
-    let fleet = corianderfork_config::parse(FLEET).expect("no mistakes").fleet;
-    let mut world = World::new(0, 0);
-    world.order_wave(&["v1", "v2", "v3"], 2);
-    let (began, back) = (Time::from_millis(world.now), Time::from_millis(world.now + 5));
+fn wave_halts_on_failing_vms_until_resumed() {
+    let fleet = corianderfork_config::parse(FLEET).expect("a valid configuration").fleet;
+    let mut sim = Simulation::new(0, 0);
+    sim.order_wave(&["v1", "v2", "v3"], 2);
+    let (began, back) = (Time::from_millis(sim.now), Time::from_millis(sim.now + 5));
     let mut state = State::new(&fleet, began);
     for vm in ["v1", "v2"] {
-        let row = state.vm_mut(fleet.find_vm(vm).expect("it is there"));
-        (row.phase, row.maintained) = (state::Phase::Out, Some(back));
+        let vm = state.vm_mut(fleet.find_vm(vm).expect("a VM of the fleet"));
+        (vm.phase, vm.maintained) = (state::Phase::Out, Some(back));
     }
     let notes = [Note::Halted { failing: 2, back: 2 }];
-    let halted = wave::advance(&world.store.wave(), &fleet, &state, &notes);
+    let halted = wave::advance(&sim.store.wave(), &fleet, &state, &notes);
     assert_eq!((&halted.failed, &halted.todo), (&vec![name("v1"), name("v2")], &vec![name("v3")]));
     assert!(halted.halted.as_ref().is_some_and(|why| why.contains("2 of 2")));
     let mut directive = Directive::default();
@@ -120,20 +119,20 @@
     wave::apply(&cleared, &fleet, &mut state, &mut directive);
     assert_eq!(directive.pace, Pace::AtMost(2));
     let resumed = state.wave.as_ref().and_then(|order| order.resumed);
-    assert!(resumed > Some(back), "those failures no longer halt it");
+    assert!(resumed > Some(back), "failures seen by an operator still halt the wave");
 }
 
 #[test]
 fn wave_of_unknown_vm_ends_as_failed() {
-    let mut world = serving();
-    world.order_wave(&["nowhere"], 1);
-    world.until(0, "ended", |w| w.store.wave().failed == [name("nowhere")]);
-    assert!(world.reboots.is_empty());
-    assert_eq!(world.store.vm("v1").phase, Phase::Serving);
+    let mut sim = running_fleet();
+    sim.order_wave(&["nowhere"], 1);
+    sim.run_until(0, "ended", |sim| sim.store.wave().failed == [name("nowhere")]);
+    assert!(sim.reboots.is_empty());
+    assert_eq!(sim.store.vm("v1").phase, Phase::Serving);
 }
 
 #[test]
-fn settings_unknown_key_names_the_nearest() {
+fn settings_unknown_key_suggests_nearest() {
     let text = "[process]\nname = e1\ndata_centre = kolkata\nplatform = 127.0.0.1:1\n\
                 peers = 127.0.0.1:0\n[controller]\nadmin = 127.0.0.1:0\ndecide_m = 5\n";
     let error = Settings::parse(text).expect_err("an unknown key").to_string();
