--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -234,7 +234,7 @@
     pub fn queues(&self, config: &Config) -> HashMap<String, Queue> {
         let mut queues = config.queues();
         if self.settings.advice.is_none() {
-            queues.values_mut().for_each(|queue| queue.advised = None);
+            queues.values_mut().for_each(|queue| queue.advice = None);
         }
         queues
     }
@@ -268,7 +268,7 @@
     }
 
     /// The workers of a pool.
-    pub fn workers_of(&self, pool: &str) -> Vec<corianderfork_jobs::worker::Entry> {
+    pub fn workers_of(&self, pool: &str) -> Vec<corianderfork_jobs::worker::Registration> {
         let servers = self.servers.borrow();
         servers.values().filter(|s| s.pool == pool).map(|s| s.entry.clone()).collect()
     }
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -88,10 +88,10 @@
         // This process has no other owner of the pool.
         predecessors.end(now, &node.process());
         node.granted.borrow_mut().remove(name);
-        let config = Config::new(fence, now + may_grant + worker::longest(lease))
+        let config = Config::new(fence, now + may_grant + worker::max_lease_duration(lease))
             .lease(lease)
             .remember(remember)
-            .remote(node.settings.remote);
+            .remote_factor(node.settings.remote);
         let owner = Rc::new(Self {
             node: node.clone(),
             name: name.to_owned(),
@@ -138,7 +138,7 @@
                 .trace
                 .line("duty left", json!({ "duty": self.name, "fence": self.fence(), "why": why }));
             let at = clock::now();
-            if let Some(left_ms) = self.pool.borrow().grants(at) {
+            if let Some(left_ms) = self.pool.borrow().granted_leases(at) {
                 let granted = Granted { fence: self.fence(), at, left_ms };
                 self.node.granted.borrow_mut().insert(self.name.clone(), granted);
             }
@@ -182,7 +182,9 @@
             Ask::Queued { .. } | Ask::Vacate { .. } | Ask::Shrink { .. } if !self.is_sure() => {
                 Reply::NotOwner
             }
-            Ask::Queued { queue, .. } => Reply::Queued { jobs: self.pool.borrow().queued(&queue) },
+            Ask::Queued { queue, .. } => {
+                Reply::Queued { jobs: self.pool.borrow().queued_jobs(&queue) }
+            }
             Ask::Vacate { workers, .. } => {
                 let now = clock::now();
                 let mut pool = self.pool.borrow_mut();
@@ -196,7 +198,7 @@
                     self.node.expects_until.set(clock::now() + EXPECTED);
                 }
                 let pool = self.pool.borrow();
-                let counted = arrived.into_iter().filter(|id| pool.counts(id)).collect();
+                let counted = arrived.into_iter().filter(|id| pool.is_counted(id)).collect();
                 Reply::Load { load: pool.load(clock::now()), counted }
             }
             Ask::Shrink { keep, .. } => {
@@ -206,7 +208,7 @@
             }
             Ask::Gone { workers, .. } => {
                 for worker in &workers {
-                    self.pool.borrow_mut().gone(clock::now(), worker);
+                    self.pool.borrow_mut().remove_gone_worker(clock::now(), worker);
                 }
                 self.wake.notify_one();
                 Reply::Done
--- a/crates/entry/src/owner/advise.rs
+++ b/crates/entry/src/owner/advise.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use corianderfork_adapter::advice as wire;
-use corianderfork_jobs::pool::{Advice, Question};
+use corianderfork_jobs::pool::{Advice, Query};
 use corianderfork_jobs::task::Name;
 use serde_json::json;
 use tokio::task::spawn_local;
@@ -38,7 +38,7 @@
             return;
         }
         let free = self.free_advisers();
-        let questions = self.pool.borrow_mut().questions(clock::now(), free.len());
+        let questions = self.pool.borrow_mut().advice_queries(clock::now(), free.len());
         for (question, adviser) in questions.into_iter().zip(free) {
             self.advising.borrow_mut().insert(adviser);
             spawn_local(self.clone().advise(question, adviser));
@@ -56,7 +56,7 @@
         all.filter(|adviser| !busy.contains(adviser) && !silent.contains_key(adviser)).collect()
     }
 
-    async fn advise(self: Rc<Self>, question: Question, adviser: Adviser) {
+    async fn advise(self: Rc<Self>, question: Query, adviser: Adviser) {
         let begun = clock::now();
         let workers: Vec<String> = question.workers.iter().map(|(_, id)| id.clone()).collect();
         let within = self.within(workers.len());
@@ -74,7 +74,7 @@
                     "through": adviser, "took_ms": ms(clock::now() - begun) }),
             );
         }
-        self.pool.borrow_mut().advised(clock::now(), &question, &advice);
+        self.pool.borrow_mut().handle_advice(clock::now(), &question, &advice);
         self.wake.notify_one();
     }
 
@@ -82,7 +82,7 @@
         let terms = self.node.config.borrow().as_ref().and_then(|config| config.advised());
         let terms = terms.unwrap_or_default();
         let workers = u32::try_from(workers).unwrap_or(u32::MAX);
-        let each = terms.question + terms.worker.saturating_mul(workers);
+        let each = terms.per_query + terms.per_worker.saturating_mul(workers);
         each.saturating_mul(1 + BEFORE) + SLACK
     }
 
@@ -102,7 +102,7 @@
         };
         match peer::ask(&self.node.peers, peer, &ask, within + SLACK).await {
             Ok(Reply::Advised { good: Some(good), valid_ms }) => {
-                Advice::Told { good, valid: Duration::from_millis(valid_ms) }
+                Advice::Received { allowed: good, ttl: Duration::from_millis(valid_ms) }
             }
             _ => Advice::Lost,
         }
@@ -130,7 +130,7 @@
         let Ok(job) = job.parse() else { return Reply::Unknown };
         let task = Name { job, occurrence, step, index: 0 };
         match self.advise(task, workers, within).await {
-            Advice::Told { good, valid } => {
+            Advice::Received { allowed: good, ttl: valid } => {
                 Reply::Advised { good: Some(good), valid_ms: ms(valid) }
             }
             Advice::Lost => Reply::Advised { good: None, valid_ms: 0 },
--- a/crates/entry/src/owner/load.rs
+++ b/crates/entry/src/owner/load.rs
@@ -7,7 +7,7 @@
 use corianderfork_adapter::store::Item;
 use corianderfork_jobs::JobId;
 use corianderfork_jobs::record::{Progress, Record};
-use corianderfork_jobs::worker::Seat;
+use corianderfork_jobs::worker::Location;
 use serde_json::json;
 
 use super::{Owner, ROSTERS, WRITES, ms};
@@ -46,7 +46,7 @@
         }
     }
 
-    async fn read(&self) -> Result<(Vec<Seat>, Vec<Item>, Vec<Item>), Error> {
+    async fn read(&self) -> Result<(Vec<Location>, Vec<Item>, Vec<Item>), Error> {
         let store = &self.node.store;
         let roster = store.get(&format!("{ROSTERS}{}", self.name)).await?;
         let seats = roster.and_then(|item| serde_json::from_slice(&item.value).ok());
@@ -59,7 +59,7 @@
         Ok((seats.unwrap_or_default(), jobs, runs))
     }
 
-    fn take_in(&self, roster: Vec<Seat>, jobs: &[Item], runs: &[Item]) {
+    fn take_in(&self, roster: Vec<Location>, jobs: &[Item], runs: &[Item]) {
         let now = clock::now();
         let mut progress: BTreeMap<String, Progress> = BTreeMap::new();
         for item in runs {
@@ -140,7 +140,7 @@
                     learner.accept_item(&event.key, &value, None, event.revision);
                 }
             }
-            News::Upto(at) => learner.pool.borrow_mut().jobs_known(at),
+            News::Upto(at) => learner.pool.borrow_mut().set_jobs_known_until(at),
         };
         let prefix = format!("{JOBS}{}/", self.name);
         follow(self.node.clone(), prefix, || JOBS_TOGETHER, move || !wanted.retired.get(), learn)
--- a/crates/entry/src/owner/predecessors.rs
+++ b/crates/entry/src/owner/predecessors.rs
@@ -61,7 +61,7 @@
         let mut predecessors = self.predecessors.borrow_mut();
         predecessors.observe(clock::now(), &self.node.table.borrow());
         let Some(limit) = predecessors.limit() else { return false };
-        self.pool.borrow_mut().limit_inherited(limit.until, &limit.by_worker);
+        self.pool.borrow_mut().limit_inherited_leases(limit.until, &limit.by_worker);
         self.wake.notify_one();
         true
     }
--- a/crates/entry/src/owner/work.rs
+++ b/crates/entry/src/owner/work.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use corianderfork_adapter::worker as wire;
-use corianderfork_jobs::pool::{Answer, Look, Order};
+use corianderfork_jobs::pool::{Answer, Order, Poll};
 use corianderfork_jobs::worker;
 use corianderfork_model::Time;
 use serde_json::json;
@@ -71,12 +71,12 @@
     }
 
     fn log_notes(&self) {
-        let notes = self.pool.borrow_mut().notes();
+        let notes = self.pool.borrow_mut().take_notes();
         for note in notes {
-            self.node.metrics.event(note.what);
+            self.node.metrics.event(note.event);
             let task = note.task.map(wire::task);
             self.node.trace.line(
-                note.what,
+                note.event,
                 json!({ "task": task, "worker": note.worker, "why": note.why, "fence": self.fence() }),
             );
         }
@@ -99,15 +99,15 @@
                 continue;
             }
             let sent = clock::now();
-            let Some(look) = self.pool.borrow_mut().next_look(sent, key) else { break };
+            let Some(look) = self.pool.borrow_mut().next_poll(sent, key) else { break };
             let answer = self.look(&look).await;
             if self.retired.get() || self.halted.get() {
                 break;
             }
-            self.pool.borrow_mut().looked(clock::now(), sent, key, &answer);
+            self.pool.borrow_mut().handle_poll_answer(clock::now(), sent, key, &answer);
             self.wake.notify_one();
             match &answer {
-                Answer::Done(report) if report.ended.is_empty() => {
+                Answer::Done(report) if report.exits.is_empty() => {
                     // A worker that answers at once though asked to wait must
                     // not be asked without a pause.
                     if clock::now() - sent < AFTER_ENDS {
@@ -115,7 +115,7 @@
                     }
                 }
                 Answer::Done(report) => {
-                    let last = report.ended.iter().map(|ended| ended.number).max();
+                    let last = report.exits.iter().map(|ended| ended.number).max();
                     let is_new = last > newest;
                     newest = newest.max(last);
                     let all = u32::try_from(self.looking.borrow().len()).unwrap_or(u32::MAX);
@@ -128,7 +128,7 @@
         self.looking.borrow_mut().remove(&key);
     }
 
-    async fn look(&self, look: &Look) -> Answer<corianderfork_jobs::pool::Report> {
+    async fn look(&self, look: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
         let call = wire::look(look);
         let begun = clock::now();
         let within = if look.deadline_ms.is_some() { ANSWER } else { FIRST_ANSWER };
@@ -156,7 +156,7 @@
                     "answer": format!("{answer:?}"), "took_ms": ms(clock::now() - begun) }),
             );
         }
-        self.pool.borrow_mut().ordered(clock::now(), &order, &answer);
+        self.pool.borrow_mut().handle_order_answer(clock::now(), &order, &answer);
         self.wake.notify_one();
     }
 
--- a/crates/entry/src/owner/write.rs
+++ b/crates/entry/src/owner/write.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_adapter::store::{Item, MAX_ROWS, Outcome, Txn};
 use corianderfork_jobs::Batch;
-use corianderfork_jobs::worker::Seat;
+use corianderfork_jobs::worker::Location;
 use serde_json::json;
 use tokio::time::timeout;
 
@@ -37,8 +37,8 @@
         let ahead = if self.flushing.get() { FLUSH_AHEAD } else { Duration::ZERO };
         let now = clock::now() + ahead;
         let most = MAX_ROWS - FIXED_ROWS;
-        let batch = self.pool.borrow_mut().batch(now, clock::wall_ms(), most);
-        let roster = self.pool.borrow().roster();
+        let batch = self.pool.borrow_mut().next_batch(now, clock::wall_ms(), most);
+        let roster = self.pool.borrow().roster_update();
         if batch.is_empty() && roster.is_none() {
             return false;
         }
@@ -50,9 +50,9 @@
         let is_written = self.commit(&txn, &token).await;
         if is_written {
             self.log_ends(&batch, clock::now() - begun);
-            self.pool.borrow_mut().written(&batch);
+            self.pool.borrow_mut().confirm_batch(&batch);
             if let Some(seats) = roster {
-                self.pool.borrow_mut().roster_written(seats);
+                self.pool.borrow_mut().confirm_roster(seats);
             }
             self.tell_waiting();
             self.wake.notify_one();
@@ -64,7 +64,7 @@
     /// that found no such job is held against it. A line a write, and one write goes
     /// out at a time: it is told also where a busy owner's other lines are too many.
     fn log_ends(&self, batch: &Batch, took: Duration) {
-        let ended = batch.rows.iter().filter(|row| row.progress.state.is_final());
+        let ended = batch.updates.iter().filter(|row| row.progress.state.is_final());
         let jobs: Vec<String> = ended.map(|row| row.id.to_string()).collect();
         if !jobs.is_empty() {
             self.node.trace.key(
@@ -75,7 +75,7 @@
         }
     }
 
-    fn txn(&self, batch: &Batch, roster: Option<&Vec<Seat>>, token: &str) -> Txn {
+    fn txn(&self, batch: &Batch, roster: Option<&Vec<Location>>, token: &str) -> Txn {
         let write_key = format!("{WRITES}{}", self.name);
         let mut txn = Txn::default();
         txn.expect.push((format!("{DUTIES}{}", self.name), self.fence()));
@@ -88,7 +88,7 @@
             let value = serde_json::to_vec(seats).unwrap_or_default();
             txn.set.push((format!("{ROSTERS}{}", self.name), value, 0));
         }
-        for row in &batch.rows {
+        for row in &batch.updates {
             let id = row.id.to_string();
             let value = serde_json::to_vec(&row.progress).unwrap_or_default();
             txn.set.push((run_key(&self.name, &id), value, 0));
@@ -96,7 +96,7 @@
                 txn.remove.push(job_key(&self.name, &id));
             }
         }
-        txn.remove.extend(batch.forget.iter().map(|id| run_key(&self.name, &id.to_string())));
+        txn.remove.extend(batch.deletions.iter().map(|id| run_key(&self.name, &id.to_string())));
         txn
     }
 
--- a/crates/entry/src/planner/size.rs
+++ b/crates/entry/src/planner/size.rs
@@ -7,7 +7,7 @@
 use corianderfork_adapter::fleet::{self, Answer, State, Vm};
 use corianderfork_jobs::job::Room;
 use corianderfork_jobs::pool::Load;
-use corianderfork_jobs::size::{Size, Want, share};
+use corianderfork_jobs::size::{Request, Sizer, allocate};
 use corianderfork_model::Time;
 use serde_json::json;
 use tokio::task::{JoinHandle, spawn_local};
@@ -26,7 +26,7 @@
 /// What is known of a pool's size.
 #[derive(Default)]
 pub(super) struct Pool {
-    size: Size,
+    size: Sizer,
     /// Whether it was last asked to shrink.
     is_shrunk: bool,
     /// What was decided last.
@@ -41,7 +41,7 @@
     pool: String,
     load: Load,
     stock: Stock,
-    want: Want,
+    want: Request,
     /// Whether the owner told; else this is what it told last.
     is_told: bool,
 }
@@ -60,12 +60,12 @@
         let mut free = self.spare_vms(vms, &spares);
         let mut asked = self.ask_loads(&pools, &each).await;
         asked.extend(self.recalled(&pools, &asked, vms));
-        let wants: Vec<Want> = asked.iter().map(|asked| asked.want).collect();
+        let wants: Vec<Request> = asked.iter().map(|asked| asked.want).collect();
         let total = there(vms);
-        self.is_scarce = wants.iter().map(|want| want.now).sum::<u32>() > total;
+        self.is_scarce = wants.iter().map(|want| want.current).sum::<u32>() > total;
         let mut needs = Vec::new();
         let mut keeps = Vec::new();
-        for (asked, target) in asked.iter().zip(share(&wants, total)) {
+        for (asked, target) in asked.iter().zip(allocate(&wants, total)) {
             let target = target as usize;
             self.log_size(asked, target, clock::now() - listed_at);
             let missing = asked.stock.missing(target);
@@ -132,7 +132,7 @@
             self.coming.counted(pool, &counted);
             let stock = Stock::new(&load, self.coming.number(pool));
             let known = self.sizes.entry(pool.clone()).or_default();
-            let want = known.size.want(clock::now(), &load, each);
+            let want = known.size.request(clock::now(), &load, each);
             asked.push(Asked { pool: pool.clone(), load, stock, want, is_told: true });
         }
         asked
@@ -149,7 +149,7 @@
         let now = clock::now();
         let is_silent = |pool: &&String| !asked.iter().any(|asked| asked.pool == **pool);
         let recall = |pool: &String| {
-            let want = self.sizes.get(pool)?.size.recall(now)?;
+            let want = self.sizes.get(pool)?.size.last_request(now)?;
             let is_there =
                 |vm: &&Vm| vm.pool == *pool && vm.state == State::Up && !self.coming.has(&vm.name);
             let there = vms.values().filter(is_there).count();
@@ -166,7 +166,7 @@
             let (load, want) = (asked.load, asked.want);
             self.node.trace.line(
                 "pool sized",
-                json!({ "pool": asked.pool, "target": target, "now": want.now, "held": want.held,
+                json!({ "pool": asked.pool, "target": target, "now": want.current, "held": want.peak,
                     "workers": load.workers, "surplus": load.surplus, "coming": asked.stock.coming, "rooted": load.rooted, "unfit": load.unfit, "refused": load.refused,
                     "used": load.used, "waiting": load.waiting, "lasting": load.lasting,
                     "needed": load.needed, "noise": load.noise,
--- a/crates/entry/src/predecessor.rs
+++ b/crates/entry/src/predecessor.rs
@@ -61,7 +61,7 @@
     /// assert_eq!(tracker.limit().unwrap().until, Time::from_millis(5_120));
     /// ```
     pub fn new(now: Time, formers: Vec<Former>, is_complete: bool, lease: Duration) -> Self {
-        let lease = worker::longest(lease);
+        let lease = worker::max_lease_duration(lease);
         let grants = |former: &Former| {
             if former.name.is_empty() { Grants::Until(now + lease) } else { Grants::Open }
         };
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -47,7 +47,8 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<u32>,
     /// Whether the tasks save their progress as they run.
-    pub saves: bool,
+    #[serde(rename = "saves")]
+    pub checkpoints: bool,
     /// Whether the tasks work only all together.
     pub gang: bool,
     /// Whether a gang is slow across racks.
@@ -56,14 +57,16 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
     /// The rack that holds the data.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub near: Option<String>,
+    #[serde(rename = "near", skip_serializing_if = "Option::is_none")]
+    pub preferred_rack: Option<String>,
     /// At most so many of the tasks on one worker; 0 for any number.
-    pub most_together: u32,
+    #[serde(rename = "most_together")]
+    pub max_per_worker: u32,
     /// Whether two copies of a task may run at the same time.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
-    pub lasts: bool,
+    #[serde(rename = "lasts")]
+    pub long_running: bool,
     /// What the tasks run, where tasks of other jobs run the same.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
@@ -71,11 +74,12 @@
     /// milliseconds; 0 for none.
     pub target_ms: u64,
     /// Whether the tasks use processors that others leave idle, uncounted.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub backfill: bool,
     /// How many lasting tasks may be away at once by orders of the owner; none
     /// if nothing is promised.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub may_miss: Option<u32>,
+    #[serde(rename = "may_miss", skip_serializing_if = "Option::is_none")]
+    pub max_unavailable: Option<u32>,
 }
 
 /// Room on a worker, had or needed.
@@ -172,8 +176,8 @@
     }
 
     /// Whether it runs until it is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|step| step.lasts)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 
     /// The longest chain of estimates, in milliseconds.
@@ -207,7 +211,7 @@
 
     /// What a task takes of a worker's room: one that fills takes no processor.
     pub fn room(&self) -> Room {
-        if self.fills { Room { cpu: 0, ..self.needs } } else { self.needs }
+        if self.backfill { Room { cpu: 0, ..self.needs } } else { self.needs }
     }
 }
 
--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -29,12 +29,12 @@
 use corianderfork_model::Time;
 use slotmap::SlotMap;
 
-pub use advice::{Advice, Question};
+pub use advice::{Advice, Query};
 pub use explain::{Explained, Part};
-pub use journal::{Batch, Row};
+pub use journal::{Batch, Update};
 pub use load::Load;
-pub use look::{Look, Report};
-pub use order::{Answer, Order, What};
+pub use look::{Poll, Report};
+pub use order::{Action, Answer, Order};
 
 use crate::estimate::Estimate;
 use crate::feature::Feature;
@@ -68,7 +68,7 @@
     /// Until when grants of a predecessor may hold that can't be asked.
     pub(crate) inherited_until: Time,
     /// How many times as long a task takes away from the rack of its data.
-    pub(crate) remote: f64,
+    pub(crate) remote_factor: f64,
 }
 
 impl Config {
@@ -80,15 +80,15 @@
             lease: Duration::from_secs(4),
             remember: Duration::from_secs(125),
             inherited_until,
-            remote: 1.0,
+            remote_factor: 1.0,
         }
     }
 
     /// Sets how many times as long a task takes away from the rack of its data.
     /// The more, the longer a task waits for a worker there.
     #[must_use]
-    pub fn remote(mut self, times: f64) -> Self {
-        self.remote = times.clamp(1.0, 100.0);
+    pub fn remote_factor(mut self, times: f64) -> Self {
+        self.remote_factor = times.clamp(1.0, 100.0);
         self
     }
 
@@ -129,7 +129,7 @@
     deposed: bool,
     /// When this owner first planned.
     begun: Option<Time>,
-    roster_written: BTreeSet<worker::Seat>,
+    roster_written: BTreeSet<worker::Location>,
     notes: Vec<Note>,
     over: Over,
     /// What tasks wait for that not every worker has, as of the last plan.
@@ -144,7 +144,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
     /// What was decided or learned.
-    pub what: &'static str,
+    pub event: &'static str,
     /// The job or task, if it is about one.
     pub task: Option<task::Name>,
     /// The worker, if it is about one.
@@ -214,25 +214,25 @@
     }
 
     /// How many jobs of `queue` have no started task.
-    pub fn queued(&self, queue: &str) -> usize {
+    pub fn queued_jobs(&self, queue: &str) -> usize {
         let is_queued = |entry: &&Entry| entry.queue == queue && entry.state == State::Queued;
         self.jobs.values().filter(is_queued).count()
     }
 
     /// What happened since the last call, for the log.
-    pub fn notes(&mut self) -> Vec<Note> {
+    pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
     fn note(
         &mut self,
-        what: &'static str,
+        event: &'static str,
         task: Option<task::Name>,
         worker: Option<worker::Key>,
         why: String,
     ) {
         let worker = worker.and_then(|key| self.workers.get(key)).map(|worker| worker.id.clone());
-        self.notes.push(Note { what, task, worker, why });
+        self.notes.push(Note { event, task, worker, why });
     }
 
     fn entry(&self, id: JobId) -> Option<&Entry> {
--- a/crates/jobs/src/pool/advice.rs
+++ b/crates/jobs/src/pool/advice.rs
@@ -31,7 +31,7 @@
 
 /// A question to the service that decides which workers may run a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct Query {
     /// A task of the step.
     pub task: task::Name,
     /// The workers that it asks about.
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Advice {
     /// The lives of the workers that may run the step, each with its ticket.
-    Told {
+    Received {
         /// Ids and tickets.
-        good: Vec<(String, String)>,
+        allowed: Vec<(String, String)>,
         /// How long the tickets hold.
-        valid: Duration,
+        ttl: Duration,
     },
     /// No answer, or too many ask.
     Lost,
@@ -103,8 +103,8 @@
 impl Pool {
     /// Questions that are to be asked now, at most `most`, first things first.
     /// Each is answered by [`Pool::advised`].
-    pub fn questions(&mut self, now: Time, most: usize) -> Vec<Question> {
-        if most == 0 || !self.queues.values().any(|queue| queue.advised.is_some()) {
+    pub fn advice_queries(&mut self, now: Time, most: usize) -> Vec<Query> {
+        if most == 0 || !self.queues.values().any(|queue| queue.advice.is_some()) {
             return Vec::new();
         }
         let mut turns = self.turns(now);
@@ -146,7 +146,7 @@
         turns
     }
 
-    fn question(&mut self, now: Time, turn: Turn) -> Option<Question> {
+    fn question(&mut self, now: Time, turn: Turn) -> Option<Query> {
         let workers = self.worth_asking(now, turn)?;
         let entry = self.jobs.get_mut(turn.job)?;
         let task = name(entry.id, turn.occurrence, turn.step, 0);
@@ -157,7 +157,7 @@
         self.note("advice asked", Some(task), None, why);
         let id = |key: worker::Key| Some((key, self.workers.get(key)?.id.clone()));
         let workers = workers.into_iter().filter_map(id).collect();
-        Some(Question { task, workers })
+        Some(Query { task, workers })
     }
 
     /// The workers about which a question is of use now.
@@ -166,7 +166,7 @@
     /// plan uses it. A gang needs several, so that one is not enough.
     fn worth_asking(&self, now: Time, turn: Turn) -> Option<Vec<worker::Key>> {
         let entry = self.jobs.get(turn.job)?;
-        self.queue(&entry.queue).advised?;
+        self.queue(&entry.queue).advice?;
         let step = entry.steps.get(turn.step)?;
         let known = &entry.occurrences.get(&turn.occurrence)?.steps.get(turn.step)?.advice;
         if known.is_asking {
@@ -196,30 +196,30 @@
     }
 
     /// Takes in the answer to a question.
-    pub fn advised(&mut self, now: Time, question: &Question, advice: &Advice) {
+    pub fn handle_advice(&mut self, now: Time, question: &Query, advice: &Advice) {
         let Some(known) =
             self.entry_mut(question.task.job).and_then(|entry| entry.advice_mut(question.task))
         else {
             return;
         };
         known.is_asking = false;
-        let Advice::Told { good, valid } = advice else { return };
+        let Advice::Received { allowed, ttl } = advice else { return };
         for (key, id) in &question.workers {
             known.asked.insert(*key);
-            let ticket = good.iter().find(|(good, _)| good == id);
+            let ticket = allowed.iter().find(|(allowed, _)| allowed == id);
             if let Some((_, text)) = ticket {
-                let ticket = Ticket { text: Rc::from(text.as_str()), until: now + *valid };
+                let ticket = Ticket { text: Rc::from(text.as_str()), until: now + *ttl };
                 known.tickets.insert(*key, ticket);
             }
         }
-        let why = format!("{} of {} workers may", good.len(), question.workers.len());
+        let why = format!("{} of {} workers may", allowed.len(), question.workers.len());
         self.note("advice told", Some(question.task), None, why);
     }
 
     /// Whether a worker may be given a task, as far as advice goes.
     pub(super) fn is_advised(&self, now: Time, task: task::Name, key: worker::Key) -> bool {
         let Some(entry) = self.entry(task.job) else { return false };
-        let is_free = self.queues.get(&entry.queue).is_none_or(|queue| queue.advised.is_none());
+        let is_free = self.queues.get(&entry.queue).is_none_or(|queue| queue.advice.is_none());
         is_free || entry.advice(task).is_some_and(|known| known.holds(now, key))
     }
 
--- a/crates/jobs/src/pool/choose.rs
+++ b/crates/jobs/src/pool/choose.rs
@@ -38,7 +38,8 @@
         rack: Option<&str>,
     ) -> Option<worker::Key> {
         let room = step.room();
-        let near = step.near.as_deref().filter(|rack| self.waits_for(now, name, step, rack));
+        let near =
+            step.preferred_rack.as_deref().filter(|rack| self.waits_for(now, name, step, rack));
         let takes_stranded = self.takes_stranded(now, step);
         let is_fit = |worker: &Worker| {
             (worker.is_usable(now) || (takes_stranded && worker.is_stranded(now)))
@@ -46,7 +47,7 @@
                 && !worker.hosted.contains_key(&name)
                 && step.label.as_ref().is_none_or(|label| worker.has_label(label))
                 && rack.or(near).is_none_or(|rack| worker.rack == rack)
-                && (step.most_together == 0 || worker.to_be_together(name) < step.most_together)
+                && (step.max_per_worker == 0 || worker.to_be_together(name) < step.max_per_worker)
         };
         let fit = self.workers.iter().filter(|(_, worker)| is_fit(worker));
         let fit = fit.filter(|(key, _)| self.is_advised(now, name, *key));
@@ -84,8 +85,8 @@
         let state = row.and_then(|row| row.steps.get(name.step as usize));
         let since = state.and_then(|state| state.stuck).unwrap_or(now);
         let takes = Duration::from_millis(self.predict(&entry.queue, step));
-        let saved = takes.mul_f64(self.config.remote - 1.0);
-        now - since < saved.min(PATIENCE) && !step.lasts
+        let saved = takes.mul_f64(self.config.remote_factor - 1.0);
+        now - since < saved.min(PATIENCE) && !step.long_running
     }
 
     /// Whether a step may go to workers that are to be maintained and could not
@@ -93,7 +94,7 @@
     /// wait as long as the maintenance does, for which there may be no moment.
     /// What lasts would put that off for good.
     pub(super) fn takes_stranded(&self, now: Time, step: &Step) -> bool {
-        let Some(feature) = Feature::of(step).filter(|_| !step.lasts) else { return false };
+        let Some(feature) = Feature::of(step).filter(|_| !step.long_running) else { return false };
         let has = |worker: &&Worker| feature.is_had(&worker.labels, &worker.room);
         !self.workers.values().filter(has).any(|worker| worker.is_usable(now))
     }
@@ -104,12 +105,12 @@
     /// empty and can leave the pool. Lasting tasks of one step go to two workers
     /// at least where there are two: the loss of one must not take them all.
     fn score(&self, worker: &Worker, name: task::Name, step: &Step) -> (bool, bool, bool, i64) {
-        let is_near = step.near.as_ref().is_some_and(|rack| worker.rack == *rack);
-        let is_spread = !step.lasts || worker.to_be_together(name) < step.count.div_ceil(2);
+        let is_near = step.preferred_rack.as_ref().is_some_and(|rack| worker.rack == *rack);
+        let is_spread = !step.long_running || worker.to_be_together(name) < step.count.div_ceil(2);
         let free = worker.room.cpu.saturating_sub(worker.used.cpu);
         let mut score = -i64::try_from(free).unwrap_or(i64::MAX);
         score -= i64::from(worker.failures) * FAILURE_COST;
-        if step.fills {
+        if step.backfill {
             score -= i64::from(self.serving_on(worker)) * NEIGHBOUR_COST;
         } else if self.is_rooted(worker) {
             // It stays in the pool whatever comes.
--- a/crates/jobs/src/pool/ends.rs
+++ b/crates/jobs/src/pool/ends.rs
@@ -8,10 +8,10 @@
 use super::Pool;
 use super::table::At;
 use crate::record::State;
-use crate::task::{self, Ended, How};
+use crate::task::{self, Exit, Outcome};
 use crate::worker::{self, Pending, Stray};
 
-/// How long an end of an unknown job is kept at least, see [`Pool::is_ignorant`]
+/// How long an end of an unknown job is kept at least, see [`Pool::may_lack_jobs`]
 /// for how long besides. Ends are seldom of jobs that aren't known, and one that is
 /// listed a few seconds longer costs nothing.
 const ORPHAN: Duration = Duration::from_secs(4);
@@ -23,7 +23,7 @@
 /// The pause before a failed task is started anew.
 const RETRY: Duration = Duration::from_millis(50);
 impl Pool {
-    pub(super) fn take_end_once(&mut self, now: Time, key: worker::Key, ended: &Ended) {
+    pub(super) fn take_end_once(&mut self, now: Time, key: worker::Key, ended: &Exit) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if ended.number <= worker.taken {
             return;
@@ -34,7 +34,7 @@
     }
 
     /// Takes in that a run ended.
-    pub(super) fn take_end(&mut self, now: Time, key: worker::Key, ended: &Ended) {
+    pub(super) fn take_end(&mut self, now: Time, key: worker::Key, ended: &Exit) {
         let name = ended.task;
         if self.entry(name.job).is_none() {
             let Some(worker) = self.workers.get_mut(key) else { return };
@@ -49,9 +49,9 @@
         }
         self.remove_crash(name, ended.run);
         let began = self.clear_place(now, key, ended);
-        match ended.how {
-            How::Done => self.task_done(now, key, ended, began),
-            How::Failed => self.task_failed(now, key, ended, began.is_some()),
+        match ended.outcome {
+            Outcome::Done => self.task_done(now, key, ended, began),
+            Outcome::Failed => self.task_failed(now, key, ended, began.is_some()),
             _ if began.is_some() => self.keep_saved(now, key, ended),
             _ => {}
         }
@@ -59,7 +59,7 @@
 
     /// Frees the task if this was its current run, and tells since when that ran;
     /// keeps its progress.
-    fn clear_place(&mut self, now: Time, key: worker::Key, ended: &Ended) -> Option<Time> {
+    fn clear_place(&mut self, now: Time, key: worker::Key, ended: &Exit) -> Option<Time> {
         let entry = self.entry_mut(ended.task.job)?;
         let task = entry.task_mut(ended.task)?;
         if !ended.saved.is_empty() {
@@ -70,7 +70,7 @@
             return None;
         }
         let since = place.since;
-        let why = format!("{:?} after {} ms", ended.how, worker::millis(now - place.since));
+        let why = format!("{:?} after {} ms", ended.outcome, worker::millis(now - place.since));
         entry.put(ended.task, At::Waiting);
         if let Some(task) = entry.task_mut(ended.task) {
             task.not_before = now;
@@ -81,7 +81,7 @@
 
     /// Has what a run saved written before its worker may forget it: the task goes on
     /// from there, and until it runs again nobody else has it.
-    fn keep_saved(&mut self, now: Time, key: worker::Key, ended: &Ended) {
+    fn keep_saved(&mut self, now: Time, key: worker::Key, ended: &Exit) {
         let job = ended.task.job;
         let is_open = self.entry(job).is_some_and(|entry| !entry.state.is_final());
         if is_open && !ended.saved.is_empty() {
@@ -102,13 +102,13 @@
         }
     }
 
-    fn task_done(&mut self, now: Time, key: worker::Key, ended: &Ended, began: Option<Time>) {
+    fn task_done(&mut self, now: Time, key: worker::Key, ended: &Exit, began: Option<Time>) {
         let name = ended.task;
         if let Some(worker) = self.workers.get_mut(key) {
             worker.failures = 0;
         }
         let Some(entry) = self.entry_mut(name.job) else { return };
-        if entry.lasts {
+        if entry.long_running {
             return;
         }
         if entry.state.is_final() {
@@ -147,11 +147,11 @@
         self.note("task done elsewhere", Some(name), Some(key), format!("run {run} is stopped"));
     }
 
-    fn task_failed(&mut self, now: Time, key: worker::Key, ended: &Ended, was_current: bool) {
+    fn task_failed(&mut self, now: Time, key: worker::Key, ended: &Exit, was_current: bool) {
         let name = ended.task;
         self.blame(now, key, name);
         let Some(entry) = self.entry_mut(name.job) else { return };
-        if entry.lasts {
+        if entry.long_running {
             if was_current {
                 self.requeue(name, now + RETRY);
             }
@@ -183,7 +183,7 @@
     ///
     /// Until then a successor finds the job under way and nothing of this end. Were
     /// the worker let forget it, the successor would start a task again that is done.
-    fn await_written(&mut self, key: worker::Key, ended: &Ended) {
+    fn await_written(&mut self, key: worker::Key, ended: &Exit) {
         let job = ended.task.job;
         let Some(entry) = self.entry(job) else { return };
         if entry.written < entry.version {
@@ -248,10 +248,10 @@
             Pending::Unknown { .. } => true,
         };
         let first_open = worker.pending.iter().find(|(_, p)| is_open(p)).map(|(n, _)| *n);
-        let seen = first_open.map_or(worker.taken, |number| number - 1);
+        let acked = first_open.map_or(worker.taken, |number| number - 1);
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.seen = worker.seen.max(seen);
-            worker.pending.retain(|number, _| *number > seen);
+            worker.acked = worker.acked.max(acked);
+            worker.pending.retain(|number, _| *number > acked);
         }
     }
 }
--- a/crates/jobs/src/pool/evacuate.rs
+++ b/crates/jobs/src/pool/evacuate.rs
@@ -128,7 +128,7 @@
     fn movable(&self, worker: &Worker) -> Vec<task::Name> {
         let is_movable = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
-            step.is_some_and(|step| step.lasts && Feature::of(step).is_none())
+            step.is_some_and(|step| step.long_running && Feature::of(step).is_none())
         };
         worker.hosted.keys().copied().filter(is_movable).collect()
     }
@@ -137,7 +137,11 @@
         let Some(entry) = self.entry(name.job) else { return };
         let (Some(step), Some(place)) = (entry.step(name), entry.place(name)) else { return };
         let is_running = matches!(place.phase, Phase::Running { .. });
-        if place.worker != key || !is_running || !step.lasts || !self.may_stop(entry, name, step) {
+        if place.worker != key
+            || !is_running
+            || !step.long_running
+            || !self.may_stop(entry, name, step)
+        {
             return;
         }
         let place = self.choose(now, name, step, None);
@@ -161,7 +165,7 @@
     /// keep the worker, and the one that was stopped had no place at all.
     fn may_be_away(&self, now: Time, key: worker::Key, name: task::Name, step: &Step) -> bool {
         let Some(worker) = self.workers.get(key) else { return false };
-        let most = step.may_miss.unwrap_or(u32::MAX);
+        let most = step.max_unavailable.unwrap_or(u32::MAX);
         worker.is_stranded(now) && worker.together(name) <= most
     }
 
@@ -171,7 +175,7 @@
     /// answer. What was last heard of it would have it at work for as long as
     /// the worker's lease, and one task more than may be would be stopped.
     fn may_stop(&self, entry: &Entry, name: task::Name, step: &Step) -> bool {
-        let Some(may_miss) = step.may_miss else { return true };
+        let Some(may_miss) = step.max_unavailable else { return true };
         let is_at_work = |place: &Place| {
             matches!(place.phase, Phase::Running { .. })
                 && place.percent == AT_WORK
@@ -190,10 +194,10 @@
 
 fn is_stalled(now: Time, step: &Step, place: &Place) -> bool {
     let Phase::Running { .. } = place.phase else { return false };
-    if step.gang || step.fills {
+    if step.gang || step.backfill {
         return false;
     }
-    if step.lasts {
+    if step.long_running {
         return place.percent < AT_WORK && now - place.since > STARTUP && now - place.moved > STALL;
     }
     now - place.moved > STALL + Duration::from_millis(step.estimate_ms / 40)
--- a/crates/jobs/src/pool/explain.rs
+++ b/crates/jobs/src/pool/explain.rs
@@ -133,7 +133,7 @@
                 self.why_kept(task, &fit)
             );
         }
-        match &step.near {
+        match &step.preferred_rack {
             Some(rack) => format!("waits for room in rack {rack}, where its data is"),
             None => format!(
                 "{with_room} workers have room; it goes with the next plan, or its last run failed or was refused a moment ago"
--- a/crates/jobs/src/pool/jobs.rs
+++ b/crates/jobs/src/pool/jobs.rs
@@ -36,7 +36,7 @@
         let chain = chain_ms(&record.job.steps, |_, step| self.predict(&record.queue, step));
         entry.accepted = Time::from_millis(now.as_millis().saturating_sub(worker::millis(age)));
         let chain = Duration::from_millis(chain).mul_f64(queue.stretch.clamp(0.0, 100.0));
-        entry.allowed = chain + queue.aim;
+        entry.allowed = chain + queue.slack;
         entry.begun_at = now;
         if entry.schedule.is_none() {
             entry.begin_due(now, 0);
@@ -45,7 +45,7 @@
             entry.restore(progress);
         }
         let is_final = entry.state.is_final();
-        if !entry.lasts && entry.schedule.is_none() {
+        if !entry.long_running && entry.schedule.is_none() {
             let work = self.work(&record.queue, &record.job.steps);
             self.flow.note(entry.accepted, work);
         }
@@ -88,18 +88,18 @@
     ///
     /// let mut pool = Pool::new(Config::new(7, Time::ZERO));
     /// let asked = Time::from_millis(2_000);
-    /// pool.jobs_known(asked);
+    /// pool.set_jobs_known_until(asked);
     /// // An answer that was overtaken changes nothing.
-    /// pool.jobs_known(Time::from_millis(1_000));
-    /// assert!(!pool.is_ignorant(asked));
-    /// assert!(pool.is_ignorant(asked + Duration::from_millis(1)));
+    /// pool.set_jobs_known_until(Time::from_millis(1_000));
+    /// assert!(!pool.may_lack_jobs(asked));
+    /// assert!(pool.may_lack_jobs(asked + Duration::from_millis(1)));
     /// ```
-    pub fn jobs_known(&mut self, at: Time) {
+    pub fn set_jobs_known_until(&mut self, at: Time) {
         self.known = self.known.max(at);
     }
 
     /// Whether a job that was accepted before `at` may not have been told yet.
-    pub fn is_ignorant(&self, at: Time) -> bool {
+    pub fn may_lack_jobs(&self, at: Time) -> bool {
         self.known < at
     }
 
@@ -202,7 +202,7 @@
             let (mine, others) =
                 std::mem::take(&mut worker.orphans).into_iter().partition(|e| e.task.job == id);
             worker.orphans = others;
-            let mine: Vec<task::Ended> = mine;
+            let mine: Vec<task::Exit> = mine;
             for ended in mine {
                 self.take_end(now, key, &ended);
             }
--- a/crates/jobs/src/pool/journal.rs
+++ b/crates/jobs/src/pool/journal.rs
@@ -17,7 +17,7 @@
 
 /// A job's row of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct Update {
     /// The job.
     pub id: JobId,
     /// How far it is.
@@ -29,22 +29,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     /// How far jobs are. The record of one that ended goes in the same write.
-    pub rows: Vec<Row>,
+    pub updates: Vec<Update>,
     /// Jobs to be forgotten.
-    pub forget: Vec<JobId>,
+    pub deletions: Vec<JobId>,
 }
 
 impl Batch {
     /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty() && self.forget.is_empty()
+        self.updates.is_empty() && self.deletions.is_empty()
     }
 }
 
 impl Pool {
     /// What is to be written now, at most `most` keys. `wall_ms` is the time of
     /// day, kept with ends.
-    pub fn batch(&mut self, now: Time, wall_ms: u64, most: usize) -> Batch {
+    pub fn next_batch(&mut self, now: Time, wall_ms: u64, most: usize) -> Batch {
         let mut batch = Batch::default();
         let mut keys = 0;
         let due: Vec<JobId> =
@@ -64,7 +64,7 @@
             if keys > most {
                 break;
             }
-            batch.rows.push(Row { id, progress: entry.progress(), version: entry.version });
+            batch.updates.push(Update { id, progress: entry.progress(), version: entry.version });
         }
         batch
     }
@@ -78,19 +78,19 @@
         let remember = self.config.remember;
         let is_old = |ended: Option<Time>| ended.is_some_and(|at| now - at > remember);
         let old = self.jobs.values().filter(|e| is_old(e.ended) && e.written == e.version);
-        batch.forget = old.map(|entry| entry.id).take(most / 2).collect();
+        batch.deletions = old.map(|entry| entry.id).take(most / 2).collect();
         // A write for one or two is not worth its price.
-        if batch.forget.len() < most / 4 {
-            batch.forget.clear();
+        if batch.deletions.len() < most / 4 {
+            batch.deletions.clear();
         }
     }
 
     /// Takes in that a batch was written.
-    pub fn written(&mut self, batch: &Batch) {
-        for row in &batch.rows {
+    pub fn confirm_batch(&mut self, batch: &Batch) {
+        for row in &batch.updates {
             self.row_written(row);
         }
-        for id in &batch.forget {
+        for id in &batch.deletions {
             if let Some(key) = self.by_job.remove(id) {
                 self.jobs.remove(key);
             }
@@ -101,7 +101,7 @@
         }
     }
 
-    fn row_written(&mut self, row: &Row) {
+    fn row_written(&mut self, row: &Update) {
         let Some(entry) = self.entry_mut(row.id) else { return };
         entry.written = entry.written.max(row.version);
         if entry.written == entry.version {
--- a/crates/jobs/src/pool/load.rs
+++ b/crates/jobs/src/pool/load.rs
@@ -74,7 +74,7 @@
             let (barred, refused) = self.barred(now, entry);
             load.unfit += entry.unfit(now) + barred;
             load.refused += refused;
-            if entry.lasts {
+            if entry.long_running {
                 load.lasting.add(&entry.room_left());
                 continue;
             }
@@ -111,7 +111,7 @@
     }
 
     /// Whether a worker is among those that [`Pool::load`] counts.
-    pub fn counts(&self, id: &str) -> bool {
+    pub fn is_counted(&self, id: &str) -> bool {
         self.worker(id).is_some_and(|(_, worker)| worker.is_able())
     }
 
@@ -125,7 +125,7 @@
         let steps = entry.occurrences.values().flat_map(|row| entry.steps.iter().zip(&row.steps));
         for (step, state) in steps {
             let is_stuck = state.stuck.is_some_and(|since| now - since > evacuate::BLOCKED);
-            if entry.lasts || state.waiting == 0 || !is_stuck {
+            if entry.long_running || state.waiting == 0 || !is_stuck {
                 continue;
             }
             let could =
@@ -147,7 +147,7 @@
     pub(super) fn lasting_on(&self, worker: &Worker) -> Room {
         let is_lasting = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
-            step.is_some_and(|step| step.lasts)
+            step.is_some_and(|step| step.long_running)
         };
         let mut room = Room::default();
         let hosted = worker.hosted.iter().filter(|(name, _)| is_lasting(name));
@@ -160,7 +160,7 @@
     pub(crate) fn is_rooted(&self, worker: &Worker) -> bool {
         let is_lasting = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
-            step.is_some_and(|step| step.lasts)
+            step.is_some_and(|step| step.long_running)
         };
         !worker.kept.is_empty() || worker.hosted.keys().any(is_lasting)
     }
--- a/crates/jobs/src/pool/look.rs
+++ b/crates/jobs/src/pool/look.rs
@@ -8,7 +8,7 @@
 use super::Pool;
 use super::order::Answer;
 
-use crate::task::{Ended, Running};
+use crate::task::{Exit, Run};
 use crate::worker::{self, Worker};
 
 /// How long a look waits for an end: it brings ends as they come, and a silent
@@ -17,7 +17,7 @@
 
 /// What to ask a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct Poll {
     /// The worker.
     pub worker: worker::Key,
     /// One life of it.
@@ -30,7 +30,7 @@
     /// that as it is.
     pub deadline_ms: Option<u64>,
     /// The last end that it may forget.
-    pub seen: u64,
+    pub acked: u64,
     /// How long it waits for an end before it answers.
     pub wait: Duration,
 }
@@ -41,9 +41,9 @@
     /// Its clock.
     pub clock_ms: u64,
     /// What runs there.
-    pub running: Vec<Running>,
+    pub running: Vec<Run>,
     /// What ended there and was not yet forgotten.
-    pub ended: Vec<Ended>,
+    pub exits: Vec<Exit>,
 }
 
 impl Pool {
@@ -51,25 +51,31 @@
     ///
     /// A worker that doesn't answer is granted nothing more: each grant that is
     /// sent to it puts off the moment at which its tasks may start elsewhere.
-    pub fn next_look(&mut self, now: Time, key: worker::Key) -> Option<Look> {
+    pub fn next_poll(&mut self, now: Time, key: worker::Key) -> Option<Poll> {
         let lease = self.config.lease;
         let worker = self.workers.get_mut(key)?;
         let is_known = worker.fenced && worker.unanswered < 2;
         let deadline_ms = if is_known { worker.grant(now, lease) } else { None };
         let wait = if is_known && worker.answers() { WAIT } else { Duration::ZERO };
-        Some(Look {
+        Some(Poll {
             worker: key,
             id: worker.id.clone(),
             address: worker.address,
             fence: self.config.fence,
             deadline_ms,
-            seen: worker.seen,
+            acked: worker.acked,
             wait,
         })
     }
 
     /// Takes in the answer to a look that was sent at `sent`.
-    pub fn looked(&mut self, now: Time, sent: Time, key: worker::Key, answer: &Answer<Report>) {
+    pub fn handle_poll_answer(
+        &mut self,
+        now: Time,
+        sent: Time,
+        key: worker::Key,
+        answer: &Answer<Report>,
+    ) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.tried = true;
         match answer {
@@ -110,10 +116,10 @@
             worker.fenced = true;
             // From here on the worker refuses predecessors: what they granted ends
             // within one lease, however long they go on elsewhere.
-            let until = now + worker::longest(self.config.lease);
+            let until = now + worker::max_lease_duration(self.config.lease);
             worker.inherited_until = worker.inherited_until.min(until);
         }
-        for ended in &report.ended {
+        for ended in &report.exits {
             self.take_end_once(now, key, ended);
         }
         for running in &report.running {
--- a/crates/jobs/src/pool/order.rs
+++ b/crates/jobs/src/pool/order.rs
@@ -35,12 +35,12 @@
     /// The number of the start.
     pub run: u64,
     /// What to do with it.
-    pub what: What,
+    pub action: Action,
 }
 
 /// What an order asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Action {
     /// Start the task, under a lease until `deadline_ms` on the worker's clock.
     Start {
         /// What to run.
@@ -85,7 +85,7 @@
 
 impl Pool {
     /// Takes in the answer to an order.
-    pub fn ordered(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
+    pub fn handle_order_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
         match answer {
             Answer::Fenced => return self.depose(order.worker),
             Answer::Gone => {
@@ -98,10 +98,10 @@
             }
             _ => {}
         }
-        match order.what {
-            What::Start { .. } => self.started(now, order, answer),
-            What::Stop => self.stopped(now, order, answer),
-            What::Pace(percent) => self.paced(order, percent, answer),
+        match order.action {
+            Action::Start { .. } => self.started(now, order, answer),
+            Action::Stop => self.stopped(now, order, answer),
+            Action::Pace(percent) => self.paced(order, percent, answer),
         }
     }
 
@@ -186,7 +186,7 @@
         key: worker::Key,
         task: task::Name,
         run: u64,
-        what: What,
+        action: Action,
     ) -> Option<Order> {
         let worker = self.workers.get(key)?;
         let fence = self.config.fence;
@@ -197,7 +197,7 @@
             fence,
             task,
             run,
-            what,
+            action,
         })
     }
 
@@ -224,7 +224,7 @@
                     {
                         *again = now + AGAIN;
                     }
-                    orders.extend(self.order(key, name, run, What::Stop));
+                    orders.extend(self.order(key, name, run, Action::Stop));
                 }
                 _ => {}
             }
@@ -246,13 +246,13 @@
         let (key, run) = (place.worker, place.run);
         let lease = self.config.lease;
         let Some(worker) = self.workers.get_mut(key) else { return };
-        // A worker that doesn't answer gets nothing more; see `next_look`.
+        // A worker that doesn't answer gets nothing more; see `next_poll`.
         if worker.unanswered >= 2 {
             return;
         }
         let Some(deadline_ms) = worker.grant(now, lease) else { return };
         let ticket = self.ticket(name, key);
-        let what = What::Start { spec, deadline_ms, saved, ticket };
-        orders.extend(self.order(key, name, run, what));
+        let action = Action::Start { spec, deadline_ms, saved, ticket };
+        orders.extend(self.order(key, name, run, action));
     }
 }
--- a/crates/jobs/src/pool/over.rs
+++ b/crates/jobs/src/pool/over.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_model::Time;
 
-use crate::worker::Entry;
+use crate::worker::Registration;
 
 /// Lives that are remembered.
 const MOST: usize = 512;
@@ -48,7 +48,7 @@
     }
 
     /// Whether an entry is of a life that is over, as far as that is known.
-    pub fn holds(&mut self, now: Time, entry: &Entry) -> bool {
+    pub fn holds(&mut self, now: Time, entry: &Registration) -> bool {
         let Some(at) = self.lives.iter().position(|life| life.id == entry.id) else {
             return false;
         };
--- a/crates/jobs/src/pool/pace.rs
+++ b/crates/jobs/src/pool/pace.rs
@@ -5,7 +5,7 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::order::{Order, What};
+use super::order::{Action, Order};
 use super::table::Phase;
 use crate::task;
 use crate::worker;
@@ -44,7 +44,7 @@
             if !matches!(place.phase, Phase::Running { .. }) || place.worker != key {
                 continue;
             }
-            if step.fills {
+            if step.backfill {
                 fills.push((*name, place.run, place.pace, place.pace_asked));
             } else if let Some(share) = (place.gauge * 100).checked_div(step.target_ms) {
                 worst = worst.max(Some(share));
@@ -96,7 +96,7 @@
         if let Some(place) = self.entry_mut(name.job).and_then(|entry| entry.place_mut(name)) {
             place.pace_asked = now;
         }
-        orders.extend(self.order(key, name, run, What::Pace(pace)));
+        orders.extend(self.order(key, name, run, Action::Pace(pace)));
         self.note("task paced", Some(name), Some(key), format!("to {pace}%"));
     }
 }
--- a/crates/jobs/src/pool/place.rs
+++ b/crates/jobs/src/pool/place.rs
@@ -6,7 +6,7 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::order::{Order, What};
+use super::order::{Action, Order};
 use super::table::{At, Phase, Place, StepState, name};
 use super::turns::Turn;
 use crate::feature::Feature;
@@ -74,7 +74,7 @@
             }
         }
         for (key, name, run) in due {
-            orders.extend(self.order(key, name, run, What::Stop));
+            orders.extend(self.order(key, name, run, Action::Stop));
             self.note("stray stopped", Some(name), Some(key), format!("run {run} is nobody's"));
         }
     }
@@ -204,8 +204,8 @@
         entry.put(name, At::On(Place::new(key, run, now, phase)));
         self.track_suspect(now, name, key, run);
         let ticket = self.ticket(name, key);
-        let what = What::Start { spec, deadline_ms, saved, ticket };
-        orders.extend(self.order(key, name, run, what));
+        let action = Action::Start { spec, deadline_ms, saved, ticket };
+        orders.extend(self.order(key, name, run, action));
         self.note("task ordered", Some(name), Some(key), why);
     }
 }
--- a/crates/jobs/src/pool/reserve.rs
+++ b/crates/jobs/src/pool/reserve.rs
@@ -135,7 +135,7 @@
         let is_recovering = self.is_recovering(now);
         let is_meant = |entry: &&Entry| {
             let is_clear = !is_recovering || entry.revision > self.config.fence;
-            entry.lasts && !entry.state.is_final() && is_clear
+            entry.long_running && !entry.state.is_final() && is_clear
         };
         let mut found = Vec::new();
         for entry in self.jobs.values().filter(is_meant) {
@@ -175,7 +175,7 @@
             && could(worker, step)
             && !worker.hosted.contains_key(&name)
             && !is_bad.is_some_and(|known| known.is_bad(key))
-            && (step.most_together == 0 || worker.to_be_together(name) < step.most_together)
+            && (step.max_per_worker == 0 || worker.to_be_together(name) < step.max_per_worker)
     }
 
     /// In how many milliseconds a worker is predicted to have room for a task; none
@@ -215,7 +215,7 @@
         let so_far = now - place.since;
         // One that takes longer than predicted is taken to go on for as long again.
         let left = takes.abs_diff(so_far);
-        (!step.lasts).then(|| worker::millis(left))
+        (!step.long_running).then(|| worker::millis(left))
     }
 }
 
@@ -223,7 +223,7 @@
     fn without_room(&self, now: Time, found: &mut Vec<(Time, task::Name)>) {
         for (occurrence, row) in &self.occurrences {
             let ready = self.steps.iter().zip(&row.steps).enumerate();
-            let ready = ready.filter(|(_, (step, _))| step.lasts && !step.gang);
+            let ready = ready.filter(|(_, (step, _))| step.long_running && !step.gang);
             for (index, (_, state)) in ready.filter(|(_, (step, _))| row.is_ready(step)) {
                 let since = without_since(now, self.begun_at, state);
                 found.extend(since.map(|(i, since)| (since, name(self.id, *occurrence, index, i))));
--- a/crates/jobs/src/pool/runs.rs
+++ b/crates/jobs/src/pool/runs.rs
@@ -8,11 +8,11 @@
 use super::look::Report;
 use super::table::{At, Entry, Phase, Place};
 use crate::record::State;
-use crate::task::{self, Running};
+use crate::task::{self, Run};
 use crate::worker::{self, Hosted, Stray};
 
 impl Pool {
-    pub(super) fn take_running(&mut self, now: Time, key: worker::Key, running: &Running) {
+    pub(super) fn take_running(&mut self, now: Time, key: worker::Key, running: &Run) {
         let name = running.task;
         let Some(entry) = self.entry_mut(name.job) else {
             return self.take_stray(now, key, running);
@@ -42,7 +42,7 @@
     }
 
     /// Takes over a run that a predecessor started.
-    fn adopt(&mut self, now: Time, key: worker::Key, running: &Running) {
+    fn adopt(&mut self, now: Time, key: worker::Key, running: &Run) {
         let name = running.task;
         self.remove_crash(name, running.run);
         let Some(entry) = self.entry_mut(name.job) else { return };
@@ -61,7 +61,7 @@
 
     /// A run that nobody asked for: its job is over, or not known yet. It takes
     /// room all the same.
-    fn take_stray(&mut self, now: Time, key: worker::Key, running: &Running) {
+    fn take_stray(&mut self, now: Time, key: worker::Key, running: &Run) {
         let step = self.entry(running.task.job).and_then(|entry| entry.step(running.task));
         let known = step.map(super::super::job::Step::room);
         let room = known.unwrap_or_default();
@@ -162,7 +162,7 @@
         }
     }
 
-    fn listed(&mut self, now: Time, running: &Running) {
+    fn listed(&mut self, now: Time, running: &Run) {
         if let Phase::Starting { .. } = self.phase {
             self.phase = Phase::Running { confirmed: now };
         }
--- a/crates/jobs/src/pool/shrink.rs
+++ b/crates/jobs/src/pool/shrink.rs
@@ -134,7 +134,7 @@
 /// workers aren't let go, and where it fills them they would not be taken for ones that
 /// can run it.
 fn is_open(step: &Step, state: &StepState) -> bool {
-    if step.lasts { state.waiting > 0 } else { state.left > 0 }
+    if step.long_running { state.waiting > 0 } else { state.left > 0 }
 }
 
 /// Whether some workers may not run a step, as far as can be told at once.
--- a/crates/jobs/src/pool/table.rs
+++ b/crates/jobs/src/pool/table.rs
@@ -30,7 +30,7 @@
     pub steps: Rc<[Step]>,
     pub schedule: Option<crate::job::Schedule>,
     pub times: u32,
-    pub lasts: bool,
+    pub long_running: bool,
     pub state: State,
     /// The store's revision at which it was accepted.
     pub revision: u64,
@@ -207,7 +207,7 @@
 
     /// Lasting tasks that have waited for longer than it takes to place one.
     pub fn unfit(&self, now: Time) -> u32 {
-        if !self.lasts {
+        if !self.long_running {
             return 0;
         }
         let is_unfit = |task: &&Task| {
@@ -286,7 +286,7 @@
         steps: Rc::from(job.steps.clone()),
         schedule: job.schedule,
         times: job.occurrences(),
-        lasts: job.lasts(),
+        long_running: job.is_long_running(),
         state: State::Queued,
         revision,
         accepted: Time::ZERO,
--- a/crates/jobs/src/pool/turns.rs
+++ b/crates/jobs/src/pool/turns.rs
@@ -63,7 +63,7 @@
     }
 
     fn urgency(&self, now: Time, entry: &Entry, row: &Occurrence) -> Urgency {
-        if entry.lasts {
+        if entry.long_running {
             return Urgency::Critical;
         }
         let left = chain_ms(&entry.steps, |index, step| {
--- a/crates/jobs/src/pool/workers.rs
+++ b/crates/jobs/src/pool/workers.rs
@@ -7,10 +7,10 @@
 
 use super::Pool;
 use crate::task;
-use crate::worker::{self, Entry, Seat, Worker};
+use crate::worker::{self, Location, Registration, Worker};
 
 impl Pool {
-    pub(super) fn add_worker(&mut self, seat: Seat, inherited_until: Time) -> worker::Key {
+    pub(super) fn add_worker(&mut self, seat: Location, inherited_until: Time) -> worker::Key {
         let id = seat.id.clone();
         let key = self.workers.insert(Worker::new(seat, inherited_until));
         self.by_id.insert(id, key);
@@ -18,7 +18,7 @@
     }
 
     /// Takes in the list of the pool's workers, whole.
-    pub fn set_workers(&mut self, now: Time, entries: &[Entry]) {
+    pub fn set_workers(&mut self, now: Time, entries: &[Registration]) {
         let listed: HashSet<&str> = entries.iter().map(|entry| entry.id.as_str()).collect();
         for entry in entries {
             self.set_worker(now, entry);
@@ -37,8 +37,8 @@
         }
     }
 
-    fn set_worker(&mut self, now: Time, entry: &Entry) {
-        let seat = Seat { id: entry.id.clone(), address: entry.address };
+    fn set_worker(&mut self, now: Time, entry: &Registration) {
+        let seat = Location { id: entry.id.clone(), address: entry.address };
         let known = self.by_id.get(&entry.id).copied();
         if known.is_none() && self.over.holds(now, entry) {
             return;
@@ -64,7 +64,7 @@
 
     /// Takes in where workers of a predecessor may be, before any of them is
     /// asked.
-    pub fn set_roster(&mut self, seats: Vec<Seat>) {
+    pub fn set_roster(&mut self, seats: Vec<Location>) {
         for seat in &seats {
             if !self.by_id.contains_key(&seat.id) {
                 let until = self.config.inherited_until;
@@ -75,14 +75,14 @@
     }
 
     /// Hears from a predecessor until when its grants on a worker hold at most.
-    pub fn set_inherited(&mut self, now: Time, grants: &BTreeMap<String, u64>) {
+    pub fn set_inherited_leases(&mut self, now: Time, grants: &BTreeMap<String, u64>) {
         let until = |(id, left): (&String, &u64)| (id.clone(), now + Duration::from_millis(*left));
-        self.limit_inherited(now, &grants.iter().map(until).collect());
+        self.limit_inherited_leases(now, &grants.iter().map(until).collect());
     }
 
     /// Learns that predecessors' grants end by `until`, or by the time in `by_worker` if
     /// that is later. A wait that is shorter already stays.
-    pub fn limit_inherited(&mut self, until: Time, by_worker: &BTreeMap<String, Time>) {
+    pub fn limit_inherited_leases(&mut self, until: Time, by_worker: &BTreeMap<String, Time>) {
         for worker in self.workers.values_mut().filter(|worker| !worker.fenced) {
             let own = by_worker.get(&worker.id).copied().unwrap_or_default();
             worker.inherited_until = worker.inherited_until.min(own.max(until));
@@ -94,14 +94,14 @@
     /// None before it has planned for the first time: it knows of no workers yet, and
     /// to name none would be taken for the word that what its predecessor granted is
     /// over. Tasks of a worker that can't be reached would run a second time.
-    pub fn grants(&self, now: Time) -> Option<BTreeMap<String, u64>> {
+    pub fn granted_leases(&self, now: Time) -> Option<BTreeMap<String, u64>> {
         self.begun?;
         let left = |worker: &Worker| worker::millis(worker.lapses() - now);
         Some(self.workers.values().map(|worker| (worker.id.clone(), left(worker))).collect())
     }
 
     /// Hears that a worker's life is over: its VM was moved or maintained.
-    pub fn gone(&mut self, now: Time, id: &str) {
+    pub fn remove_gone_worker(&mut self, now: Time, id: &str) {
         if let Some(key) = self.by_id.get(id).copied() {
             // An expected end isn't counted as a crash.
             if let Some(worker) = self.workers.get_mut(key) {
@@ -168,21 +168,21 @@
     ///
     /// Seats whose lives are over are taken out too: a successor would ask them,
     /// hear nothing, and wait for as long as they could have been granted.
-    pub fn roster(&self) -> Option<Vec<Seat>> {
-        let seats: BTreeSet<Seat> = self.workers.values().map(Worker::seat).collect();
+    pub fn roster_update(&self) -> Option<Vec<Location>> {
+        let seats: BTreeSet<Location> = self.workers.values().map(Worker::location).collect();
         (seats != self.roster_written).then(|| seats.into_iter().collect())
     }
 
     /// The seats that the store knows of.
-    pub fn roster_seats(&self) -> Vec<Seat> {
+    pub fn written_roster(&self) -> Vec<Location> {
         self.roster_written.iter().cloned().collect()
     }
 
     /// Takes in that a roster was written.
-    pub fn roster_written(&mut self, seats: Vec<Seat>) {
+    pub fn confirm_roster(&mut self, seats: Vec<Location>) {
         self.roster_written = seats.into_iter().collect();
         for worker in self.workers.values_mut() {
-            worker.rostered = self.roster_written.contains(&worker.seat());
+            worker.rostered = self.roster_written.contains(&worker.location());
         }
     }
 
--- a/crates/jobs/src/queue.rs
+++ b/crates/jobs/src/queue.rs
@@ -13,18 +13,18 @@
     /// [`Queue::aim`] more.
     pub stretch: f64,
     /// See [`Queue::stretch`].
-    pub aim: Duration,
+    pub slack: Duration,
     /// Set where a service has to be asked which workers may run a step.
-    pub advised: Option<Advised>,
+    pub advice: Option<AdviceCost>,
 }
 
 /// How long the service takes that says which workers may run a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Advised {
+pub struct AdviceCost {
     /// For each question.
-    pub question: Duration,
+    pub per_query: Duration,
     /// And for each worker that it names.
-    pub worker: Duration,
+    pub per_worker: Duration,
 }
 
 impl Default for Queue {
@@ -35,8 +35,8 @@
             priority: u32::MAX,
             attempts: 1,
             stretch: 2.0,
-            aim: Duration::from_secs(2),
-            advised: None,
+            slack: Duration::from_secs(2),
+            advice: None,
         }
     }
 }
--- a/crates/jobs/src/size.rs
+++ b/crates/jobs/src/size.rs
@@ -33,33 +33,33 @@
 /// ```
 /// use corianderfork_jobs::job::Room;
 /// use corianderfork_jobs::pool::Load;
-/// use corianderfork_jobs::size::Size;
+/// use corianderfork_jobs::size::Sizer;
 /// use corianderfork_model::Time;
 ///
 /// let each = Room { cpu: 1_000, memory_mb: 1_000, gpu: 0 };
 /// let needed = Room { cpu: 5_000, memory_mb: 0, gpu: 0 };
 /// let load = Load { needed, ..Load::default() };
-/// assert_eq!(Size::default().want(Time::ZERO, &load, &each).held, 7);
+/// assert_eq!(Sizer::default().request(Time::ZERO, &load, &each).peak, 7);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Size {
+pub struct Sizer {
     /// Wants of late, falling from the first to the last.
     wants: VecDeque<(Time, u32)>,
     /// Demands of late, in workers.
     demands: VecDeque<(Time, f64)>,
     /// What was wanted last.
-    last: Option<(Time, Want)>,
+    last: Option<(Time, Request)>,
 }
 
 /// What a pool asks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Want {
+pub struct Request {
     /// What it can't do without.
-    pub least: u32,
+    pub min: u32,
     /// What would do for all that is known now.
-    pub now: u32,
+    pub current: u32,
     /// What it asks for: as much as it asked for at any time of late.
-    pub held: u32,
+    pub peak: u32,
 }
 
 /// Shares `total` workers among pools.
@@ -70,31 +70,31 @@
 /// instead of keeping what it had.
 ///
 /// ```
-/// use corianderfork_jobs::size::{Want, share};
+/// use corianderfork_jobs::size::{Request, allocate};
 ///
-/// let ending = Want { least: 2, now: 10, held: 40 };
-/// let beginning = Want { least: 2, now: 40, held: 40 };
-/// assert_eq!(share(&[ending, beginning], 44), [9, 35]);
-/// assert_eq!(share(&[ending, beginning], 90), [40, 40]);
+/// let ending = Request { min: 2, current: 10, peak: 40 };
+/// let beginning = Request { min: 2, current: 40, peak: 40 };
+/// assert_eq!(allocate(&[ending, beginning], 44), [9, 35]);
+/// assert_eq!(allocate(&[ending, beginning], 90), [40, 40]);
 /// ```
-pub fn share(wants: &[Want], total: u32) -> Vec<u32> {
-    let held: u32 = wants.iter().map(|want| want.held).sum();
+pub fn allocate(wants: &[Request], total: u32) -> Vec<u32> {
+    let held: u32 = wants.iter().map(|want| want.peak).sum();
     if held <= total {
-        return wants.iter().map(|want| want.held).collect();
+        return wants.iter().map(|want| want.peak).collect();
     }
-    let least: u32 = wants.iter().map(|want| want.least).sum();
-    let more = |want: &Want| want.now.saturating_sub(want.least);
+    let least: u32 = wants.iter().map(|want| want.min).sum();
+    let more = |want: &Request| want.current.saturating_sub(want.min);
     let asked: u32 = wants.iter().map(more).sum();
     let rest = f64::from(total.saturating_sub(least));
-    let part = |want: &Want| {
+    let part = |want: &Request| {
         let share = f64::from(more(want)) / f64::from(asked.max(1));
         // Rounded to the nearest; one too many is one that isn't found.
-        want.least + (share * rest).round().min(f64::from(want.held)) as u32
+        want.min + (share * rest).round().min(f64::from(want.peak)) as u32
     };
     wants.iter().map(part).collect()
 }
 
-impl Size {
+impl Sizer {
     /// The demand that a worker ordered now will meet, if it grows on as it has
     /// of late.
     ///
@@ -117,7 +117,7 @@
     }
 
     /// How many workers of room `each` the pool is to have.
-    pub fn want(&mut self, now: Time, load: &Load, each: &Room) -> Want {
+    pub fn request(&mut self, now: Time, load: &Load, each: &Room) -> Request {
         // One more for each lasting task that fits on none of those there are.
         let fitting = if load.unfit > 0 { load.workers + load.unfit } else { 0 };
         let least = load.rooted.max(LEAST).max(fitting);
@@ -132,7 +132,7 @@
             self.wants.pop_front();
         }
         let held = self.wants.front().map_or(want, |(_, want)| *want);
-        let want = Want { least, now: whole(demand * HEADROOM).max(least), held };
+        let want = Request { min: least, current: whole(demand * HEADROOM).max(least), peak: held };
         self.last = Some((now, want));
         want
     }
@@ -146,16 +146,16 @@
     /// ```
     /// use corianderfork_jobs::job::Room;
     /// use corianderfork_jobs::pool::Load;
-    /// use corianderfork_jobs::size::Size;
+    /// use corianderfork_jobs::size::Sizer;
     /// use corianderfork_model::Time;
     ///
-    /// let mut size = Size::default();
+    /// let mut sizer = Sizer::default();
     /// let each = Room { cpu: 1_000, memory_mb: 1_000, gpu: 0 };
-    /// let want = size.want(Time::ZERO, &Load::default(), &each);
-    /// assert_eq!(size.recall(Time::from_millis(2_000)), Some(want));
-    /// assert_eq!(size.recall(Time::from_millis(60_000)), None);
+    /// let request = sizer.request(Time::ZERO, &Load::default(), &each);
+    /// assert_eq!(sizer.last_request(Time::from_millis(2_000)), Some(request));
+    /// assert_eq!(sizer.last_request(Time::from_millis(60_000)), None);
     /// ```
-    pub fn recall(&self, now: Time) -> Option<Want> {
+    pub fn last_request(&self, now: Time) -> Option<Request> {
         self.last.filter(|(at, _)| now - *at <= RECALL).map(|(_, want)| want)
     }
 }
--- a/crates/jobs/src/task.rs
+++ b/crates/jobs/src/task.rs
@@ -24,7 +24,7 @@
 
 /// A run as a worker lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Running {
+pub struct Run {
     /// The task.
     pub task: Name,
     /// The number of this start.
@@ -40,7 +40,7 @@
 
 /// An end as a worker lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct Exit {
     /// Its number on that worker, from 1.
     pub number: u64,
     /// The task.
@@ -48,14 +48,14 @@
     /// The number of the start.
     pub run: u64,
     /// How it ended.
-    pub how: How,
+    pub outcome: Outcome,
     /// The newest saved progress; empty if there is none.
     pub saved: String,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum Outcome {
     /// The task is done.
     Done,
     /// It failed, by its own fault or the worker's.
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -28,9 +28,9 @@
 /// use std::time::Duration;
 ///
 /// let length = Duration::from_secs(4);
-/// assert_eq!(corianderfork_jobs::worker::longest(length), Duration::from_millis(4_120));
+/// assert_eq!(corianderfork_jobs::worker::max_lease_duration(length), Duration::from_millis(4_120));
 /// ```
-pub fn longest(length: Duration) -> Duration {
+pub fn max_lease_duration(length: Duration) -> Duration {
     length * (100 + CLOCK_SLOW_PERCENT + 1) / 100
 }
 
@@ -40,7 +40,7 @@
 
 /// What the list of workers says of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct Registration {
     /// One life of the worker.
     pub id: String,
     /// Where it answers.
@@ -59,7 +59,7 @@
 
 /// Where a worker can be found again: kept in the store for a successor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Seat {
+pub struct Location {
     /// One life of the worker.
     pub id: String,
     /// Where it answers.
@@ -124,9 +124,9 @@
     /// The last end that was taken in.
     pub(crate) taken: u64,
     /// The last end that it may forget.
-    pub(crate) seen: u64,
+    pub(crate) acked: u64,
     pub(crate) pending: BTreeMap<u64, Pending>,
-    pub(crate) orphans: Vec<task::Ended>,
+    pub(crate) orphans: Vec<task::Exit>,
     pub(crate) hosted: HashMap<task::Name, Hosted>,
     pub(crate) strays: HashMap<task::Name, Stray>,
     /// Room that is kept for tasks which are to come.
@@ -146,7 +146,7 @@
 }
 
 impl Worker {
-    pub(crate) fn new(seat: Seat, inherited_until: Time) -> Self {
+    pub(crate) fn new(seat: Location, inherited_until: Time) -> Self {
         Self {
             id: seat.id,
             address: seat.address,
@@ -164,7 +164,7 @@
             granted_ms: 0,
             inherited_until,
             taken: 0,
-            seen: 0,
+            acked: 0,
             pending: BTreeMap::new(),
             orphans: Vec::new(),
             hosted: HashMap::new(),
@@ -181,8 +181,8 @@
         }
     }
 
-    pub(crate) fn seat(&self) -> Seat {
-        Seat { id: self.id.clone(), address: self.address }
+    pub(crate) fn location(&self) -> Location {
+        Location { id: self.id.clone(), address: self.address }
     }
 
     /// Learns the worker's clock from an answer.
--- a/crates/jobs/tests/advice.rs
+++ b/crates/jobs/tests/advice.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{World, at, step};
-use corianderfork_jobs::pool::{Advice, Answer, Question, What};
-use corianderfork_jobs::queue::{Advised, Queue};
+use corianderfork_jobs::pool::{Action, Advice, Answer, Query};
+use corianderfork_jobs::queue::{AdviceCost, Queue};
 
 /// How long tickets hold.
 const VALID: Duration = Duration::from_secs(3);
@@ -15,20 +15,20 @@
 /// Workers, and a queue that asks for advice.
 fn world(workers: u16) -> World {
     let mut world = World::new(workers);
-    let advised = Some(Advised::default());
-    let queue = Queue { attempts: 2, advised, ..Queue::default() };
+    let advice = Some(AdviceCost::default());
+    let queue = Queue { attempts: 2, advice, ..Queue::default() };
     world.pool.set_queues(HashMap::from([("q".to_owned(), queue)]));
     world
 }
 
-fn ask(world: &mut World) -> Vec<Question> {
-    world.pool.questions(at(world.now), 8)
+fn ask(world: &mut World) -> Vec<Query> {
+    world.pool.advice_queries(at(world.now), 8)
 }
 
-fn tell(world: &mut World, question: &Question, good: &[&str]) {
+fn tell(world: &mut World, question: &Query, good: &[&str]) {
     let ticket = |id: &&str| ((*id).to_owned(), format!("ticket for {id}"));
-    let advice = Advice::Told { good: good.iter().map(ticket).collect(), valid: VALID };
-    world.pool.advised(at(world.now), question, &advice);
+    let advice = Advice::Received { allowed: good.iter().map(ticket).collect(), ttl: VALID };
+    world.pool.handle_advice(at(world.now), question, &advice);
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let orders = world.plan();
     assert_eq!(orders.len(), 2);
     for order in &orders {
-        let What::Start { ticket, .. } = &order.what else { panic!("a start") };
+        let Action::Start { ticket, .. } = &order.action else { panic!("a start") };
         assert_eq!(ticket.as_deref(), Some("ticket for w1"));
         assert_eq!(order.id, "w1");
     }
@@ -63,7 +63,7 @@
     world.submit(1, vec![step(1, 1_000)]);
     let question = ask(&mut world).remove(0);
     assert!(ask(&mut world).is_empty(), "one is under way");
-    world.pool.advised(at(world.now), &question, &Advice::Lost);
+    world.pool.handle_advice(at(world.now), &question, &Advice::Lost);
     assert_eq!(ask(&mut world).len(), 1, "it was lost");
 }
 
@@ -104,7 +104,7 @@
     let question = ask(&mut world).remove(0);
     tell(&mut world, &question, &["w0"]);
     let orders = world.pool.plan(at(world.now), 0);
-    world.pool.ordered(at(world.now), &orders[0], &Answer::Ticket);
+    world.pool.handle_order_answer(at(world.now), &orders[0], &Answer::Ticket);
     assert!(world.pool.plan(at(world.now), 0).is_empty(), "not with the same ticket");
     let question = ask(&mut world).remove(0);
     tell(&mut world, &question, &["w0"]);
@@ -140,8 +140,8 @@
     let mut world = world(3);
     world.takes = 600_000;
     let mut lasting = step(1, 8_000);
-    lasting.lasts = true;
-    lasting.may_miss = Some(1);
+    lasting.long_running = true;
+    lasting.max_unavailable = Some(1);
     world.submit(1, vec![lasting]);
     let question = ask(&mut world).remove(0);
     tell(&mut world, &question, &["w0"]);
@@ -267,7 +267,7 @@
     //   the log the service tells of `1 of 2 workers`, and nothing follows.
     let mut world = world(2);
     world.takes = 600_000;
-    let lasting = corianderfork_jobs::Step { lasts: true, ..step(1, 8_000) };
+    let lasting = corianderfork_jobs::Step { long_running: true, ..step(1, 8_000) };
     world.submit(1, vec![lasting]);
     let question = ask(&mut world).remove(0);
     tell(&mut world, &question, &["w0"]);
@@ -293,7 +293,7 @@
     //   other one.
     let mut world = world(3);
     world.takes = 600_000;
-    let lasting = corianderfork_jobs::Step { lasts: true, ..step(1, 8_000) };
+    let lasting = corianderfork_jobs::Step { long_running: true, ..step(1, 8_000) };
     let job = world.submit(1, vec![lasting]);
     let question = ask(&mut world).remove(0);
     tell(&mut world, &question, &["w0", "w2"]);
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use corianderfork_jobs::job::Room;
-use corianderfork_jobs::pool::{Answer, Batch, Config, Order, Pool, Report, What};
+use corianderfork_jobs::pool::{Action, Answer, Batch, Config, Order, Pool, Report};
 use corianderfork_jobs::queue::Queue;
 use corianderfork_jobs::record::{Progress, Record};
-use corianderfork_jobs::task::{self, Ended, How, Running};
-use corianderfork_jobs::worker::{Entry, Key};
+use corianderfork_jobs::task::{self, Exit, Outcome, Run};
+use corianderfork_jobs::worker::{Key, Registration};
 use corianderfork_jobs::{Job, JobId, Step};
 use corianderfork_model::Time;
 
@@ -23,7 +23,7 @@
 
 /// A run on a worker.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct ActiveRun {
     pub run: u64,
     pub room: Room,
     pub ends: u64,
@@ -38,8 +38,8 @@
 pub struct Worker {
     pub fence: u64,
     pub deadline: u64,
-    pub running: BTreeMap<task::Name, Run>,
-    pub ended: Vec<Ended>,
+    pub running: BTreeMap<task::Name, ActiveRun>,
+    pub ended: Vec<Exit>,
     pub count: u64,
     pub highest: HashMap<task::Name, u64>,
     pub silent: bool,
@@ -49,15 +49,15 @@
 }
 
 impl Worker {
-    pub fn end(&mut self, name: task::Name, how: How) {
+    pub fn end(&mut self, name: task::Name, outcome: Outcome) {
         if let Some(run) = self.running.remove(&name) {
             self.count += 1;
             self.highest.insert(name, run.run);
-            self.ended.push(Ended {
+            self.ended.push(Exit {
                 number: self.count,
                 task: name,
                 run: run.run,
-                how,
+                outcome,
                 saved: String::new(),
             });
         }
@@ -68,15 +68,15 @@
         let names: Vec<task::Name> = self.running.keys().copied().collect();
         for name in names {
             if now >= self.deadline {
-                self.end(name, How::Lapsed);
+                self.end(name, Outcome::Lapsed);
             } else if self.running[&name].ends <= now {
-                let how = if self.fails { How::Failed } else { How::Done };
-                self.end(name, how);
+                let outcome = if self.fails { Outcome::Failed } else { Outcome::Done };
+                self.end(name, outcome);
             }
         }
     }
 
-    fn percent(&self, now: u64, run: &Run) -> u32 {
+    fn percent(&self, now: u64, run: &ActiveRun) -> u32 {
         let takes = (run.ends - run.began).max(1);
         let share = if self.stuck { 0 } else { (now - run.began) * 100 / takes };
         run.percent.unwrap_or(share as u32)
@@ -88,8 +88,8 @@
             return Answer::Fenced;
         }
         self.fence = order.fence;
-        match &order.what {
-            What::Start { deadline_ms, .. } => {
+        match &order.action {
+            Action::Start { deadline_ms, .. } => {
                 if self.running.get(&order.task).is_some_and(|run| run.run == order.run) {
                     return Answer::Done(now);
                 }
@@ -100,7 +100,7 @@
                     return Answer::Late;
                 }
                 self.deadline = self.deadline.max(*deadline_ms);
-                let run = Run {
+                let run = ActiveRun {
                     run: order.run,
                     room,
                     ends: now + takes,
@@ -110,14 +110,14 @@
                 };
                 self.running.insert(order.task, run);
             }
-            What::Stop => {
+            Action::Stop => {
                 let highest = self.highest.entry(order.task).or_default();
                 *highest = (*highest).max(order.run);
                 if self.running.get(&order.task).is_some_and(|run| run.run == order.run) {
-                    self.end(order.task, How::Stopped);
+                    self.end(order.task, Outcome::Stopped);
                 }
             }
-            What::Pace(_) => {}
+            Action::Pace(_) => {}
         }
         Answer::Done(now)
     }
@@ -136,7 +136,7 @@
         self.fence = fence;
         self.ended.retain(|ended| ended.number > seen);
         self.deadline = self.deadline.max(deadline.unwrap_or(0));
-        let running = self.running.iter().map(|(name, run)| Running {
+        let running = self.running.iter().map(|(name, run)| Run {
             task: *name,
             run: run.run,
             saved: String::new(),
@@ -144,7 +144,7 @@
             gauge: run.gauge,
         });
         let running = running.collect();
-        Answer::Done(Report { clock_ms: now, running, ended: self.ended.clone() })
+        Answer::Done(Report { clock_ms: now, running, exits: self.ended.clone() })
     }
 }
 
@@ -153,7 +153,7 @@
     pub now: u64,
     pub pool: Pool,
     pub workers: BTreeMap<String, Worker>,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<Registration>,
     /// How long a task takes.
     pub takes: u64,
     pub orders: Vec<Order>,
@@ -164,8 +164,8 @@
     pub progress: HashMap<JobId, Progress>,
 }
 
-pub fn entry(id: &str, port: u16, rack: &str) -> Entry {
-    Entry {
+pub fn entry(id: &str, port: u16, rack: &str) -> Registration {
+    Registration {
         id: id.to_owned(),
         address: ([127, 0, 0, 1], port).into(),
         labels: vec!["a".to_owned(), rack.to_owned()],
@@ -177,7 +177,7 @@
 }
 
 pub fn owner(fence: u64, now: u64) -> Pool {
-    let mut pool = Pool::new(Config::new(fence, at(now + 10_000)).remote(3.0));
+    let mut pool = Pool::new(Config::new(fence, at(now + 10_000)).remote_factor(3.0));
     pool.set_queues(queues());
     pool
 }
@@ -190,7 +190,7 @@
 impl World {
     /// `count` workers, in racks of two, and an owner that has looked at them.
     pub fn new(count: u16) -> Self {
-        let entries: Vec<Entry> = (0..count)
+        let entries: Vec<Registration> = (0..count)
             .map(|i| entry(&format!("w{i}"), 9_000 + i, &format!("r{}", i / 2)))
             .collect();
         let workers = entries.iter().map(|e| (e.id.clone(), Worker::default())).collect();
@@ -219,8 +219,8 @@
     pub fn list(&mut self) {
         self.entries.iter_mut().for_each(|entry| entry.revision += 1);
         self.pool.set_workers(at(self.now), &self.entries);
-        if let Some(seats) = self.pool.roster() {
-            self.pool.roster_written(seats);
+        if let Some(seats) = self.pool.roster_update() {
+            self.pool.confirm_roster(seats);
         }
     }
 
@@ -248,14 +248,14 @@
     pub fn look_at(&mut self, key: Key) {
         {
             let now = at(self.now);
-            let Some(look) = self.pool.next_look(now, key) else { return };
+            let Some(look) = self.pool.next_poll(now, key) else { return };
             let worker = self.workers.get_mut(&look.id).expect("a worker");
             let answer = if worker.silent {
                 Answer::Lost
             } else {
-                worker.report(self.now, look.fence, look.seen, look.deadline_ms)
+                worker.report(self.now, look.fence, look.acked, look.deadline_ms)
             };
-            self.pool.looked(at(self.now), now, key, &answer);
+            self.pool.handle_poll_answer(at(self.now), now, key, &answer);
         }
     }
 
@@ -279,13 +279,13 @@
         };
         let used: u64 = worker.running.values().map(|run| run.room.cpu).sum();
         self.most_cpu = self.most_cpu.max(used);
-        self.pool.ordered(at(self.now), order, &answer);
+        self.pool.handle_order_answer(at(self.now), order, &answer);
     }
 
     pub fn write(&mut self) -> Batch {
-        let batch = self.pool.batch(at(self.now), 5_000, 28);
-        self.pool.written(&batch);
-        let rows = batch.rows.iter().map(|row| (row.id, row.progress.clone()));
+        let batch = self.pool.next_batch(at(self.now), 5_000, 28);
+        self.pool.confirm_batch(&batch);
+        let rows = batch.updates.iter().map(|row| (row.id, row.progress.clone()));
         self.progress.extend(rows);
         batch
     }
--- a/crates/jobs/tests/crash.rs
+++ b/crates/jobs/tests/crash.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{FENCE, World, at, entry, first, owner, step};
-use corianderfork_jobs::pool::What;
+use corianderfork_jobs::pool::Action;
 use corianderfork_jobs::record::{Record, State};
 use corianderfork_jobs::task;
 use corianderfork_jobs::{Job, JobId};
@@ -47,9 +47,9 @@
 
     /// The number of starts of the crashing task.
     fn starts(&self) -> usize {
-        let is_start = |what: &What| matches!(what, What::Start { .. });
+        let is_start = |what: &Action| matches!(what, Action::Start { .. });
         let orders = self.world.orders.iter();
-        orders.filter(|order| order.task == self.crashing && is_start(&order.what)).count()
+        orders.filter(|order| order.task == self.crashing && is_start(&order.action)).count()
     }
 
     fn run(&mut self, millis: u64) {
@@ -100,7 +100,7 @@
     /// Replaces the owner with a successor that knows only what was written.
     fn take_over(&mut self, fence: u64) {
         let world = &mut self.world;
-        let seats = world.pool.roster_seats();
+        let seats = world.pool.written_roster();
         world.pool = owner(fence, world.now);
         world.pool.set_roster(seats);
         for (id, steps) in &world.steps {
@@ -167,7 +167,7 @@
         scenario.run(200);
         let id = scenario.world.where_runs(first(job))[0].to_owned();
         scenario.world.workers.get_mut(&id).expect("a worker").running.clear();
-        scenario.world.pool.gone(at(scenario.world.now), &id);
+        scenario.world.pool.remove_gone_worker(at(scenario.world.now), &id);
         scenario.world.entries.retain(|entry| entry.id != id);
         let next = format!("moved-{life}");
         scenario.world.entries.push(entry(&next, 9_100 + life, "r0"));
--- a/crates/jobs/tests/doneonce.rs
+++ b/crates/jobs/tests/doneonce.rs
@@ -8,7 +8,7 @@
 use common::{World, first, step};
 use corianderfork_jobs::queue::Queue;
 use corianderfork_jobs::record::State;
-use corianderfork_jobs::task::How;
+use corianderfork_jobs::task::Outcome;
 
 #[test]
 fn task_failed_of_a_task_that_is_done() {
@@ -25,7 +25,7 @@
     world.plan();
     let holder = world.where_runs(first(job))[0].to_owned();
     let worker = world.workers.get_mut(&holder).expect("a worker");
-    worker.end(first(job), How::Done);
+    worker.end(first(job), Outcome::Done);
     worker.silent = true;
     world.run(12_000);
     let second = world.where_runs(first(job));
@@ -37,7 +37,7 @@
     let key = world.key(&holder);
     world.look_at(key);
     assert!(world.pool.is_done(first(job)));
-    world.workers.get_mut(&second).expect("a worker").end(first(job), How::Failed);
+    world.workers.get_mut(&second).expect("a worker").end(first(job), Outcome::Failed);
     world.now += 50;
     world.look();
     world.write();
--- a/crates/jobs/tests/explain.rs
+++ b/crates/jobs/tests/explain.rs
@@ -6,7 +6,7 @@
 
 use common::{World, at, step};
 use corianderfork_jobs::pool::Part;
-use corianderfork_jobs::queue::{Advised, Queue};
+use corianderfork_jobs::queue::{AdviceCost, Queue};
 use corianderfork_jobs::record::State;
 use corianderfork_jobs::{JobId, Step};
 
@@ -68,13 +68,14 @@
     let mut world = World::new(2);
     world.entries[1].rack = "r7".to_owned();
     world.settle();
-    world.submit(1, vec![Step { near: Some("r7".to_owned()), ..step(1, 8_000) }]);
+    world.submit(1, vec![Step { preferred_rack: Some("r7".to_owned()), ..step(1, 8_000) }]);
     world.plan();
-    let near = world.submit(2, vec![Step { near: Some("r7".to_owned()), ..step(1, 8_000) }]);
+    let near =
+        world.submit(2, vec![Step { preferred_rack: Some("r7".to_owned()), ..step(1, 8_000) }]);
     world.plan();
     assert_eq!(why(&world, near), "waits for room in rack r7, where its data is");
-    let queue = Queue { advised: Some(Advised::default()), ..Queue::default() };
+    let queue = Queue { advice: Some(AdviceCost::default()), ..Queue::default() };
     world.pool.set_queues(HashMap::from([("q".to_owned(), queue)]));
-    world.pool.questions(at(world.now), 1);
+    world.pool.advice_queries(at(world.now), 1);
     assert!(why(&world, near).starts_with("advice on which workers"), "{}", why(&world, near));
 }
--- a/crates/jobs/tests/feature.rs
+++ b/crates/jobs/tests/feature.rs
@@ -19,8 +19,8 @@
     Step { label: Some("ssd".to_owned()), ..step(count, cpu) }
 }
 
-fn lasting(step: Step, may_miss: u32) -> Step {
-    Step { lasts: true, may_miss: Some(may_miss), ..step }
+fn lasting(step: Step, max_unavailable: u32) -> Step {
+    Step { long_running: true, max_unavailable: Some(max_unavailable), ..step }
 }
 
 /// All that lasts is at work.
--- a/crates/jobs/tests/flow.rs
+++ b/crates/jobs/tests/flow.rs
@@ -8,7 +8,7 @@
 use corianderfork_jobs::flow::Flow;
 use corianderfork_jobs::job::Room;
 use corianderfork_jobs::pool::Load;
-use corianderfork_jobs::size::{Size, Want, share};
+use corianderfork_jobs::size::{Request, Sizer, allocate};
 use corianderfork_jobs::work::Work;
 use corianderfork_model::Time;
 
@@ -76,13 +76,13 @@
 
 /// Feeds sizes each tenth of a second: the largest want.
 fn largest_want(demand: impl Fn(u64) -> (f64, f64)) -> u32 {
-    let mut size = Size::default();
+    let mut size = Sizer::default();
     let mut most = 0;
     for tick in 0..40 {
         let (needed, noise) = demand(tick * 100);
         let room = |cores: f64| Room { cpu: (cores * 1_000.0) as u64, memory_mb: 0, gpu: 0 };
         let load = Load { needed: room(needed), noise: room(noise), ..Load::default() };
-        most = most.max(size.want(at(tick * 100), &load, &EACH).held);
+        most = most.max(size.request(at(tick * 100), &load, &EACH).peak);
     }
     most
 }
@@ -106,14 +106,14 @@
     // Sequence: its owner doesn't answer for a moment; all VMs are shared among the
     //   pools whose owners do; a moment later it asks again, and they have to come back.
     // Cause: a pool that says nothing counted as one that wants nothing.
-    let mut busy = Size::default();
+    let mut busy = Sizer::default();
     let needed = Room { cpu: 400_000, memory_mb: 0, gpu: 0 };
     let load = Load { needed, ..Load::default() };
-    let wanted = busy.want(at(1_000), &load, &EACH);
-    let other = Want { least: 2, now: 30, held: 30 };
-    let heard = share(&[other, wanted], 40);
-    let recalled = busy.recall(at(1_250)).expect("it told a moment before");
-    assert_eq!(share(&[other, recalled], 40), heard, "as if it had told");
-    assert!(share(&[other], 40)[0] > heard[0], "left out, the other gets its VMs");
-    assert_eq!(busy.recall(at(10_000)), None, "nobody owns it for long");
+    let wanted = busy.request(at(1_000), &load, &EACH);
+    let other = Request { min: 2, current: 30, peak: 30 };
+    let heard = allocate(&[other, wanted], 40);
+    let recalled = busy.last_request(at(1_250)).expect("it told a moment before");
+    assert_eq!(allocate(&[other, recalled], 40), heard, "as if it had told");
+    assert!(allocate(&[other], 40)[0] > heard[0], "left out, the other gets its VMs");
+    assert_eq!(busy.last_request(at(10_000)), None, "nobody owns it for long");
 }
--- a/crates/jobs/tests/gang.rs
+++ b/crates/jobs/tests/gang.rs
@@ -6,7 +6,7 @@
 
 use common::{World, at, first, step};
 use corianderfork_jobs::record::State;
-use corianderfork_jobs::task::{How, Name};
+use corianderfork_jobs::task::{Name, Outcome};
 use corianderfork_jobs::{JobId, Step};
 
 fn gang(count: u32, cpu: u64) -> Step {
@@ -14,9 +14,9 @@
 }
 
 /// Ends the run of one member.
-fn end(world: &mut World, name: Name, how: How) {
+fn end(world: &mut World, name: Name, outcome: Outcome) {
     let worker = world.workers.values_mut().find(|worker| worker.running.contains_key(&name));
-    worker.expect("it runs").end(name, how);
+    worker.expect("it runs").end(name, outcome);
 }
 
 #[test]
@@ -64,9 +64,9 @@
     world.takes = 60_000;
     let job = world.submit(1, vec![gang(2, 4_000)]);
     world.plan();
-    end(&mut world, first(job), How::Done);
+    end(&mut world, first(job), Outcome::Done);
     let other = Name { index: 1, ..first(job) };
-    end(&mut world, other, How::Done);
+    end(&mut world, other, Outcome::Done);
     world.now += 100;
     world.look();
     world.write();
@@ -81,11 +81,14 @@
     let mut world = World::new(3);
     world.takes = 60_000;
     let job = world.submit(1, vec![gang(3, 4_000)]);
-    let ends = [[How::Failed, How::Failed, How::Broken], [How::Broken, How::Broken, How::Failed]];
+    let ends = [
+        [Outcome::Failed, Outcome::Failed, Outcome::Broken],
+        [Outcome::Broken, Outcome::Broken, Outcome::Failed],
+    ];
     for (attempt, ends) in (1..).zip(ends) {
         assert_eq!(world.plan().len(), 3, "attempt {attempt}");
-        for (index, how) in ends.into_iter().enumerate() {
-            end(&mut world, Name { index: index as u32, ..first(job) }, how);
+        for (index, outcome) in ends.into_iter().enumerate() {
+            end(&mut world, Name { index: index as u32, ..first(job) }, outcome);
         }
         world.now += 100;
         world.look();
@@ -105,11 +108,11 @@
     world.takes = 60_000;
     let job = world.submit(1, vec![gang(2, 8_000)]);
     world.plan();
-    end(&mut world, first(job), How::Failed);
+    end(&mut world, first(job), Outcome::Failed);
     world.now += 100;
     world.look();
     assert!(world.pool.plan(at(world.now + 100), 0).is_empty(), "the other member still runs");
-    end(&mut world, Name { index: 1, ..first(job) }, How::Broken);
+    end(&mut world, Name { index: 1, ..first(job) }, Outcome::Broken);
     world.now += 200;
     world.look();
     assert_eq!(world.plan().len(), 2);
@@ -123,7 +126,7 @@
     let mut world = World::new(4);
     world.takes = 60_000;
     for (id, rack) in [(1, "r0"), (2, "r1")] {
-        world.submit(id, vec![Step { near: Some(rack.to_owned()), ..step(1, 8_000) }]);
+        world.submit(id, vec![Step { preferred_rack: Some(rack.to_owned()), ..step(1, 8_000) }]);
     }
     assert_eq!(world.plan().len(), 2, "one worker of each rack is taken");
     let job = world.submit(3, vec![Step { same_rack: true, ..gang(2, 8_000) }]);
--- a/crates/jobs/tests/interleaving.rs
+++ b/crates/jobs/tests/interleaving.rs
@@ -11,8 +11,8 @@
 use common::{FENCE, Worker, at, entry, owner};
 use corianderfork_jobs::pool::{Answer, Order, Pool};
 use corianderfork_jobs::record::{Progress, Record, State};
-use corianderfork_jobs::task::{How, Name};
-use corianderfork_jobs::worker::{Entry, Key, Seat};
+use corianderfork_jobs::task::{Name, Outcome};
+use corianderfork_jobs::worker::{Key, Location, Registration};
 use corianderfork_jobs::{Job, JobId, Step};
 use corianderfork_model::Time;
 use proptest::prelude::*;
@@ -55,14 +55,14 @@
     owners: Vec<Pool>,
     fence: u64,
     workers: BTreeMap<String, Worker>,
-    entries: Vec<Entry>,
+    entries: Vec<Registration>,
     lives: u16,
     deaf: HashSet<String>,
     slow: HashSet<String>,
     /// Orders on their way: when they arrive.
     late: Vec<(u64, Order)>,
     is_store_up: bool,
-    roster: Vec<Seat>,
+    roster: Vec<Location>,
     records: BTreeMap<JobId, (Record, u64)>,
     progress: HashMap<JobId, Progress>,
     cancelled: HashSet<JobId>,
@@ -76,7 +76,8 @@
 
 impl Play {
     fn new() -> Self {
-        let entries: Vec<Entry> = (0..3).map(|i| entry(&format!("w{i}"), 9_000 + i, "r")).collect();
+        let entries: Vec<Registration> =
+            (0..3).map(|i| entry(&format!("w{i}"), 9_000 + i, "r")).collect();
         let workers = entries.iter().map(|e| (e.id.clone(), Worker::default())).collect();
         Self {
             now: 1_000,
@@ -232,15 +233,15 @@
     }
 
     fn look(&mut self, index: usize, key: Key, now: Time) {
-        let Some(look) = self.owners[index].next_look(now, key) else { return };
+        let Some(look) = self.owners[index].next_poll(now, key) else { return };
         let answer = match self.workers.get_mut(&look.id) {
             None => Answer::Lost,
             Some(worker) => {
-                let answer = worker.report(self.now, look.fence, look.seen, look.deadline_ms);
+                let answer = worker.report(self.now, look.fence, look.acked, look.deadline_ms);
                 if self.deaf.contains(&look.id) { Answer::Lost } else { answer }
             }
         };
-        self.owners[index].looked(now, now, key, &answer);
+        self.owners[index].handle_poll_answer(now, now, key, &answer);
     }
 
     fn order(&mut self, index: usize, order: &Order) {
@@ -251,7 +252,7 @@
             let answer = self.obey(order);
             if self.deaf.contains(&order.id) { Answer::Lost } else { answer }
         };
-        self.owners[index].ordered(at(self.now), order, &answer);
+        self.owners[index].handle_order_answer(at(self.now), order, &answer);
     }
 
     fn obey(&mut self, order: &Order) -> Answer<u64> {
@@ -291,15 +292,15 @@
 
     fn write(&mut self, index: usize) {
         let pool = &mut self.owners[index];
-        if let Some(seats) = pool.roster() {
+        if let Some(seats) = pool.roster_update() {
             self.roster.clone_from(&seats);
-            pool.roster_written(seats);
+            pool.confirm_roster(seats);
         }
-        let batch = pool.batch(at(self.now), 5_000, 28);
-        for row in &batch.rows {
+        let batch = pool.next_batch(at(self.now), 5_000, 28);
+        for row in &batch.updates {
             self.progress.insert(row.id, row.progress.clone());
         }
-        pool.written(&batch);
+        pool.confirm_batch(&batch);
     }
 
     fn end(mut self) -> Vec<String> {
@@ -325,7 +326,7 @@
             self.broken.push("something runs on".to_owned());
         }
         let lists_failure =
-            self.workers.values().flat_map(|w| &w.ended).any(|e| e.how == How::Failed);
+            self.workers.values().flat_map(|w| &w.ended).any(|e| e.outcome == Outcome::Failed);
         assert!(!lists_failure, "these workers fail nothing");
         self.broken
     }
--- a/crates/jobs/tests/kept.rs
+++ b/crates/jobs/tests/kept.rs
@@ -12,7 +12,7 @@
 use proptest::test_runner::RngSeed;
 
 fn lasting(cpu: u64) -> Step {
-    Step { lasts: true, may_miss: Some(1), ..step(1, cpu) }
+    Step { long_running: true, max_unavailable: Some(1), ..step(1, cpu) }
 }
 
 /// What happens to the pool in a tenth of a second.
--- a/crates/jobs/tests/keptlong.rs
+++ b/crates/jobs/tests/keptlong.rs
@@ -18,7 +18,7 @@
     let long = Step { estimate_ms: 600_000, ..step(1, 2_000) };
     world.submit(1, vec![long]);
     world.run(500);
-    let lasting = Step { lasts: true, ..step(1, 7_000) };
+    let lasting = Step { long_running: true, ..step(1, 7_000) };
     world.submit(2, vec![lasting]);
     world.run(1_000);
     let small = world.submit(3, vec![step(1, 1_000)]);
--- a/crates/jobs/tests/lasting.rs
+++ b/crates/jobs/tests/lasting.rs
@@ -6,11 +6,16 @@
 
 use common::{FENCE, World, at, first, owner, step};
 use corianderfork_jobs::record::Record;
-use corianderfork_jobs::task::{How, Name};
+use corianderfork_jobs::task::{Name, Outcome};
 use corianderfork_jobs::{Job, Step};
 
-fn lasting(count: u32, may_miss: u32) -> Step {
-    Step { lasts: true, may_miss: Some(may_miss), most_together: 1, ..step(count, 1_000) }
+fn lasting(count: u32, max_unavailable: u32) -> Step {
+    Step {
+        long_running: true,
+        max_unavailable: Some(max_unavailable),
+        max_per_worker: 1,
+        ..step(count, 1_000)
+    }
 }
 
 fn at_work(world: &mut World) {
@@ -77,7 +82,7 @@
     world.plan();
     at_work(&mut world);
     world.run(1_000);
-    let seats = world.pool.roster_seats();
+    let seats = world.pool.written_roster();
     world.pool = owner(FENCE + 50, world.now);
     world.pool.set_roster(seats);
     let record = Record {
@@ -93,7 +98,7 @@
     world.pool.vacate(at(world.now), &other, Duration::from_secs(60));
     world.run(300);
     // The predecessor's stop is carried out only now.
-    world.workers.get_mut(&stopped).expect("a worker").end(name(0), How::Stopped);
+    world.workers.get_mut(&stopped).expect("a worker").end(name(0), Outcome::Stopped);
     assert_eq!(world.where_runs(name(1)), [other.as_str()]);
     world.run(1_000);
     at_work(&mut world);
@@ -112,14 +117,14 @@
     world.submit(1, vec![lasting(3, 1)]);
     world.run(200);
     let each = corianderfork_jobs::job::Room { cpu: 8_000, memory_mb: 8_000, gpu: 0 };
-    let mut size = corianderfork_jobs::size::Size::default();
+    let mut size = corianderfork_jobs::size::Sizer::default();
     let load = world.pool.load(at(world.now));
-    assert_eq!(size.want(at(world.now), &load, &each).held, 2, "it has just come");
+    assert_eq!(size.request(at(world.now), &load, &each).peak, 2, "it has just come");
     world.run(1_000);
     let load = world.pool.load(at(world.now));
     assert_eq!(load.unfit, 1);
-    let want = size.want(at(world.now), &load, &each);
-    assert!(want.held >= 3 && want.least >= 3, "{want:?}");
+    let want = size.request(at(world.now), &load, &each);
+    assert!(want.peak >= 3 && want.min >= 3, "{want:?}");
 }
 
 /// A task of 7 of 8 cores that is being stopped to move from `w0` to `w2`, the one
@@ -127,7 +132,8 @@
 fn moving() -> (World, Name) {
     let mut world = World::new(3);
     world.takes = 600_000;
-    let wide = Step { lasts: true, may_miss: Some(1), most_together: 1, ..step(2, 7_000) };
+    let wide =
+        Step { long_running: true, max_unavailable: Some(1), max_per_worker: 1, ..step(2, 7_000) };
     let job = world.submit(1, vec![wide]);
     world.plan();
     at_work(&mut world);
@@ -154,7 +160,7 @@
     world.run(500);
     assert_eq!(world.where_runs(task), ["w2"]);
     assert_eq!(world.pool.vacate(at(world.now), "w2", Duration::from_secs(60)), Some(false));
-    let notes: Vec<&str> = world.pool.notes().iter().map(|note| note.what).collect();
+    let notes: Vec<&str> = world.pool.take_notes().iter().map(|note| note.event).collect();
     assert!(notes.contains(&"worker vacates"), "the wave's turn comes: {notes:?}");
 }
 
--- a/crates/jobs/tests/near.rs
+++ b/crates/jobs/tests/near.rs
@@ -7,7 +7,7 @@
 
 /// A step of one task, of half a second near its data.
 fn near(rack: &str, cpu: u64) -> Step {
-    Step { near: Some(rack.to_owned()), ..step(1, cpu) }
+    Step { preferred_rack: Some(rack.to_owned()), ..step(1, cpu) }
 }
 
 #[test]
@@ -57,7 +57,7 @@
     world.submit(1, vec![near("r0", 8_000)]);
     world.submit(2, vec![near("r0", 8_000)]);
     world.plan();
-    world.submit(3, vec![Step { lasts: true, ..near("r0", 8_000) }]);
+    world.submit(3, vec![Step { long_running: true, ..near("r0", 8_000) }]);
     world.plan();
     assert_eq!(world.where_runs(first(JobId(3))).len(), 1);
 }
--- a/crates/jobs/tests/orphan.rs
+++ b/crates/jobs/tests/orphan.rs
@@ -5,9 +5,9 @@
 
 use common::{World, at, first, step};
 use corianderfork_jobs::JobId;
-use corianderfork_jobs::pool::What;
+use corianderfork_jobs::pool::Action;
 use corianderfork_jobs::record::State;
-use corianderfork_jobs::task::How;
+use corianderfork_jobs::task::Outcome;
 use corianderfork_model::Time;
 
 /// The number of a run that an owner before started.
@@ -20,7 +20,8 @@
     let mut world = World::new(1);
     let job = JobId(9);
     let room = step(1, 1_000).room();
-    let run = common::Run { run: RUN, room, ends: u64::MAX, began: 0, percent: Some(0), gauge: 0 };
+    let run =
+        common::ActiveRun { run: RUN, room, ends: u64::MAX, began: 0, percent: Some(0), gauge: 0 };
     let worker = world.workers.get_mut("w0").expect("a worker");
     worker.running.insert(first(job), run);
     worker.deadline = u64::MAX;
@@ -31,7 +32,7 @@
 /// The last end that the worker may forget.
 fn seen(world: &mut World) -> u64 {
     let key = world.key("w0");
-    world.pool.next_look(at(world.now), key).expect("a look").seen
+    world.pool.next_poll(at(world.now), key).expect("a poll").acked
 }
 
 #[test]
@@ -44,7 +45,7 @@
     // Cause: after four seconds without news the job was taken not to be there,
     //   and its worker was let forget the end, though nobody had been asked.
     let (mut world, job) = world();
-    world.workers.get_mut("w0").expect("a worker").end(first(job), How::Done);
+    world.workers.get_mut("w0").expect("a worker").end(first(job), Outcome::Done);
     world.run(OUTAGE);
     assert_eq!(seen(&mut world), 0, "the worker may forget an end that nobody took in");
     world.submit(9, vec![step(1, 1_000)]);
@@ -66,7 +67,7 @@
     world.submit(9, vec![step(1, 1_000)]);
     world.run(300);
     assert_eq!(world.where_runs(first(job)), ["w0"]);
-    assert!(!world.orders.iter().any(|order| matches!(order.what, What::Stop)));
+    assert!(!world.orders.iter().any(|order| matches!(order.action, Action::Stop)));
 }
 
 #[test]
@@ -75,9 +76,9 @@
     // Sequence: a run ends whose job was forgotten long ago.
     // Cause: an end of a job that nobody will ever tell of is waited for.
     let (mut world, job) = world();
-    world.workers.get_mut("w0").expect("a worker").end(first(job), How::Done);
+    world.workers.get_mut("w0").expect("a worker").end(first(job), Outcome::Done);
     world.run(OUTAGE);
-    world.pool.jobs_known(at(world.now));
+    world.pool.set_jobs_known_until(at(world.now));
     world.run(200);
     assert_eq!(seen(&mut world), 1);
 }
@@ -89,7 +90,7 @@
     // Cause: a run of a job that nobody will ever tell of is left alone.
     let (mut world, job) = world();
     world.run(OUTAGE);
-    world.pool.jobs_known(at(world.now));
+    world.pool.set_jobs_known_until(at(world.now));
     world.run(200);
     assert!(world.where_runs(first(job)).is_empty());
 }
@@ -101,7 +102,7 @@
     //   again lists a run of a job that was accepted since.
     // Cause: news from before the run was first seen says nothing of its job.
     let (mut world, job) = world();
-    world.pool.jobs_known(Time::from_millis(999));
+    world.pool.set_jobs_known_until(Time::from_millis(999));
     world.run(OUTAGE);
     assert_eq!(world.where_runs(first(job)), ["w0"]);
 }
--- a/crates/jobs/tests/pace.rs
+++ b/crates/jobs/tests/pace.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{World, first, step};
-use corianderfork_jobs::pool::What;
+use corianderfork_jobs::pool::Action;
 use corianderfork_jobs::{JobId, Step};
 
 /// The tail of response times that serving tasks stay under, in milliseconds.
@@ -13,9 +13,9 @@
 fn world() -> World {
     let mut world = World::new(1);
     world.takes = 600_000;
-    let serving = Step { lasts: true, target_ms: TARGET, ..step(1, 4_000) };
+    let serving = Step { long_running: true, target_ms: TARGET, ..step(1, 4_000) };
     world.submit(1, vec![serving]);
-    let filling = Step { lasts: true, fills: true, ..step(1, 4_000) };
+    let filling = Step { long_running: true, backfill: true, ..step(1, 4_000) };
     world.submit(2, vec![filling]);
     world.run(1_000);
     assert_eq!(world.running(), 2);
@@ -30,8 +30,8 @@
     worker.running.get_mut(&first(JobId(1))).expect("it runs").gauge = gauge;
     let before = world.orders.len();
     world.run(millis);
-    let pace = |order: &corianderfork_jobs::pool::Order| match order.what {
-        What::Pace(percent) => Some(percent),
+    let pace = |order: &corianderfork_jobs::pool::Order| match order.action {
+        Action::Pace(percent) => Some(percent),
         _ => None,
     };
     world.orders[before..].iter().filter_map(pace).collect()
@@ -64,7 +64,7 @@
 fn pace_leaves_what_fills_alone_where_nothing_serves() {
     let mut world = World::new(1);
     world.takes = 600_000;
-    world.submit(1, vec![Step { lasts: true, fills: true, ..step(1, 4_000) }]);
+    world.submit(1, vec![Step { long_running: true, backfill: true, ..step(1, 4_000) }]);
     world.run(3_000);
-    assert!(world.orders.iter().all(|order| !matches!(order.what, What::Pace(_))));
+    assert!(world.orders.iter().all(|order| !matches!(order.action, Action::Pace(_))));
 }
--- a/crates/jobs/tests/pool.rs
+++ b/crates/jobs/tests/pool.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use common::{FENCE, World, at, first, owner, step};
-use corianderfork_jobs::pool::{Answer, What};
+use corianderfork_jobs::pool::{Action, Answer};
 use corianderfork_jobs::record::{Record, State};
-use corianderfork_jobs::task::How;
+use corianderfork_jobs::task::Outcome;
 use corianderfork_jobs::{Job, JobId};
 
 #[test]
@@ -53,7 +53,7 @@
     world.look();
     assert_eq!(world.pool.state(job), Some(State::Running));
     let batch = world.write();
-    assert_eq!(batch.rows.len(), 1);
+    assert_eq!(batch.updates.len(), 1);
     assert_eq!(world.pool.state(job), Some(State::Completed));
 }
 
@@ -69,12 +69,12 @@
     world.now += 600;
     world.look();
     let key = world.key("w0");
-    let look = world.pool.next_look(at(world.now), key).expect("a look");
-    assert_eq!(look.seen, 0, "two ends are not written");
+    let look = world.pool.next_poll(at(world.now), key).expect("a look");
+    assert_eq!(look.acked, 0, "two ends are not written");
     world.now += 1_100;
     world.write();
-    let look = world.pool.next_look(at(world.now), key).expect("a look");
-    assert_eq!(look.seen, 2);
+    let look = world.pool.next_poll(at(world.now), key).expect("a look");
+    assert_eq!(look.acked, 2);
 }
 
 #[test]
@@ -87,7 +87,7 @@
     world.submit(1, vec![step(1, 1_000)]);
     let orders = world.pool.plan(at(world.now), 0);
     let lost = orders[0].clone();
-    world.pool.ordered(at(world.now), &lost, &Answer::Lost);
+    world.pool.handle_order_answer(at(world.now), &lost, &Answer::Lost);
     world.now += 500;
     let again = world.pool.plan(at(world.now), 0);
     assert_eq!(again.len(), 1);
@@ -126,7 +126,7 @@
     world.run(1_000);
     assert_eq!(world.running(), 0);
     assert_eq!(world.pool.state(job), Some(State::Cancelled));
-    assert_eq!(world.orders.iter().filter(|o| matches!(o.what, What::Start { .. })).count(), 3);
+    assert_eq!(world.orders.iter().filter(|o| matches!(o.action, Action::Start { .. })).count(), 3);
 }
 
 #[test]
@@ -136,7 +136,7 @@
     let job = world.submit(1, vec![step(1, 1_000)]);
     world.run(3_000);
     assert_eq!(world.pool.state(job), Some(State::Failed));
-    let starts = world.orders.iter().filter(|order| matches!(order.what, What::Start { .. }));
+    let starts = world.orders.iter().filter(|order| matches!(order.action, Action::Start { .. }));
     assert_eq!(starts.count(), 2, "two attempts");
 }
 
@@ -168,12 +168,13 @@
     let job = JobId(9);
     let room = step(1, 1_000).room();
     let worker = world.workers.get_mut("w0").expect("a worker");
-    let run = common::Run { run: 3, room, ends: u64::MAX, began: 0, percent: Some(0), gauge: 0 };
+    let run =
+        common::ActiveRun { run: 3, room, ends: u64::MAX, began: 0, percent: Some(0), gauge: 0 };
     worker.running.insert(first(job), run);
-    worker.end(first(job), How::Done);
+    worker.end(first(job), Outcome::Done);
     world.run(200);
-    let look = world.pool.next_look(at(world.now), world.key("w0")).expect("a look");
-    assert_eq!(look.seen, 0);
+    let look = world.pool.next_poll(at(world.now), world.key("w0")).expect("a look");
+    assert_eq!(look.acked, 0);
     world.submit(9, vec![step(1, 1_000)]);
     world.run(300);
     assert_eq!(world.pool.state(job), Some(State::Completed));
@@ -189,13 +190,13 @@
     let mut world = World::new(1);
     let job = world.submit(1, vec![step(1, 1_000)]);
     world.plan();
-    world.workers.get_mut("w0").expect("a worker").end(first(job), How::Failed);
+    world.workers.get_mut("w0").expect("a worker").end(first(job), Outcome::Failed);
     world.now += 200;
     world.look();
     world.now += 200;
-    let batch = world.pool.batch(at(world.now), 5_000, 28);
-    let progress = batch.rows[0].progress.clone();
-    let seats = world.pool.roster_seats();
+    let batch = world.pool.next_batch(at(world.now), 5_000, 28);
+    let progress = batch.updates[0].progress.clone();
+    let seats = world.pool.written_roster();
     world.pool = owner(FENCE + 50, world.now);
     world.pool.set_roster(seats);
     let record = Record {
@@ -222,7 +223,7 @@
     let room = step(1, 1_000).room();
     world.workers.get_mut(&order.id).expect("a worker").obey(world.now, &order, room, 100);
     world.now += 1_200;
-    world.pool.ordered(at(world.now), &order, &Answer::Old);
+    world.pool.handle_order_answer(at(world.now), &order, &Answer::Old);
     assert!(world.plan().is_empty(), "its end is listed there");
     world.now += 50;
     world.look();
@@ -239,13 +240,13 @@
     let mut world = World::new(2);
     let job = world.submit(1, vec![step(1, 1_000)]);
     let order = world.pool.plan(at(world.now), 0)[0].clone();
-    world.pool.ordered(at(world.now), &order, &Answer::Lost);
+    world.pool.handle_order_answer(at(world.now), &order, &Answer::Lost);
     world.now += 500;
     let again = world.pool.plan(at(world.now), 0)[0].clone();
-    world.pool.ordered(at(world.now), &again, &Answer::Full);
+    world.pool.handle_order_answer(at(world.now), &again, &Answer::Full);
     let orders = world.plan();
     assert_eq!(orders.len(), 1);
-    assert!(matches!(orders[0].what, What::Stop), "bars the late start: {orders:?}");
+    assert!(matches!(orders[0].action, Action::Stop), "bars the late start: {orders:?}");
     let late = world.workers.get_mut(&order.id).expect("a worker");
     assert_eq!(late.obey(world.now, &order, step(1, 1_000).room(), 500), Answer::Old);
     world.run(1_000);
@@ -291,7 +292,7 @@
 #[test]
 fn plan_no_more_of_a_step_together_than_it_allows() {
     let mut world = World::new(2);
-    let spread = corianderfork_jobs::Step { most_together: 1, ..step(3, 1_000) };
+    let spread = corianderfork_jobs::Step { max_per_worker: 1, ..step(3, 1_000) };
     world.submit(1, vec![spread]);
     let orders = world.plan();
     assert_eq!(orders.len(), 2, "two workers, one task each");
@@ -308,11 +309,11 @@
     let job = world.submit(1, vec![step(1, 1_000)]);
     world.plan();
     let worker = world.workers.get_mut("w0").expect("a worker");
-    worker.end(first(job), How::Stopped);
+    worker.end(first(job), Outcome::Stopped);
     worker.ended[0].saved = "half".to_owned();
     world.now += 100;
     world.look();
     let orders = world.plan();
-    let What::Start { saved, .. } = &orders[0].what else { panic!("a start") };
+    let Action::Start { saved, .. } = &orders[0].action else { panic!("a start") };
     assert_eq!(&**saved, "half");
 }
--- a/crates/jobs/tests/reserve.rs
+++ b/crates/jobs/tests/reserve.rs
@@ -6,7 +6,7 @@
 
 use common::{World, at, first, step};
 use corianderfork_jobs::pool::Note;
-use corianderfork_jobs::task::How;
+use corianderfork_jobs::task::Outcome;
 use corianderfork_jobs::{JobId, Step};
 
 /// What the lasting task takes of a worker's 8 cores.
@@ -15,7 +15,7 @@
 const SMALL: u64 = 3_500;
 
 fn lasting(cpu: u64) -> Step {
-    Step { lasts: true, may_miss: Some(1), ..step(1, cpu) }
+    Step { long_running: true, max_unavailable: Some(1), ..step(1, cpu) }
 }
 
 fn at_work(world: &mut World) {
@@ -44,7 +44,7 @@
     world.takes = 1_000;
     let job = world.submit(1, vec![lasting(LARGE)]);
     world.plan();
-    world.pool.notes();
+    world.pool.take_notes();
     (world, job)
 }
 
@@ -65,7 +65,7 @@
 }
 
 fn noted(world: &mut World, what: &str) -> Option<Note> {
-    world.pool.notes().into_iter().find(|note| note.what == what)
+    world.pool.take_notes().into_iter().find(|note| note.event == what)
 }
 
 /// Lets time pass until the task runs, at most for `millis`; where it runs.
@@ -137,7 +137,7 @@
     // Cause: what room is kept for isn't counted among what is together there.
     let mut world = World::new(3);
     world.takes = 600_000;
-    let step = Step { may_miss: Some(2), most_together: 1, ..lasting(1_000) };
+    let step = Step { max_unavailable: Some(2), max_per_worker: 1, ..lasting(1_000) };
     let job = world.submit(1, vec![Step { count: 2, ..step }]);
     world.plan();
     at_work(&mut world);
@@ -250,7 +250,7 @@
     // Cause: the first has no room, and those after it aren't tried.
     let mut world = World::new(2);
     world.takes = 600_000;
-    let step = Step { may_miss: Some(2), ..lasting(LARGE) };
+    let step = Step { max_unavailable: Some(2), ..lasting(LARGE) };
     let job = world.submit(1, vec![Step { count: 2, ..step }]);
     world.plan();
     at_work(&mut world);
@@ -261,7 +261,7 @@
     world.entries.push(common::entry("w9", 9_100, "r9"));
     world.workers.insert("w9".to_owned(), common::Worker::default());
     world.settle();
-    world.pool.gone(at(world.now), &lost);
+    world.pool.remove_gone_worker(at(world.now), &lost);
     world.workers.remove(&lost);
     world.pool.vacate(at(world.now), &maintained, Duration::from_secs(60));
     world.plan();
@@ -290,7 +290,7 @@
             }
             _ => {
                 world.entries.retain(|entry| entry.id != id);
-                world.pool.gone(at(world.now), &id);
+                world.pool.remove_gone_worker(at(world.now), &id);
             }
         }
         world.run(100);
@@ -328,7 +328,7 @@
     let (mut world, job) = crowded(1);
     until_kept(&mut world);
     let name = *world.workers["w0"].running.keys().next().expect("one runs");
-    world.workers.get_mut("w0").expect("a worker").end(name, How::Done);
+    world.workers.get_mut("w0").expect("a worker").end(name, Outcome::Done);
     world.look();
     world.plan();
     let why =
--- a/crates/jobs/tests/returning.rs
+++ b/crates/jobs/tests/returning.rs
@@ -51,7 +51,7 @@
     // Cause: the answer to an order that was done before is taken for the end of
     //   the life that runs now.
     let mut world = World::new(1);
-    world.pool.gone(at(world.now), "w0");
+    world.pool.remove_gone_worker(at(world.now), "w0");
     pass(&mut world, SHOWN);
     let job = world.submit(1, vec![step(1, 1_000)]);
     pass(&mut world, 2_000);
@@ -67,7 +67,7 @@
     // Cause: an entry that lags is taken for a life that goes on.
     let mut world = World::new(2);
     world.workers.get_mut("w0").expect("a worker").silent = true;
-    world.pool.gone(at(world.now), "w0");
+    world.pool.remove_gone_worker(at(world.now), "w0");
     pass(&mut world, 1_000);
     let end = world.now + CUT;
     while world.now < end {
--- a/crates/jobs/tests/saved.rs
+++ b/crates/jobs/tests/saved.rs
@@ -7,9 +7,9 @@
 
 use common::{FENCE, World, at, first, owner, step};
 use corianderfork_jobs::Job;
-use corianderfork_jobs::pool::What;
+use corianderfork_jobs::pool::Action;
 use corianderfork_jobs::record::Record;
-use corianderfork_jobs::task::How;
+use corianderfork_jobs::task::Outcome;
 
 #[test]
 fn next_look_lets_forget_saved_progress_only_once_it_is_kept() {
@@ -23,13 +23,13 @@
     world.takes = 60_000;
     world.run(500);
     let worker = world.workers.get_mut("w0").expect("a worker");
-    worker.end(first(job), How::Stopped);
+    worker.end(first(job), Outcome::Stopped);
     worker.ended.last_mut().expect("an end").saved = "half".to_owned();
     world.now += 100;
     world.look();
     world.write();
     let key = world.key("w0");
-    let seen = world.pool.next_look(at(world.now), key).expect("a look").seen;
+    let seen = world.pool.next_poll(at(world.now), key).expect("a poll").acked;
     let is_written = world.progress.get(&job).is_some_and(|p| format!("{p:?}").contains("half"));
     assert!(seen == 0 || is_written, "nobody but this owner has what was saved");
 }
@@ -41,7 +41,7 @@
     world.takes = 60_000;
     world.run(500);
     let worker = world.workers.get_mut("w0").expect("a worker");
-    worker.end(first(job), How::Stopped);
+    worker.end(first(job), Outcome::Stopped);
     worker.ended.last_mut().expect("an end").saved = "half".to_owned();
     world.now += 100;
     world.look();
@@ -49,7 +49,7 @@
     world.write();
     let progress = world.progress.get(&job).expect("a record").clone();
 
-    let seats = world.pool.roster_seats();
+    let seats = world.pool.written_roster();
     world.pool = owner(FENCE + 50, world.now);
     world.pool.set_roster(seats);
     let record = Record {
@@ -60,8 +60,8 @@
     world.pool.accept(at(world.now), Duration::ZERO, job, &record, Some(&progress), FENCE + 1);
     world.settle();
     let orders = world.plan();
-    let starts = orders.iter().filter_map(|order| match &order.what {
-        What::Start { saved, .. } => Some(saved.to_string()),
+    let starts = orders.iter().filter_map(|order| match &order.action {
+        Action::Start { saved, .. } => Some(saved.to_string()),
         _ => None,
     });
     assert_eq!(starts.collect::<Vec<_>>(), ["half"]);
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{FENCE, World, at, first, owner, step};
-use corianderfork_jobs::pool::{Config, Pool, What};
+use corianderfork_jobs::pool::{Action, Config, Pool};
 use corianderfork_jobs::record::{Record, State};
 use corianderfork_jobs::task::Name;
 use corianderfork_jobs::{Job, JobId};
@@ -34,7 +34,7 @@
     world.takes = 3_000;
     let job = world.submit(1, vec![step(2, 1_000)]);
     world.plan();
-    let seats = world.pool.roster_seats();
+    let seats = world.pool.written_roster();
     world.pool = owner(FENCE + 50, world.now);
     world.pool.set_roster(seats);
     world.pool.set_workers(at(world.now), &world.entries);
@@ -64,7 +64,7 @@
     world.plan();
     let holder = world.where_runs(first(job))[0].to_owned();
     world.workers.get_mut(&holder).expect("a worker").silent = true;
-    let seats = world.pool.roster_seats();
+    let seats = world.pool.written_roster();
     world.pool = owner(FENCE + 50, world.now);
     world.pool.set_roster(seats);
     world.entries.retain(|entry| entry.id != holder);
@@ -92,7 +92,7 @@
     //   counted by the processor it uses just now.
     let mut world = World::new(1);
     let other = Name { job: JobId(77), occurrence: 0, step: 0, index: 0 };
-    let run = common::Run {
+    let run = common::ActiveRun {
         run: 3,
         room: step(1, 7_500).room(),
         ends: u64::MAX,
@@ -110,7 +110,7 @@
     world.steps.insert(other.job, vec![step(1, 7_500)]);
     world.submit(1, vec![step(1, 1_000)]);
     let orders = world.plan();
-    assert!(orders.iter().all(|order| matches!(order.what, What::Stop)), "{orders:?}");
+    assert!(orders.iter().all(|order| matches!(order.action, Action::Stop)), "{orders:?}");
     assert_eq!(orders.len(), 1, "the one of an ended job is stopped at once");
     world.run(1_000);
     assert_eq!(world.pool.state(JobId(1)), Some(State::Completed));
@@ -131,8 +131,8 @@
     let orders = world.plan();
     assert_eq!(orders.len(), 8, "as many as the first holds");
     assert!(orders.iter().all(|order| order.id == "w0"));
-    let seats = world.pool.roster().expect("a seat is not written");
-    world.pool.roster_written(seats);
+    let seats = world.pool.roster_update().expect("a seat is not written");
+    world.pool.confirm_roster(seats);
     assert_eq!(world.plan().len(), 4);
 }
 
@@ -143,7 +143,7 @@
     //   that its predecessor starts just then on one not yet looked at.
     // Cause: the fence protects only workers that have seen it.
     let mut world = World::new(2);
-    let seats = world.pool.roster_seats();
+    let seats = world.pool.written_roster();
     world.pool = owner(FENCE + 50, world.now);
     world.pool.set_roster(seats);
     world.pool.set_workers(at(world.now), &world.entries);
@@ -162,7 +162,7 @@
     let job = world.submit(1, vec![step(1, 1_000)]);
     world.plan();
     let holder = world.where_runs(first(job))[0].to_owned();
-    let seats = world.pool.roster_seats();
+    let seats = world.pool.written_roster();
     let grants_end = at(world.now + 60_000);
     world.pool = Pool::new(Config::new(FENCE + 50, grants_end));
     world.pool.set_queues(common::queues());
--- a/crates/jobs/tests/unloaded.rs
+++ b/crates/jobs/tests/unloaded.rs
@@ -24,13 +24,13 @@
     let id = world.submit(1, steps.clone());
     world.run(500);
     let place = world.where_runs(first(id)).first().map(|at| (*at).to_owned()).expect("it runs");
-    let seats = world.pool.roster_seats();
+    let seats = world.pool.written_roster();
 
-    let grants = owner(FENCE + 1, world.now).grants(at(world.now));
+    let grants = owner(FENCE + 1, world.now).granted_leases(at(world.now));
     let mut third = owner(FENCE + 2, world.now);
     third.set_roster(seats);
     if let Some(grants) = grants {
-        third.set_inherited(at(world.now), &grants);
+        third.set_inherited_leases(at(world.now), &grants);
     }
     let job = Job::new("run".to_owned(), steps).expect("a job");
     let record = Record { queue: "q".to_owned(), accepted_ms: 0, job };
@@ -38,10 +38,10 @@
     third.set_workers(at(world.now), &world.entries);
     let keys: Vec<_> = third.workers().collect();
     for key in keys {
-        let look = third.next_look(at(world.now), key).expect("a look");
+        let look = third.next_poll(at(world.now), key).expect("a look");
         let report = Report { clock_ms: world.now, ..Report::default() };
         let answer = if look.id == place { Answer::Lost } else { Answer::Done(report) };
-        third.looked(at(world.now), at(world.now), key, &answer);
+        third.handle_poll_answer(at(world.now), at(world.now), key, &answer);
     }
     world.now += 100;
     assert!(world.workers[&place].deadline > world.now, "its lease holds");
