--- a/crates/jobs/src/queue.rs
+++ b/crates/jobs/src/queue.rs
@@ -10,7 +10,7 @@
     /// How many failed runs of a task fail its job.
     pub attempts: u32,
     /// A job is in time within so many times its longest chain, and
-    /// [`Queue::aim`] more.
+    /// [`Queue::slack`] more.
     pub stretch: f64,
     /// See [`Queue::stretch`].
     pub slack: Duration,
