--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -1,26 +1,26 @@
 //! The work of one pool of workers.
 
 mod advice;
+mod batch;
 mod choose;
 mod crash;
-mod ends;
+mod departed;
+mod entry;
 mod evacuate;
+mod exits;
 mod explain;
 mod gang;
 mod jobs;
-mod journal;
 mod load;
-mod look;
 mod order;
-mod over;
 mod pace;
-mod place;
+mod plan;
+mod poll;
 mod progress;
+mod ranking;
 mod reserve;
 mod runs;
 mod shrink;
-mod table;
-mod turns;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -30,11 +30,11 @@
 use slotmap::SlotMap;
 
 pub use advice::{Advice, Query};
+pub use batch::{Batch, Update};
 pub use explain::{Explained, Part};
-pub use journal::{Batch, Update};
 pub use load::Load;
-pub use look::{Poll, Report};
 pub use order::{Action, Answer, Order};
+pub use poll::{Poll, Report};
 
 use crate::estimate::Estimate;
 use crate::feature::Feature;
@@ -44,8 +44,8 @@
 use crate::record::State;
 use crate::task;
 use crate::worker::{self, Worker};
-use over::Over;
-use table::Entry;
+use departed::Over;
+use entry::Entry;
 
 slotmap::new_key_type! {
     /// A job of a pool.
@@ -210,7 +210,7 @@
     pub fn is_done(&self, name: task::Name) -> bool {
         let Some(entry) = self.entry(name.job) else { return false };
         let task = entry.task(name);
-        task.map_or(entry.state == State::Completed, |task| matches!(task.at, table::At::Done))
+        task.map_or(entry.state == State::Completed, |task| matches!(task.at, entry::At::Done))
     }
 
     /// How many jobs of `queue` have no started task.
--- a/crates/jobs/src/pool/advice.rs
+++ b/crates/jobs/src/pool/advice.rs
@@ -14,8 +14,8 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::table::name;
-use super::turns::Turn;
+use super::entry::name;
+use super::ranking::Turn;
 use crate::job::{Room, Step};
 use crate::task;
 use crate::worker::{self, Worker};
@@ -260,7 +260,7 @@
     worker.room.cpu.saturating_sub(worker.used.cpu)
 }
 
-impl super::table::Entry {
+impl super::entry::Entry {
     pub(super) fn advice(&self, task: task::Name) -> Option<&Known> {
         let row = self.occurrences.get(&task.occurrence)?;
         row.steps.get(task.step as usize).map(|state| &state.advice)
--- a/crates/jobs/src/pool/crash.rs
+++ b/crates/jobs/src/pool/crash.rs
@@ -11,7 +11,7 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::table::{Phase, Place};
+use super::entry::{Phase, Place};
 use crate::record::State;
 use crate::task;
 use crate::worker;
--- a/crates/jobs/src/pool/evacuate.rs
+++ b/crates/jobs/src/pool/evacuate.rs
@@ -5,8 +5,8 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::ends::AVOID;
-use super::table::{At, Entry, Phase, Place, StepState};
+use super::entry::{At, Entry, Phase, Place, StepState};
+use super::exits::AVOID;
 use crate::feature::Feature;
 use crate::job::Step;
 use crate::task;
--- a/crates/jobs/src/pool/ends.rs
+++ b/crates/jobs/src/pool/exits.rs
@@ -6,7 +6,7 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::table::At;
+use super::entry::At;
 use crate::record::State;
 use crate::task::{self, Exit, Outcome};
 use crate::worker::{self, Pending, Stray};
--- a/crates/jobs/src/pool/explain.rs
+++ b/crates/jobs/src/pool/explain.rs
@@ -5,7 +5,7 @@
 
 use super::Pool;
 use super::advice::suits;
-use super::table::{At, Entry, Occurrence, StepState, name};
+use super::entry::{At, Entry, Occurrence, StepState, name};
 use crate::feature::Feature;
 use crate::id::JobId;
 use crate::job::{Room, Step};
--- a/crates/jobs/src/pool/gang.rs
+++ b/crates/jobs/src/pool/gang.rs
@@ -5,9 +5,9 @@
 use corianderfork_model::Time;
 
 use super::Pool;
+use super::entry::{At, name};
 use super::order::Order;
-use super::table::{At, name};
-use super::turns::Turn;
+use super::ranking::Turn;
 use crate::job::Step;
 use crate::task;
 use crate::worker;
--- a/crates/jobs/src/pool/jobs.rs
+++ b/crates/jobs/src/pool/jobs.rs
@@ -4,7 +4,7 @@
 
 use corianderfork_model::Time;
 
-use super::table::{At, Phase, new_entry};
+use super::entry::{At, Phase, new_entry};
 use super::{JobKey, Pool};
 use crate::id::JobId;
 use crate::job::{Job, Step, chain_ms};
@@ -170,7 +170,7 @@
     }
 
     /// Notes that a job has something to write: at once for what callers wait
-    /// for, else with what comes within [`super::journal::LINGER`].
+    /// for, else with what comes within [`super::batch::LINGER`].
     pub(super) fn touch(&mut self, now: Time, id: JobId, urgent: bool) -> u64 {
         let Some(entry) = self.entry_mut(id) else { return 0 };
         let is_clean = entry.version == entry.written;
@@ -180,7 +180,7 @@
             self.dirty.retain(|(_, dirty)| *dirty != id);
             self.dirty.insert((Time::ZERO, id));
         } else if is_clean || !self.dirty.iter().any(|(_, dirty)| *dirty == id) {
-            self.dirty.insert((now + super::journal::LINGER, id));
+            self.dirty.insert((now + super::batch::LINGER, id));
         }
         version
     }
--- a/crates/jobs/src/pool/load.rs
+++ b/crates/jobs/src/pool/load.rs
@@ -5,7 +5,7 @@
 use corianderfork_model::Time;
 use serde::{Deserialize, Serialize};
 
-use super::table::{Entry, Occurrence};
+use super::entry::{Entry, Occurrence};
 use super::{Pool, advice, evacuate};
 use crate::job::{Room, Step, chain_ms};
 use crate::task;
--- a/crates/jobs/src/pool/order.rs
+++ b/crates/jobs/src/pool/order.rs
@@ -7,8 +7,8 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::ends::AVOID;
-use super::table::{At, Phase};
+use super::entry::{At, Phase};
+use super::exits::AVOID;
 use crate::job::Room;
 use crate::task;
 use crate::worker::{self, Worker};
@@ -176,7 +176,7 @@
         }
     }
 
-    fn current(&mut self, order: &Order) -> Option<&mut super::table::Place> {
+    fn current(&mut self, order: &Order) -> Option<&mut super::entry::Place> {
         let place = self.entry_mut(order.task.job)?.place_mut(order.task)?;
         (place.run == order.run && place.worker == order.worker).then_some(place)
     }
@@ -204,7 +204,7 @@
     /// Orders that have to be sent again, and stops that were asked for.
     pub(super) fn pending_orders(&mut self, now: Time, orders: &mut Vec<Order>) {
         let placed: Vec<task::Name> =
-            self.jobs.values().flat_map(super::table::Entry::placed).collect();
+            self.jobs.values().flat_map(super::entry::Entry::placed).collect();
         for name in placed {
             let Some(place) = self.entry(name.job).and_then(|entry| entry.place(name)) else {
                 continue;
--- a/crates/jobs/src/pool/pace.rs
+++ b/crates/jobs/src/pool/pace.rs
@@ -5,8 +5,8 @@
 use corianderfork_model::Time;
 
 use super::Pool;
+use super::entry::Phase;
 use super::order::{Action, Order};
-use super::table::Phase;
 use crate::task;
 use crate::worker;
 
--- a/crates/jobs/src/pool/place.rs
+++ b/crates/jobs/src/pool/plan.rs
@@ -6,9 +6,9 @@
 use corianderfork_model::Time;
 
 use super::Pool;
+use super::entry::{At, Phase, Place, StepState, name};
 use super::order::{Action, Order};
-use super::table::{At, Phase, Place, StepState, name};
-use super::turns::Turn;
+use super::ranking::Turn;
 use crate::feature::Feature;
 use crate::job::{Room, Step};
 use crate::task;
--- a/crates/jobs/src/pool/progress.rs
+++ b/crates/jobs/src/pool/progress.rs
@@ -1,6 +1,6 @@
 //! How far a job is, as it is written and read back.
 
-use super::table::{At, Entry, Occurrence, name};
+use super::entry::{At, Entry, Occurrence, name};
 use crate::id::JobId;
 use crate::record::Progress;
 use crate::task;
--- a/crates/jobs/src/pool/turns.rs
+++ b/crates/jobs/src/pool/ranking.rs
@@ -4,7 +4,7 @@
 
 use corianderfork_model::Time;
 
-use super::table::{Entry, Occurrence};
+use super::entry::{Entry, Occurrence};
 use super::{JobKey, Pool};
 use crate::job::chain_ms;
 
--- a/crates/jobs/src/pool/reserve.rs
+++ b/crates/jobs/src/pool/reserve.rs
@@ -36,7 +36,7 @@
 
 use super::Pool;
 use super::advice::could;
-use super::table::{At, Entry, Phase, StepState, name};
+use super::entry::{At, Entry, Phase, StepState, name};
 use crate::job::{Room, Step};
 use crate::task;
 use crate::worker::{self, Worker};
@@ -237,7 +237,7 @@
     begun: Time,
     state: &StepState,
 ) -> impl Iterator<Item = (usize, Time)> + '_ {
-    let since = move |(index, task): (usize, &super::table::Task)| {
+    let since = move |(index, task): (usize, &super::entry::Task)| {
         let since = match &task.at {
             At::Waiting => task.not_before.max(begun),
             At::On(place) => place.since,
--- a/crates/jobs/src/pool/runs.rs
+++ b/crates/jobs/src/pool/runs.rs
@@ -5,8 +5,8 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::look::Report;
-use super::table::{At, Entry, Phase, Place};
+use super::entry::{At, Entry, Phase, Place};
+use super::poll::Report;
 use crate::record::State;
 use crate::task::{self, Run};
 use crate::worker::{self, Hosted, Stray};
--- a/crates/jobs/src/pool/shrink.rs
+++ b/crates/jobs/src/pool/shrink.rs
@@ -6,7 +6,7 @@
 
 use corianderfork_model::Time;
 
-use super::table::StepState;
+use super::entry::StepState;
 use super::{Pool, advice};
 use crate::feature::Feature;
 use crate::job::{Room, Step};
