--- a/crates/jobs/src/pool/explain.rs
+++ b/crates/jobs/src/pool/explain.rs
@@ -5,7 +5,7 @@
 
 use super::Pool;
 use super::advice::suits;
-use super::table::{At, Entry, Occurrence, StepState, name};
+use super::entry::{At, Entry, Occurrence, StepState, name};
 use crate::feature::Feature;
 use crate::id::JobId;
 use crate::job::{Room, Step};
@@ -133,7 +133,7 @@
                 self.why_kept(task, &fit)
             );
         }
-        match &step.near {
+        match &step.preferred_rack {
             Some(rack) => format!("waits for room in rack {rack}, where its data is"),
             None => format!(
                 "{with_room} workers have room; it goes with the next plan, or its last run failed or was refused a moment ago"
--- a/crates/jobs/src/pool/shrink.rs
+++ b/crates/jobs/src/pool/shrink.rs
@@ -6,7 +6,7 @@
 
 use corianderfork_model::Time;
 
-use super::table::StepState;
+use super::entry::StepState;
 use super::{Pool, advice};
 use crate::feature::Feature;
 use crate::job::{Room, Step};
@@ -134,7 +134,7 @@
 /// workers aren't let go, and where it fills them they would not be taken for ones that
 /// can run it.
 fn is_open(step: &Step, state: &StepState) -> bool {
-    if step.lasts { state.waiting > 0 } else { state.left > 0 }
+    if step.long_running { state.waiting > 0 } else { state.left > 0 }
 }
 
 /// Whether some workers may not run a step, as far as can be told at once.
