--- a/benches/slopes/controller.rs
+++ b/benches/slopes/controller.rs
@@ -2,7 +2,7 @@
 
 use corianderfork::model::{Fleet, Time};
 use corianderfork::policy::state::Copy;
-use corianderfork::policy::{Act, Config, Directive, State, decide};
+use corianderfork::policy::{Config, Directive, Operation, State, decide};
 
 use crate::fit::{Series, micros, print_resident, resident_kib};
 use crate::fleet;
@@ -37,12 +37,12 @@
     let mut now = Time::from_millis(1_000_000_000_000);
     let mut state = State::new(fleet, now);
     for vm in fleet.vm_ids() {
-        state.vm_mut(vm).maintained = Some(now);
+        state.vm_mut(vm).maintained_at = Some(now);
     }
     let (directive, config) = (Directive::default(), Config::default());
     for _ in 0..ROUNDS {
         for step in decide(fleet, &state, &directive, &config, now).steps {
-            carry_out(&mut state, step.act, now);
+            carry_out(&mut state, step.operation, now);
         }
         now = Time::from_millis(now.as_millis() + PERIOD_MS);
     }
@@ -51,16 +51,16 @@
     (state, now)
 }
 
-fn carry_out(state: &mut State, act: Act, now: Time) {
+fn carry_out(state: &mut State, act: Operation, now: Time) {
     match act {
-        Act::Start { vm, service } => {
+        Operation::Start { vm, service } => {
             let mut copy = Copy::new(service, now);
             copy.warm = true;
             let copies = &mut state.vm_mut(vm).copies;
             copies.retain(|copy| copy.service != service);
             copies.push(copy);
         }
-        Act::Stop { vm, service } => {
+        Operation::Stop { vm, service } => {
             state.vm_mut(vm).copies.retain(|copy| copy.service != service);
         }
         // Nothing is due and nothing fails, so no VM is drained or moved.
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -59,7 +59,7 @@
 fn refused(error: &list::Error, end: Span, sink: &mut Sink<'_>) {
     let (kind, help) = match error {
         list::Error::TooMany(count) => (Kind::TooManyRules(*count), "join some by `or`"),
-        list::Error::NoLastResort(name) => {
+        list::Error::NoFallback(name) => {
             (Kind::NoLastResort(name.to_string()), "add a last rule with `when = always`")
         }
         _ => (Kind::NoRule, "add `[rule.otherwise]` with `when = always`"),
@@ -72,7 +72,7 @@
     for finding in lint(list) {
         let at = sections[finding.rule].span_of("when");
         let help = finding.kind.help();
-        let is_never = finding.kind.is_never();
+        let is_never = finding.kind.never_matches();
         let kind = Kind::Lint { name: finding.name.to_string(), kind: finding.kind };
         if is_never {
             sink.warn(at, kind, help);
--- a/crates/controller/src/plan/carry.rs
+++ b/crates/controller/src/plan/carry.rs
@@ -5,7 +5,7 @@
 use corianderfork_model::service::ServiceId;
 use corianderfork_model::{Fleet, Name};
 use corianderfork_policy::state::Purpose;
-use corianderfork_policy::{Act, Reason, Step};
+use corianderfork_policy::{Operation, Reason, Step};
 use corianderfork_provider::fleet::TaskState;
 use corianderfork_provider::record::Phase;
 
@@ -24,7 +24,7 @@
 ) {
     planner.stops.retain_asked(steps, fleet, inputs);
     for step in steps {
-        let name = &fleet.vm(step.act.vm()).name;
+        let name = &fleet.vm(step.operation.vm()).name;
         if planner.is_busy(name) {
             continue;
         }
@@ -33,11 +33,11 @@
 }
 
 fn who(step: &Step, rule: &str) -> String {
-    match step.why {
+    match step.reason {
         Reason::Wave => "wave".to_owned(),
         Reason::Due => "maintenance".to_owned(),
-        Reason::Asked => "operator".to_owned(),
-        _ => format!("rule {rule}: {}", step.why),
+        Reason::Requested => "operator".to_owned(),
+        _ => format!("rule {rule}: {}", step.reason),
     }
 }
 
@@ -49,31 +49,33 @@
     step: &Step,
     who: &str,
 ) {
-    let name = &fleet.vm(step.act.vm()).name;
+    let name = &fleet.vm(step.operation.vm()).name;
     let Some(held) = inputs.view.vm(name) else { return };
     let (record, unix) = (&held.record, inputs.unix);
-    match step.act {
-        Act::Start { service, .. } => start(fleet, inputs, turn, name, service),
-        Act::Stop { service, .. } => stop(planner, fleet, inputs, turn, name, service),
-        Act::Drain { vm, purpose } if record.phase == Phase::Serving => {
+    match step.operation {
+        Operation::Start { service, .. } => start(fleet, inputs, turn, name, service),
+        Operation::Stop { service, .. } => stop(planner, fleet, inputs, turn, name, service),
+        Operation::Drain { vm, purpose } if record.phase == Phase::Serving => {
             let (why, to) = drain_for(fleet, inputs, vm, purpose);
             turn.write(name, held, change::draining(record, &why, to, unix), who);
         }
-        Act::Reboot { .. } if record.phase == Phase::Drained => {
+        Operation::Reboot { .. } if record.phase == Phase::Drained => {
             turn.write(name, held, change::rebooting(record, unix), who);
         }
         // A copy of the old pool that still runs would serve beside the new
         // pool's, so the switch waits until the list has none.
-        Act::SwitchPool { vm, to } if record.phase == Phase::Drained && is_empty(inputs, name) => {
+        Operation::SwitchPool { vm, to }
+            if record.phase == Phase::Drained && is_empty(inputs, name) =>
+        {
             let lent = fleet.vm(vm).home != to;
             let to = &fleet.pool(to).name;
             turn.write(name, held, change::switched(record, to, lent, unix), who);
         }
-        Act::Admit { .. } if may_serve(record.phase) => {
+        Operation::Admit { .. } if may_serve(record.phase) => {
             let runners = follow::runners(planner, fleet, inputs, name, record);
             turn.write(name, held, change::serving(record, runners, unix), who);
         }
-        Act::SetOut { .. } if record.phase == Phase::Drained => {
+        Operation::SetOut { .. } if record.phase == Phase::Drained => {
             turn.write(name, held, change::out(record, "unfit", unix), who);
         }
         _ => {}
--- a/crates/controller/src/plan/count.rs
+++ b/crates/controller/src/plan/count.rs
@@ -2,7 +2,7 @@
 
 use corianderfork_model::service::{Service, ServiceId};
 use corianderfork_model::{Fleet, Name, Time};
-use corianderfork_policy::{Act, State, Step};
+use corianderfork_policy::{Operation, State, Step};
 
 use crate::plan::load::Sampler;
 use crate::plan::situation::{Copies, copies};
@@ -30,7 +30,7 @@
 ) -> Vec<Count> {
     let mut counts = copies(state);
     for step in steps {
-        if let Act::Start { service, .. } = step.act {
+        if let Operation::Start { service, .. } = step.operation {
             counts.entry(service).or_default().licensed += 1;
         }
     }
--- a/crates/controller/src/plan/directive.rs
+++ b/crates/controller/src/plan/directive.rs
@@ -45,7 +45,7 @@
         Action::WavePause => directive.pace = Pace::Paused,
         Action::Shed(class) => directive.shed = Some(*class),
         Action::RefuseMoves => directive.refuse_moves = true,
-        Action::Order(services) => directive.order.clone_from(services),
+        Action::Order(services) => directive.placement_order.clone_from(services),
         _ => log::warn!("the rules ask for what this version does not know: {action:?}"),
     }
 }
--- a/crates/controller/src/plan/explain.rs
+++ b/crates/controller/src/plan/explain.rs
@@ -4,7 +4,7 @@
 use corianderfork_policy::{Note, Step};
 use corianderfork_provider::record::Explain;
 use corianderfork_rules::Explanation;
-use corianderfork_rules::explain::Seen;
+use corianderfork_rules::explain::Observation;
 
 /// How many lines of one kind are kept: a record has to fit the store's value.
 const LINES: usize = 200;
@@ -34,15 +34,15 @@
     let actions = decision.actions().iter().map(|action| action.describe(fleet));
     let steps = source.steps.iter().map(|step| step.to_text(fleet));
     let notes = source.notes.iter().map(|note| note_text(note, fleet));
-    let passed = source.explanation.passed().iter().map(|passed| {
-        let seen: Vec<String> = passed.seen.iter().map(Seen::to_string).collect();
-        format!("{}: `{}` is {:?}: {}", passed.name, passed.when, passed.truth, seen.join("; "))
+    let passed = source.explanation.skipped().iter().map(|rule| {
+        let seen: Vec<String> = rule.observations.iter().map(Observation::to_string).collect();
+        format!("{}: `{}` is {:?}: {}", rule.name, rule.when, rule.truth, seen.join("; "))
     });
     Explain {
         at_ms: source.unix.as_millis(),
         config: source.config,
         rule: decision.name().to_string(),
-        seen: bounded(decision.seen().iter().map(Seen::to_string)),
+        seen: bounded(decision.observations().iter().map(Observation::to_string)),
         passed: bounded(passed),
         steps: bounded(actions.map(|text| format!("rule: {text}")).chain(steps)),
         problems: bounded(notes.chain(source.problems.iter().cloned())),
@@ -70,7 +70,7 @@
     (explain.config, explain.rule.clone(), seen, passed, told)
 }
 
-/// Cuts the ages that [`Seen`] prints.
+/// Cuts the ages that [`Observation`] prints.
 fn strip_ages(line: &str) -> String {
     let parts = line.split("; ").map(|part| match part.rfind(", ") {
         Some(at) if part.ends_with("ms old") => &part[..at],
@@ -83,21 +83,23 @@
 pub fn note_text(note: &Note, fleet: &Fleet) -> String {
     let service = |id: &_| &fleet.service(*id).name;
     match note {
-        Note::Never { service: id, why } => format!("{} can never run: {why}", service(id)),
+        Note::Unschedulable { service: id, reason } => {
+            format!("{} can never run: {reason}", service(id))
+        }
         Note::Backoff { service: id, failed, next } => format!(
             "{}: {failed} starts failed in a row; the next try is at {} ms since the epoch",
             service(id),
             next.as_millis()
         ),
-        Note::Impossible { service: id, least, most } => format!(
-            "{}: its budget asks for {least} copies, but at most {most} can be had; \
+        Note::ConflictingLimits { service: id, min, max } => format!(
+            "{}: its budget asks for {min} copies, but at most {max} can be had; \
              raise licences or max_copies",
             service(id)
         ),
         Note::Licences { service: id, missing } => {
             format!("{}: {missing} copies are missing for want of licences", service(id))
         }
-        Note::Room { service: id, missing } => {
+        Note::NoRoom { service: id, missing } => {
             format!("{}: {missing} copies are missing for want of room in its pool", service(id))
         }
         Note::Quota { service: id, team } => format!(
@@ -109,18 +111,18 @@
             "{}: {missing} copies would be missing after the failure its budget names",
             service(id)
         ),
-        Note::Stale { service: id } => {
+        Note::StaleLoad { service: id } => {
             format!("{}: no report of its load is fresh; its copies are held", service(id))
         }
         Note::Unfit { vm } => format!("{} fails what is started on it", fleet.vm(*vm).name),
         Note::Halted { failing, back } => {
             format!("maintenance is halted: {failing} of {back} VMs came back failing")
         }
-        Note::Waits { service: id } => {
+        Note::WaitsForBudget { service: id } => {
             format!("a drain waits for the budget of {}", service(id))
         }
-        Note::Late { pool, overdue } => format!(
-            "{overdue} VMs of pool {} are past their day of maintenance",
+        Note::Overdue { pool, vms } => format!(
+            "{vms} VMs of pool {} are past their day of maintenance",
             fleet.pool(*pool).name
         ),
         _ => format!("{note:?}"),
--- a/crates/controller/src/plan/follow.rs
+++ b/crates/controller/src/plan/follow.rs
@@ -7,7 +7,7 @@
 use corianderfork_coord::drain::{Reason, Status, Wait};
 use corianderfork_model::place::VmId;
 use corianderfork_model::{Fleet, Name};
-use corianderfork_policy::{Act, Step};
+use corianderfork_policy::{Operation, Step};
 use corianderfork_provider::fleet::TaskState;
 use corianderfork_provider::record::{Phase, Runner, Vm};
 use corianderfork_provider::store::Expect;
@@ -164,7 +164,7 @@
         Next::Ask => turn.call(Action::Reboot(name.clone())),
         Next::Wait => {}
         Next::Back => {
-            planner.state.came_back(id, inputs.unix);
+            planner.state.record_reboot(id, inputs.unix);
             let record = change::rebooted(&held.record, inputs.unix);
             turn.write(name, held, record, "platform");
         }
@@ -206,8 +206,8 @@
 impl Turn {
     /// A turn that carries out `steps`.
     pub(crate) fn new(steps: &[Step]) -> Self {
-        let admitted = |step: &Step| match step.act {
-            Act::Admit { vm } => Some(vm),
+        let admitted = |step: &Step| match step.operation {
+            Operation::Admit { vm } => Some(vm),
             _ => None,
         };
         Self { admitted: steps.iter().filter_map(admitted).collect(), ..Self::default() }
--- a/crates/controller/src/plan/load.rs
+++ b/crates/controller/src/plan/load.rs
@@ -55,9 +55,9 @@
 
     fn end(&mut self, now: Time, unix: Time, fleet: &Fleet, sizer: &mut Sizer) {
         for (service, sum) in std::mem::take(&mut self.sums) {
-            let in_hand_milli = sum * 1000 / self.samples.max(1);
-            let load = Load { at: unix, in_hand_milli, ..Load::default() };
-            sizer.see_load(unix, fleet, service, load);
+            let in_flight_milli = sum * 1000 / self.samples.max(1);
+            let load = Load { at: unix, in_flight_milli, ..Load::default() };
+            sizer.record_load(unix, fleet, service, load);
         }
         self.history.push_back((now, self.now.clone()));
         while self.history.front().is_some_and(|(at, _)| now - *at > TREND) {
--- a/crates/controller/src/plan/mod.rs
+++ b/crates/controller/src/plan/mod.rs
@@ -183,7 +183,7 @@
             }
             let at = Time::from_millis(one.at_ms);
             let usage = Usage { at, milli_cores: one.milli_cores, memory_mib: one.memory_mib };
-            self.state.sizer.see_usage(unix, service, usage);
+            self.state.sizer.record_usage(unix, service, usage);
         }
         let listed: BTreeSet<Copy> =
             usage.iter().map(|one| (one.vm.clone(), one.service.clone())).collect();
--- a/crates/controller/src/plan/observe.rs
+++ b/crates/controller/src/plan/observe.rs
@@ -68,12 +68,12 @@
     let record = &held.record;
     row.pool = fleet.find_pool(record.pool.as_str()).unwrap_or(row.pool);
     row.since = Time::from_millis(record.since_ms);
-    row.maintained = (record.maintained_ms > 0).then(|| Time::from_millis(record.maintained_ms));
+    row.maintained_at = (record.maintained_ms > 0).then(|| Time::from_millis(record.maintained_ms));
     row.phase = phase(record, &row);
     row.purpose = purpose(fleet, id, record, view);
     let lost = is_lost(facts, name, record.phase);
-    row.lost = planner.tracker.lost(inputs.unix, name, lost);
-    row.drain_wanted = view.drain(name).is_some()
+    row.lost_since = planner.tracker.lost(inputs.unix, name, lost);
+    row.drain_requested = view.drain(name).is_some()
         || is_leaving(facts, name, record.phase)
         || (record.phase == Phase::Serving && rehomed(fleet, id, record).is_some());
     row.copies = copies(planner, fleet, inputs, name, record);
@@ -88,7 +88,7 @@
         Phase::Rebooting => state::Phase::Rebooting,
         // Back from a reboot, the VM was maintained in the same write; back
         // from another pool, it was not.
-        Phase::Returning if row.maintained.is_some_and(|then| then >= row.since) => {
+        Phase::Returning if row.maintained_at.is_some_and(|then| then >= row.since) => {
             state::Phase::Rebooting
         }
         Phase::Returning => state::Phase::Switching,
--- a/crates/controller/src/plan/situation.rs
+++ b/crates/controller/src/plan/situation.rs
@@ -73,7 +73,7 @@
 pub fn copies(state: &State) -> BTreeMap<ServiceId, Copies> {
     let mut copies: BTreeMap<ServiceId, Copies> = BTreeMap::new();
     for (_, vm) in state.vms() {
-        let up = vm.phase == Phase::Serving && vm.lost.is_none();
+        let up = vm.phase == Phase::Serving && vm.lost_since.is_none();
         for copy in &vm.copies {
             let row = copies.entry(copy.service).or_default();
             row.licensed += 1;
@@ -112,7 +112,7 @@
     // A domain is down if it has VMs and all of them are lost.
     let (mut racks, mut centres) = (BTreeMap::new(), BTreeMap::new());
     for (id, vm) in source.state.vms() {
-        let lost = vm.lost.is_some();
+        let lost = vm.lost_since.is_some();
         *racks.entry(fleet.vm(id).rack).or_insert(true) &= lost;
         *centres.entry(fleet.data_centre_of(id)).or_insert(true) &= lost;
     }
--- a/crates/controller/src/plan/stops.rs
+++ b/crates/controller/src/plan/stops.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use corianderfork_model::Fleet;
-use corianderfork_policy::{Act, Step};
+use corianderfork_policy::{Operation, Step};
 
 use crate::facts::{Copy, Facts};
 use crate::plan::Inputs;
@@ -36,8 +36,8 @@
     /// Drops what is no longer asked for, or gone.
     pub(crate) fn retain_asked(&mut self, steps: &[Step], fleet: &Fleet, inputs: &Inputs<'_>) {
         let asked = |copy: &Copy| {
-            steps.iter().any(|step| match step.act {
-                Act::Stop { vm, service } => {
+            steps.iter().any(|step| match step.operation {
+                Operation::Stop { vm, service } => {
                     fleet.vm(vm).name == copy.0 && fleet.service(service).name == copy.1
                 }
                 _ => false,
--- a/crates/controller/src/plan/track.rs
+++ b/crates/controller/src/plan/track.rs
@@ -75,7 +75,7 @@
                 track.warm = true;
                 let ids = (fleet.find_vm(copy.0.as_str()), fleet.find_service(copy.1.as_str()));
                 if let (Some(vm), Some(service)) = ids {
-                    state.start_succeeded(vm, service);
+                    state.record_start_success(vm, service);
                 }
             }
             TaskState::Starting if track.warm => *track = new,
@@ -139,7 +139,7 @@
 fn failed(unix: Time, fleet: &Fleet, copy: &Copy, state: &mut State) {
     let ids = (fleet.find_vm(copy.0.as_str()), fleet.find_service(copy.1.as_str()));
     if let (Some(vm), Some(service)) = ids {
-        state.start_failed(vm, service, unix);
+        state.record_start_failure(vm, service, unix);
     }
 }
 
--- a/crates/controller/src/plan/wave.rs
+++ b/crates/controller/src/plan/wave.rs
@@ -41,7 +41,7 @@
     let mut order = Order::new(began, deadline);
     // Failures listed while the wave is not halted are ones that an operator
     // has seen: clearing the halt is how they say to go on.
-    order.resumed = forgiven(wave, fleet, state);
+    order.resumed_at = forgiven(wave, fleet, state);
     state.wave = Some(order);
     spare_others(wave, fleet, state, began);
     if wave.halted.is_some() {
@@ -56,7 +56,7 @@
         return None;
     }
     let ids = wave.failed.iter().filter_map(|name| fleet.find_vm(name.as_str()));
-    let last = ids.filter_map(|id| state.vm(id).maintained).max()?;
+    let last = ids.filter_map(|id| state.vm(id).maintained_at).max()?;
     Some(last + Duration::from_millis(1))
 }
 
@@ -71,7 +71,7 @@
         let named = names.contains(&row.name);
         let vm = state.vm_mut(id);
         if !named && vm.phase == Phase::Serving {
-            vm.maintained = vm.maintained.max(Some(began));
+            vm.maintained_at = vm.maintained_at.max(Some(began));
         }
     }
 }
@@ -94,7 +94,7 @@
 }
 
 fn standing(vm: &Vm, began: Time) -> Standing {
-    let back = vm.maintained.is_some_and(|then| then >= began);
+    let back = vm.maintained_at.is_some_and(|then| then >= began);
     let serving = vm.phase == Phase::Serving;
     if !back {
         let out = vm.phase == Phase::Out;
@@ -111,7 +111,7 @@
     if unfit || all_fail || vm.failed_starts >= UNFIT {
         return Standing::Failing;
     }
-    let well = serving && vm.lost.is_none() && vm.copies.iter().all(|copy| copy.warm);
+    let well = serving && vm.lost_since.is_none() && vm.copies.iter().all(|copy| copy.warm);
     if well { Standing::Done } else { Standing::Doing }
 }
 
--- a/crates/controller/tests/waves.rs
+++ b/crates/controller/tests/waves.rs
@@ -106,7 +106,7 @@
     let mut state = State::new(&fleet, began);
     for vm in ["v1", "v2"] {
         let row = state.vm_mut(fleet.find_vm(vm).expect("it is there"));
-        (row.phase, row.maintained) = (state::Phase::Out, Some(back));
+        (row.phase, row.maintained_at) = (state::Phase::Out, Some(back));
     }
     let notes = [Note::Halted { failing: 2, back: 2 }];
     let halted = wave::advance(&world.store.wave(), &fleet, &state, &notes);
@@ -119,7 +119,7 @@
     let mut directive = Directive::default();
     wave::apply(&cleared, &fleet, &mut state, &mut directive);
     assert_eq!(directive.pace, Pace::AtMost(2));
-    let resumed = state.wave.as_ref().and_then(|order| order.resumed);
+    let resumed = state.wave.as_ref().and_then(|order| order.resumed_at);
     assert!(resumed > Some(back), "those failures no longer halt it");
 }
 
--- a/crates/policy/benches/policy/baseline.rs
+++ b/crates/policy/benches/policy/baseline.rs
@@ -7,7 +7,7 @@
 use corianderfork_model::place::{PoolId, Size, VmId};
 use corianderfork_model::service::{Outlasts, ServiceId};
 use corianderfork_policy::state::{Phase, Purpose, State};
-use corianderfork_policy::step::{Act, Reason, Step};
+use corianderfork_policy::step::{Operation, Reason, Step};
 
 use crate::fake::{Measures, Policy, real_services};
 use crate::shape::Shape;
@@ -30,18 +30,18 @@
 const FIXED_COPIES: usize = 10;
 const TARGET_USE: f64 = 0.6;
 
-fn step(act: Act) -> Step {
-    Step::new(act, Reason::Next)
+fn step(operation: Operation) -> Step {
+    Step::new(operation, Reason::NextPhase)
 }
 
 fn advance(state: &State, steps: &mut Vec<Step>) {
-    for (vm, row) in state.vms().filter(|(_, row)| row.lost.is_none()) {
+    for (vm, row) in state.vms().filter(|(_, row)| row.lost_since.is_none()) {
         match row.phase {
-            Phase::Drained => steps.push(step(Act::Reboot { vm })),
-            Phase::Rebooting if row.maintained.is_some_and(|at| at >= row.since) => {
-                steps.push(step(Act::Admit { vm }));
+            Phase::Drained => steps.push(step(Operation::Reboot { vm })),
+            Phase::Rebooting if row.maintained_at.is_some_and(|at| at >= row.since) => {
+                steps.push(step(Operation::Admit { vm }));
                 let copies = row.copies.iter().map(|copy| copy.service);
-                steps.extend(copies.map(|service| step(Act::Start { vm, service })));
+                steps.extend(copies.map(|service| step(Operation::Start { vm, service })));
             }
             _ => {}
         }
@@ -54,18 +54,19 @@
     let Some(order) = &state.wave else { return Vec::new() };
     let vms = || state.vms().filter(|(id, _)| shape.fleet.vm(*id).home == pool);
     let unsettled = |vm: &&corianderfork_policy::state::Vm| {
-        let back = vm.maintained.is_some_and(|at| at >= order.begun);
+        let back = vm.maintained_at.is_some_and(|at| at >= order.started_at);
         let weak = back && vm.copies.iter().any(|copy| !copy.warm);
-        vm.phase != Phase::Serving || weak || vm.lost.is_some()
+        vm.phase != Phase::Serving || weak || vm.lost_since.is_some()
     };
     let under_way = vms().map(|(_, vm)| vm).filter(unsettled).count();
-    let waiting =
-        vms().filter(|(_, vm)| order.awaits(vm) && vm.phase == Phase::Serving && vm.lost.is_none());
+    let waiting = vms().filter(|(_, vm)| {
+        order.is_pending(vm) && vm.phase == Phase::Serving && vm.lost_since.is_none()
+    });
     waiting.map(|(id, _)| id).take(most.saturating_sub(under_way)).collect()
 }
 
 fn drain(vm: VmId) -> Step {
-    step(Act::Drain { vm, purpose: Purpose::Maintenance })
+    step(Operation::Drain { vm, purpose: Purpose::Maintenance })
 }
 
 impl Policy for Fixed {
@@ -77,14 +78,14 @@
         for (id, vm) in state.vms() {
             load[id.index()] = vm.copies.len();
             for copy in &vm.copies {
-                held[copy.service.index()].push((id, vm.lost.is_some() || copy.failing));
+                held[copy.service.index()].push((id, vm.lost_since.is_some() || copy.failing));
             }
         }
         for (service, row) in shape.fleet.services().take(real_services(shape)) {
             let held = &held[service.index()];
             for &(vm, out) in held {
                 if out {
-                    steps.push(step(Act::Stop { vm, service }));
+                    steps.push(step(Operation::Stop { vm, service }));
                 }
             }
             if held.len() >= FIXED_COPIES {
@@ -94,14 +95,14 @@
                 let state = state.vm(*vm);
                 state.pool == row.pool
                     && state.phase == Phase::Serving
-                    && state.lost.is_none()
+                    && state.lost_since.is_none()
                     && state.failed_starts < UNFIT
                     && state.copies.iter().all(|copy| copy.service != service && !copy.failing)
             };
             let vms = shape.fleet.vm_ids().filter(fits);
             if let Some(vm) = vms.min_by_key(|vm| (load[vm.index()], *vm)) {
                 load[vm.index()] += 1;
-                steps.push(step(Act::Start { vm, service }));
+                steps.push(step(Operation::Start { vm, service }));
             }
         }
         for pool in shape.fleet.pool_ids() {
@@ -125,7 +126,7 @@
             })
             .collect();
         let usable = |(id, vm): (VmId, &corianderfork_policy::state::Vm)| {
-            let good = vm.phase == Phase::Serving && vm.lost.is_none();
+            let good = vm.phase == Phase::Serving && vm.lost_since.is_none();
             (good && vm.failed_starts < UNFIT && !leaving.contains(&id)).then_some(id)
         };
         let vms: Vec<VmId> = state.vms().filter_map(usable).collect();
@@ -154,7 +155,7 @@
         let mut held = vec![Vec::new(); shape.fleet.services().len()];
         for (id, vm) in state.vms() {
             for copy in &vm.copies {
-                let able = copy.warm && vm.phase == Phase::Serving && vm.lost.is_none();
+                let able = copy.warm && vm.phase == Phase::Serving && vm.lost_since.is_none();
                 held[copy.service.index()].push((id, able));
             }
         }
@@ -170,7 +171,7 @@
                         complete = false;
                         if licences > 0 {
                             licences -= 1;
-                            steps.push(step(Act::Start { vm, service }));
+                            steps.push(step(Operation::Start { vm, service }));
                         }
                     }
                 }
@@ -178,9 +179,9 @@
             let full = held.len() >= row.licences as usize;
             let mut extra = held.iter().filter(|(vm, _)| !self.packed.contains(&(service, *vm)));
             if complete {
-                steps.extend(extra.map(|&(vm, _)| step(Act::Stop { vm, service })));
+                steps.extend(extra.map(|&(vm, _)| step(Operation::Stop { vm, service })));
             } else if full && let Some(&(vm, _)) = extra.next() {
-                steps.push(step(Act::Stop { vm, service }));
+                steps.push(step(Operation::Stop { vm, service }));
             }
         }
     }
--- a/crates/policy/benches/policy/fake.rs
+++ b/crates/policy/benches/policy/fake.rs
@@ -9,7 +9,7 @@
 use corianderfork_model::service::{Outlasts, ServiceId};
 use corianderfork_policy::sizing::{Load, Usage};
 use corianderfork_policy::state::{Copy, Phase, State, Vm};
-use corianderfork_policy::step::{Act, Step};
+use corianderfork_policy::step::{Operation, Step};
 use corianderfork_policy::wave::Order;
 
 use crate::shape::{Part, Shape};
@@ -103,7 +103,7 @@
         for &id in &ids {
             // Long ago enough to be spread, late enough that none is due.
             let days = id.index() as u64 % 10;
-            state.vm_mut(id).maintained = Some(time(shape.begin.saturating_sub(days * 1440)));
+            state.vm_mut(id).maintained_at = Some(time(shape.begin.saturating_sub(days * 1440)));
         }
         place_evenly(shape, &mut state);
         Self {
@@ -129,7 +129,7 @@
     }
 
     fn bad(&self, vm: VmId) -> bool {
-        let back = |at| self.state.vm(vm).maintained.is_some_and(|then| then > time(at));
+        let back = |at| self.state.vm(vm).maintained_at.is_some_and(|then| then > time(at));
         self.shape.bad.iter().any(|bad| {
             bad.vm == vm.index()
                 && (bad.at..bad.at + bad.minutes).contains(&self.now)
@@ -157,8 +157,8 @@
         let bad = self.bad(id);
         let broken = ServiceId::from_index(self.shape.fleet.services().len() - 1);
         let vm = self.state.vm_mut(id);
-        if lost != vm.lost.is_some() {
-            vm.lost = lost.then_some(now);
+        if lost != vm.lost_since.is_some() {
+            vm.lost_since = lost.then_some(now);
             vm.copies.iter_mut().for_each(|copy| *copy = Copy::new(copy.service, now));
         }
         if lost {
@@ -167,8 +167,10 @@
         let age = (now - vm.since).as_secs() / 60;
         match vm.phase {
             Phase::Draining if age >= DRAIN => (vm.phase, vm.since) = (Phase::Drained, now),
-            Phase::Rebooting if age >= REBOOT && vm.maintained.is_none_or(|at| at < vm.since) => {
-                self.state.came_back(id, now);
+            Phase::Rebooting
+                if age >= REBOOT && vm.maintained_at.is_none_or(|at| at < vm.since) =>
+            {
+                self.state.record_reboot(id, now);
             }
             Phase::Serving => {}
             _ => return,
@@ -181,9 +183,9 @@
                 continue;
             }
             if fails && !copy.failing {
-                self.state.start_failed(id, copy.service, now);
+                self.state.record_start_failure(id, copy.service, now);
             } else if !fails && (copy.failing || !copy.warm) {
-                self.state.start_succeeded(id, copy.service);
+                self.state.record_start_success(id, copy.service);
             }
             let copy = &mut self.state.vm_mut(id).copies[at];
             (copy.warm, copy.failing) = (!fails, fails);
@@ -203,11 +205,11 @@
             let run = 0.05;
             let report = Load {
                 at: time(at),
-                in_hand_milli: (load.min(slots) * 1000.0) as u64,
+                in_flight_milli: (load.min(slots) * 1000.0) as u64,
                 arrivals_milli: (load / run * 1000.0) as u64,
                 refused_milli: ((load - slots).max(0.0) / run * 1000.0) as u64,
             };
-            self.state.sizer.see_load(now, &self.shape.fleet, service, report);
+            self.state.sizer.record_load(now, &self.shape.fleet, service, report);
             loads.push(load);
         }
         for id in self.shape.fleet.vm_ids() {
@@ -230,7 +232,7 @@
             milli_cores: of(declared.milli_cores),
             memory_mib: of(declared.memory_mib),
         };
-        self.state.sizer.see_usage(now, service, usage);
+        self.state.sizer.record_usage(now, service, usage);
     }
 
     fn apply(&mut self, step: Step) {
@@ -240,9 +242,9 @@
             let clock = (self.now / 1440, self.now / 60 % 24, self.now % 60);
             eprintln!("{clock:?} {}", step.to_text(&self.shape.fleet));
         }
-        let vm = self.state.vm_mut(step.act.vm());
-        match step.act {
-            Act::Start { service, .. } => {
+        let vm = self.state.vm_mut(step.operation.vm());
+        match step.operation {
+            Operation::Start { service, .. } => {
                 let held = vm.copies.iter_mut().find(|copy| copy.service == service);
                 match held {
                     Some(copy) => *copy = Copy::new(service, now),
@@ -252,28 +254,33 @@
                     }
                 }
             }
-            Act::Stop { service, .. } => {
+            Operation::Stop { service, .. } => {
                 let able = |copy: &Copy| copy.service == service && copy.warm && !copy.failing;
-                if vm.phase == Phase::Serving && vm.lost.is_none() && vm.copies.iter().any(able) {
+                if vm.phase == Phase::Serving
+                    && vm.lost_since.is_none()
+                    && vm.copies.iter().any(able)
+                {
                     self.measures.moves += counted(service);
                 }
                 vm.copies.retain(|copy| copy.service != service);
             }
-            Act::Drain { purpose, .. } => {
+            Operation::Drain { purpose, .. } => {
                 (vm.phase, vm.purpose, vm.since) = (Phase::Draining, Some(purpose), now);
             }
-            Act::Reboot { .. } => {
+            Operation::Reboot { .. } => {
                 self.measures.violations += u64::from(vm.phase != Phase::Drained);
                 (vm.phase, vm.since) = (Phase::Rebooting, now);
             }
-            Act::SwitchPool { to, .. } => {
+            Operation::SwitchPool { to, .. } => {
                 let clean = vm.phase == Phase::Drained && vm.copies.is_empty();
                 self.measures.violations += u64::from(!clean);
                 self.measures.moves += 1;
                 (vm.phase, vm.pool, vm.since) = (Phase::Switching, to, now);
             }
-            Act::Admit { .. } => (vm.phase, vm.purpose, vm.since) = (Phase::Serving, None, now),
-            Act::SetOut { .. } => (vm.phase, vm.since) = (Phase::Out, now),
+            Operation::Admit { .. } => {
+                (vm.phase, vm.purpose, vm.since) = (Phase::Serving, None, now)
+            }
+            Operation::SetOut { .. } => (vm.phase, vm.since) = (Phase::Out, now),
         }
     }
 
@@ -344,7 +351,7 @@
             return (done - begun) as f64 / 60.0;
         }
         let order = self.state.wave.as_ref();
-        let waits = |vm: &&Vm| order.is_none_or(|order| order.awaits(vm));
+        let waits = |vm: &&Vm| order.is_none_or(|order| order.is_pending(vm));
         let left = self.state.vms().map(|(_, vm)| vm).filter(waits).count() as f64;
         let done = self.state.vms().len() as f64 - left;
         (self.shape.end - begun) as f64 / 60.0 * (done + left) / done.max(1.0)
--- a/crates/policy/benches/policy/main.rs
+++ b/crates/policy/benches/policy/main.rs
@@ -55,7 +55,11 @@
 /// The policy as it was before its rounds: one VM of a pool at a time, copies
 /// given up after ten minutes, nothing learned from the day before.
 fn first_version() -> Config {
-    Config::new().hold(Duration::from_secs(600)).profile(false).surge(false).width(Width::Fixed(1))
+    Config::new()
+        .hold_time(Duration::from_secs(600))
+        .daily_profile(false)
+        .surge(false)
+        .width(Width::Fixed(1))
 }
 
 type Maker = fn() -> Box<dyn Policy>;
@@ -73,7 +77,7 @@
         row("fixed_one_at_a_time", || Box::new(baseline::Fixed), true),
         row("even_reshuffled", || Box::new(baseline::Reshuffle::default()), true),
         row("corianderfork_first", || own(first_version()), false),
-        row("corianderfork_no_profile", || own(Config::new().profile(false)), false),
+        row("corianderfork_no_profile", || own(Config::new().daily_profile(false)), false),
         row("corianderfork_no_surge", || own(Config::new().surge(false)), false),
         row("corianderfork_doubling", || own(Config::new().width(Width::Doubling)), false),
         row("corianderfork", || own(Config::new()), true),
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -34,7 +34,7 @@
             view.state.vm(vm).failed_starts,
             near(Outlasts::DataCentre, vm),
             near(Outlasts::Rack, vm),
-            wave::awaits(view, vm),
+            wave::is_pending(view, vm),
             Reverse(view.used[vm.index()].milli_cores),
             vm,
         )
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -20,21 +20,21 @@
 /// use corianderfork_policy::Config;
 /// use std::time::Duration;
 ///
-/// let config = Config::new().patience(Duration::from_secs(300)).surge(false);
+/// let config = Config::new().replace_delay(Duration::from_secs(300)).surge(false);
 /// assert_ne!(config, Config::default());
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     pub(crate) deviations: f64,
     pub(crate) prior_weight: f64,
-    pub(crate) hold: Option<Duration>,
-    pub(crate) profile: bool,
-    pub(crate) ahead: Duration,
-    pub(crate) lease_limit: Duration,
-    pub(crate) patience: Duration,
-    pub(crate) start_limit: Duration,
-    pub(crate) reboot_limit: Duration,
-    pub(crate) step: Duration,
+    pub(crate) hold_time: Option<Duration>,
+    pub(crate) daily_profile: bool,
+    pub(crate) lookahead: Duration,
+    pub(crate) lease_ttl: Duration,
+    pub(crate) replace_delay: Duration,
+    pub(crate) start_timeout: Duration,
+    pub(crate) reboot_timeout: Duration,
+    pub(crate) step_duration: Duration,
     pub(crate) width: Width,
     pub(crate) surge: bool,
 }
@@ -44,14 +44,14 @@
         Self {
             deviations: 3.0,
             prior_weight: 20.0,
-            hold: None,
-            profile: true,
-            ahead: Duration::from_secs(30 * 60),
-            lease_limit: Duration::from_secs(60),
-            patience: Duration::from_secs(15 * 60),
-            start_limit: Duration::from_secs(10 * 60),
-            reboot_limit: Duration::from_secs(30 * 60),
-            step: Duration::from_secs(12 * 60),
+            hold_time: None,
+            daily_profile: true,
+            lookahead: Duration::from_secs(30 * 60),
+            lease_ttl: Duration::from_secs(60),
+            replace_delay: Duration::from_secs(15 * 60),
+            start_timeout: Duration::from_secs(10 * 60),
+            reboot_timeout: Duration::from_secs(30 * 60),
+            step_duration: Duration::from_secs(12 * 60),
             width: Width::Tripling,
             surge: true,
         }
@@ -81,48 +81,48 @@
     /// How long a copy is kept after the load last called for it. By default
     /// it follows from the fleet's weights: as long as keeping it costs less
     /// than stopping it and starting it again.
-    pub fn hold(mut self, hold: Duration) -> Self {
-        self.hold = Some(hold);
+    pub fn hold_time(mut self, hold_time: Duration) -> Self {
+        self.hold_time = Some(hold_time);
         self
     }
 
     /// Whether the load at the same hour of the days before counts.
-    pub fn profile(mut self, on: bool) -> Self {
-        self.profile = on;
+    pub fn daily_profile(mut self, on: bool) -> Self {
+        self.daily_profile = on;
         self
     }
 
     /// How long a lost VM may go on running its copies: the time to live of
     /// the platform's leases. Until then they count against licences.
-    pub fn lease_limit(mut self, limit: Duration) -> Self {
-        self.lease_limit = limit;
+    pub fn lease_ttl(mut self, limit: Duration) -> Self {
+        self.lease_ttl = limit;
         self
     }
 
     /// How long a lost VM is waited for before its copies are replaced, as
     /// long as enough others are left.
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn replace_delay(mut self, replace_delay: Duration) -> Self {
+        self.replace_delay = replace_delay;
         self
     }
 
     /// How long a copy may take to its first answer before it counts as
     /// failing.
-    pub fn start_limit(mut self, limit: Duration) -> Self {
-        self.start_limit = limit;
+    pub fn start_timeout(mut self, limit: Duration) -> Self {
+        self.start_timeout = limit;
         self
     }
 
     /// How long a reboot may take before the VM counts as failing.
-    pub fn reboot_limit(mut self, limit: Duration) -> Self {
-        self.reboot_limit = limit;
+    pub fn reboot_timeout(mut self, limit: Duration) -> Self {
+        self.reboot_timeout = limit;
         self
     }
 
     /// How long draining, rebooting and warming one VM is taken to last, for
     /// forecasts.
-    pub fn step(mut self, step: Duration) -> Self {
-        self.step = step;
+    pub fn step_duration(mut self, step_duration: Duration) -> Self {
+        self.step_duration = step_duration;
         self
     }
 
--- a/crates/policy/src/directive.rs
+++ b/crates/policy/src/directive.rs
@@ -61,7 +61,7 @@
     /// no more than their budget's least copies.
     pub shed: Option<Class>,
     /// Services to be placed before all others, in this order.
-    pub order: Vec<ServiceId>,
+    pub placement_order: Vec<ServiceId>,
     /// VMs to be drained.
     pub drains: Vec<VmId>,
 }
--- a/crates/policy/src/due.rs
+++ b/crates/policy/src/due.rs
@@ -27,7 +27,7 @@
 
 /// When `vm` has to have been maintained again.
 fn deadline(view: &View<'_>, pool: PoolId, vm: VmId) -> Time {
-    let last = view.state.vm(vm).maintained.unwrap_or(Time::ZERO);
+    let last = view.state.vm(vm).maintained_at.unwrap_or(Time::ZERO);
     last + period(view, pool)
 }
 
@@ -41,7 +41,7 @@
 pub(crate) fn next(view: &View<'_>, pool: PoolId, under_way: u32) -> Vec<VmId> {
     let rate = per_day(view, pool);
     let today =
-        |vm: &&VmId| view.state.vm(**vm).maintained.is_some_and(|then| view.age(then) < DAY);
+        |vm: &&VmId| view.state.vm(**vm).maintained_at.is_some_and(|then| view.age(then) < DAY);
     let taken = view.pool(pool).iter().filter(today).count() as u32 + under_way;
     let room = rate.saturating_sub(taken);
     if room == 0 {
@@ -69,11 +69,11 @@
 pub(crate) fn overdue(view: &View<'_>, notes: &mut Vec<Note>) {
     for pool in view.fleet.pool_ids() {
         let past = |vm: &&VmId| {
-            view.state.vm(**vm).maintained.is_some() && deadline(view, pool, **vm) < view.now
+            view.state.vm(**vm).maintained_at.is_some() && deadline(view, pool, **vm) < view.now
         };
-        let overdue = view.pool(pool).iter().filter(past).count() as u32;
-        if overdue > 0 {
-            notes.push(Note::Late { pool, overdue });
+        let vms = view.pool(pool).iter().filter(past).count() as u32;
+        if vms > 0 {
+            notes.push(Note::Overdue { pool, vms });
         }
     }
 }
--- a/crates/policy/src/floor.rs
+++ b/crates/policy/src/floor.rs
@@ -58,7 +58,7 @@
         // The least copies too are to be left after the failure: else it takes
         // the service below its budget when it hits in the middle of a wave.
         let most = row.budget.max_copies.min(row.licences);
-        let need = demand.soon.max(least).min(most);
+        let need = demand.upcoming.max(least).min(most);
         let want = spread(need, level, domains).max(least);
         let able = want.saturating_sub(row.budget.unavailable.of(want)).max(need).max(least);
         Self { able, need, level }
--- a/crates/policy/src/forecast.rs
+++ b/crates/policy/src/forecast.rs
@@ -13,7 +13,7 @@
 use crate::directive::{Directive, Pace};
 use crate::floor;
 use crate::state::{Phase, Purpose, State};
-use crate::step::Act;
+use crate::step::Operation;
 use crate::view::{Host, View};
 use crate::wave::Order;
 
@@ -32,7 +32,7 @@
         /// The service whose budget holds the wave up.
         service: ServiceId,
         /// Copies missing.
-        more: u32,
+        missing: u32,
     },
     /// A pace that isn't paused or limited.
     Pace,
@@ -47,9 +47,9 @@
     /// When the last VM is back, if there is no end in sight: `None`.
     pub finish: Option<Time>,
     /// Whether that is within the deadline.
-    pub fits: bool,
+    pub meets_deadline: bool,
     /// VMs of each pool that won't have been maintained by the deadline.
-    pub left: Vec<(PoolId, u32)>,
+    pub remaining: Vec<(PoolId, u32)>,
     /// What would make it fit; empty if it does.
     pub remedies: Vec<Remedy>,
 }
@@ -78,8 +78,8 @@
 /// let order = Order::new(Time::from_millis(1), Time::from_millis(15 * 60_000));
 /// let now = Time::from_millis(1);
 /// let forecast = forecast(&fleet, &state, &directive, &config, &order, now);
-/// assert!(!forecast.fits);
-/// assert_eq!(forecast.left, [(pool, 1)]);
+/// assert!(!forecast.meets_deadline);
+/// assert_eq!(forecast.remaining, [(pool, 1)]);
 /// let finish = Time::from_millis(1 + 24 * 60_000);
 /// assert!(forecast.remedies.contains(&Remedy::Deadline(finish)));
 /// # Ok::<(), corianderfork_model::name::Error>(())
@@ -98,20 +98,20 @@
     let mut at = now;
     let mut by_deadline = None;
     for _ in 0..MOST_ROUNDS {
-        if at + config.step > order.deadline && by_deadline.is_none() {
+        if at + config.step_duration > order.deadline && by_deadline.is_none() {
             by_deadline = Some(remaining(fleet, &state, order));
         }
         if !round(fleet, &mut state, directive, config, now) {
             break;
         }
-        at = at + config.step;
+        at = at + config.step_duration;
     }
     let stuck = remaining(fleet, &state, order);
     let finish = stuck.is_empty().then_some(at);
-    let left = by_deadline.unwrap_or_else(|| stuck.clone());
-    let fits = finish.is_some_and(|finish| finish <= order.deadline);
+    let remaining = by_deadline.unwrap_or_else(|| stuck.clone());
+    let meets_deadline = finish.is_some_and(|finish| finish <= order.deadline);
     let mut remedies = Vec::new();
-    if !fits {
+    if !meets_deadline {
         remedies.extend(finish.map(Remedy::Deadline));
         let view = View::new(fleet, &state, directive, config, now);
         blockers(&view, order, &mut remedies);
@@ -119,7 +119,7 @@
             remedies.push(Remedy::Pace);
         }
     }
-    Forecast { finish, fits, left, remedies }
+    Forecast { finish, meets_deadline, remaining, remedies }
 }
 
 /// Takes VMs that are under way as back.
@@ -129,7 +129,7 @@
         if vm.purpose == Some(Purpose::Maintenance) && vm.phase != Phase::Out {
             vm.phase = Phase::Serving;
             vm.purpose = None;
-            vm.maintained = Some(now);
+            vm.maintained_at = Some(now);
         }
     }
 }
@@ -148,15 +148,15 @@
     crate::wave::plan(&mut view, &mut steps, &mut Vec::new());
     let mut done = false;
     for step in steps {
-        if let Act::Drain { vm, .. } = step.act {
-            state.vm_mut(vm).maintained = Some(now);
+        if let Operation::Drain { vm, .. } = step.operation {
+            state.vm_mut(vm).maintained_at = Some(now);
             done = true;
         }
     }
     // Closed VMs are drained once their copies serve elsewhere.
     for vm in fleet.vm_ids() {
-        if view.hosts[vm.index()] == Host::Closing && crate::wave::awaits(&view, vm) {
-            state.vm_mut(vm).maintained = Some(now);
+        if view.hosts[vm.index()] == Host::Closing && crate::wave::is_pending(&view, vm) {
+            state.vm_mut(vm).maintained_at = Some(now);
             done = true;
         }
     }
@@ -165,7 +165,7 @@
 
 fn remaining(fleet: &Fleet, state: &State, order: &Order) -> Vec<(PoolId, u32)> {
     let mut left = vec![0; fleet.pools().len()];
-    for (_, vm) in state.vms().filter(|(_, vm)| order.awaits(vm)) {
+    for (_, vm) in state.vms().filter(|(_, vm)| order.is_pending(vm)) {
         left[vm.pool.index()] += 1;
     }
     let pools = fleet.pool_ids().zip(left);
@@ -174,10 +174,10 @@
 
 /// The services whose budgets hold back the VMs that are left.
 fn blockers(view: &View<'_>, order: &Order, remedies: &mut Vec<Remedy>) {
-    for (id, vm) in view.state.vms().filter(|(_, vm)| order.awaits(vm)) {
+    for (id, vm) in view.state.vms().filter(|(_, vm)| order.is_pending(vm)) {
         let remedy = match floor::blocks(view, id) {
             _ if view.hosts[id.index()] != Host::Usable => Remedy::Repair(vm.pool),
-            Some(service) => Remedy::Copies { service, more: floor::missing(view, service) },
+            Some(service) => Remedy::Copies { service, missing: floor::missing(view, service) },
             None => continue,
         };
         if !remedies.contains(&remedy) {
--- a/crates/policy/src/lend.rs
+++ b/crates/policy/src/lend.rs
@@ -12,7 +12,7 @@
 use crate::floor;
 use crate::placement::Request;
 use crate::state::{Phase, Purpose};
-use crate::step::{Act, Reason, Step};
+use crate::step::{Operation, Reason, Step};
 use crate::view::{Host, Place, View};
 
 /// Drains one VM of another pool for each pool that lacks room for copies
@@ -27,7 +27,7 @@
         served.push(request.pool);
         if let Some(vm) = donor(view, request) {
             let purpose = Purpose::Switch(request.pool);
-            steps.push(Step::new(Act::Drain { vm, purpose }, Reason::Room));
+            steps.push(Step::new(Operation::Drain { vm, purpose }, Reason::NoRoom));
             view.drained(vm, false);
         }
     }
@@ -41,7 +41,7 @@
     for (id, vm) in state.vms() {
         let home = view.fleet.vm(id).home;
         let stays = vm.pool == home || vm.phase != Phase::Serving;
-        let young = view.age(vm.since) < view.hold;
+        let young = view.age(vm.since) < view.hold_time;
         if stays || young || view.hosts[id.index()] != Host::Usable || left.contains(&vm.pool) {
             continue;
         }
@@ -51,7 +51,7 @@
         left.push(vm.pool);
         if floor::blocks(view, id).is_none() {
             let purpose = Purpose::Switch(home);
-            steps.push(Step::new(Act::Drain { vm: id, purpose }, Reason::Home));
+            steps.push(Step::new(Operation::Drain { vm: id, purpose }, Reason::ReturnHome));
             view.drained(id, false);
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,7 +25,7 @@
 //! use corianderfork_model::place::{DataCentre, Pool, Rack, Size, Vm};
 //! use corianderfork_model::service::{Budget, Service};
 //! use corianderfork_model::{Fleet, Name, Time};
-//! use corianderfork_policy::{Act, Config, Directive, State, decide};
+//! use corianderfork_policy::{Operation, Config, Directive, State, decide};
 //!
 //! let mut fleet = Fleet::default();
 //! let pool = fleet.add_pool(Pool::new(Name::new("registry")?));
@@ -44,7 +44,7 @@
 //! let state = State::new(&fleet, now);
 //! let decision = decide(&fleet, &state, &Directive::default(), &Config::default(), now);
 //! // The budget's two copies, one in each data centre.
-//! let starts = decision.steps.iter().filter(|step| matches!(step.act, Act::Start { .. }));
+//! let starts = decision.steps.iter().filter(|step| matches!(step.operation, Operation::Start { .. }));
 //! assert_eq!(starts.count(), 2);
 //! # Ok::<(), corianderfork_model::name::Error>(())
 //! ```
@@ -78,7 +78,7 @@
 pub use directive::Directive;
 pub use note::Note;
 pub use state::State;
-pub use step::{Act, Reason, Step};
+pub use step::{Operation, Reason, Step};
 
 use corianderfork_model::{Fleet, Time};
 
--- a/crates/policy/src/note.rs
+++ b/crates/policy/src/note.rs
@@ -7,7 +7,7 @@
 /// Why no copy of a service can ever run as things are configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 #[non_exhaustive]
-pub enum Never {
+pub enum Unschedulable {
     /// Its pool has no VM at all.
     #[error("its pool has no VM; add one to the pool or let another pool lend")]
     EmptyPool,
@@ -26,7 +26,7 @@
     Accelerators,
     /// No VM has all that a copy needs at once.
     #[error("no VM of its pool has cores, memory and accelerators together; add larger VMs")]
-    Together,
+    Combined,
     /// There is no licence for one copy.
     #[error("it has no licence; raise `licences` to at least 1")]
     Licences,
@@ -46,11 +46,11 @@
 #[non_exhaustive]
 pub enum Note {
     /// No copy of the service can ever run.
-    Never {
+    Unschedulable {
         /// The service.
         service: ServiceId,
         /// Why.
-        why: Never,
+        reason: Unschedulable,
     },
     /// Starts of the service keep failing; the next try is at `next`.
     Backoff {
@@ -62,13 +62,13 @@
         next: Time,
     },
     /// The budget's least copies are more than its most or its licences.
-    Impossible {
+    ConflictingLimits {
         /// The service.
         service: ServiceId,
         /// The least copies the budget asks for.
-        least: u32,
+        min: u32,
         /// The copies that can be had.
-        most: u32,
+        max: u32,
     },
     /// Fewer copies than asked for: licences end here.
     Licences {
@@ -78,7 +78,7 @@
         missing: u32,
     },
     /// Fewer copies than asked for: there is no room in the pool.
-    Room {
+    NoRoom {
         /// The service.
         service: ServiceId,
         /// Copies missing.
@@ -99,7 +99,7 @@
         missing: u32,
     },
     /// No report of the service's load is fresh: copies are held.
-    Stale {
+    StaleLoad {
         /// The service.
         service: ServiceId,
     },
@@ -122,15 +122,15 @@
         vm: VmId,
     },
     /// Maintenance waits for this service's budget.
-    Waits {
+    WaitsForBudget {
         /// The first service whose budget has no room for the next VM.
         service: ServiceId,
     },
     /// VMs of the pool will not be maintained in time.
-    Late {
+    Overdue {
         /// The pool.
         pool: PoolId,
         /// VMs past their day.
-        overdue: u32,
+        vms: u32,
     },
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -11,7 +11,7 @@
 
 use crate::note::Note;
 use crate::state::Copy;
-use crate::step::{Act, Reason, Step};
+use crate::step::{Operation, Reason, Step};
 use crate::target::Target;
 use crate::view::{Host, Place, Standing, View};
 use crate::{choice, never};
@@ -67,8 +67,8 @@
         }
         for service in self.order() {
             let target = Target::new(self.view, service, self.notes);
-            match never::why(self.view, service) {
-                Some(why) => self.notes.push(Note::Never { service, why }),
+            match never::reason(self.view, service) {
+                Some(reason) => self.notes.push(Note::Unschedulable { service, reason }),
                 None => self.start(service, target),
             }
             self.stop(service, target);
@@ -79,7 +79,7 @@
     /// Services in the order in which they take room.
     fn order(&self) -> Vec<ServiceId> {
         let fleet = self.view.fleet;
-        let first = &self.view.directive.order;
+        let first = &self.view.directive.placement_order;
         let mut order: Vec<ServiceId> = fleet.service_ids().collect();
         let rank = |id: &ServiceId| first.iter().position(|other| other == id);
         order.sort_by_key(|id| {
@@ -95,7 +95,7 @@
         let view = &mut *self.view;
         for (id, vm) in view.state.vms() {
             let usable = view.hosts[id.index()] == Host::Usable;
-            let knows = |copy: &Copy| view.state.sizer.knows_size(copy.service, view.config);
+            let knows = |copy: &Copy| view.state.sizer.has_learned_size(copy.service, view.config);
             if !usable
                 || !vm.copies.iter().all(knows)
                 || !overfull(view.fleet.vm(id).size, view.used[id.index()])
@@ -115,10 +115,10 @@
     }
 
     fn start(&mut self, service: ServiceId, target: Target) {
-        let trial = self.view.state.trial(service);
-        let next = never::next_try(trial);
+        let failures = self.view.state.start_failures(service);
+        let next = never::next_try(failures);
         if let Some(next) = next.filter(|&next| next > self.view.now) {
-            self.notes.push(Note::Backoff { service, failed: trial.failed, next });
+            self.notes.push(Note::Backoff { service, failed: failures.count, next });
             return;
         }
         while let Some(lack) = self.lack(service, target) {
@@ -170,8 +170,8 @@
             self.notes.push(Note::Uncovered { service, missing });
             return false;
         }
-        let why = self.reason(service, lack);
-        self.steps.push(Step::new(Act::Start { vm, service }, why));
+        let reason = self.reason(service, lack);
+        self.steps.push(Step::new(Operation::Start { vm, service }, reason));
         self.view.add(vm, service, Standing::Warming);
         if let Some(team) = row.team {
             let used = &mut self.teams[team.index()];
@@ -188,11 +188,11 @@
             return Reason::Budget;
         }
         if view.count(service, |place| place.leaving && !out(place)) > 0 {
-            return Reason::Ahead;
+            return Reason::Surge;
         }
         match lack {
             _ if view.count(service, out) > 0 => Reason::Replace,
-            Lack::Cover => Reason::Cover,
+            Lack::Cover => Reason::Redundancy,
             _ => Reason::Load,
         }
     }
@@ -211,7 +211,7 @@
         let row = self.view.fleet.service(service);
         let have = self.view.count(service, Place::stays);
         let missing = target.want.max(target.need).saturating_sub(have);
-        self.notes.push(Note::Room { service, missing });
+        self.notes.push(Note::NoRoom { service, missing });
         if lack == Lack::Want {
             return;
         }
@@ -221,11 +221,11 @@
         self.requests.push(Request { pool: row.pool, service });
     }
 
-    pub(crate) fn stop_one(&mut self, service: ServiceId, place: Place, why: Reason) {
-        let act = Act::Stop { vm: place.vm, service };
+    pub(crate) fn stop_one(&mut self, service: ServiceId, place: Place, reason: Reason) {
+        let operation = Operation::Stop { vm: place.vm, service };
         // A displaced copy may have been decided on already.
-        if !self.steps.iter().any(|step| step.act == act) {
-            self.steps.push(Step::new(act, why));
+        if !self.steps.iter().any(|step| step.operation == operation) {
+            self.steps.push(Step::new(operation, reason));
         }
         self.view.stop(place.vm, service);
     }
--- a/crates/policy/src/retire.rs
+++ b/crates/policy/src/retire.rs
@@ -19,7 +19,7 @@
         let able = |place: &Place| place.stays() && place.standing == Standing::Able;
         if self.view.count(service, able) < target.want.max(target.need) {
             // Where every start fails, what fails would pile up on the VMs.
-            if never::next_try(self.view.state.trial(service)).is_some() {
+            if never::next_try(self.view.state.start_failures(service)).is_some() {
                 self.stop_failing(service);
             }
             return;
@@ -35,16 +35,18 @@
     fn stop_idle(&mut self, service: ServiceId) {
         for place in self.view.places(service).to_vec() {
             let usable = self.view.hosts[place.vm.index()] == Host::Usable;
-            let why = match place.standing {
+            let reason = match place.standing {
                 // On a VM that came back failing they show when it is mended.
                 Standing::Failing if wave::failed_return(self.view, place.vm) => continue,
                 Standing::Failing if usable && !place.leaving => Reason::Failing,
                 Standing::Away => Reason::Surplus,
                 Standing::Lapsed if !self.view.lost_lately(service) => Reason::Replace,
-                Standing::Able | Standing::Warming if usable && place.leaving => Reason::Relief,
+                Standing::Able | Standing::Warming if usable && place.leaving => {
+                    Reason::Overcommitted
+                }
                 _ => continue,
             };
-            self.stop_one(service, place, why);
+            self.stop_one(service, place, reason);
         }
     }
 
@@ -64,7 +66,7 @@
         let young = |place: &Place| {
             let copies = &view.state.vm(place.vm).copies;
             let copy = copies.iter().find(|copy| copy.service == service);
-            copy.is_none_or(|copy| view.age(copy.since) < view.hold)
+            copy.is_none_or(|copy| view.age(copy.since) < view.hold_time)
         };
         view.count(service, |place| place.stays() && young(place)) > 0
     }
@@ -121,12 +123,12 @@
         let places = self.view.places(service).iter();
         let found = places.clone().find(idle).or_else(|| places.clone().find(spared)).copied();
         if let Some(place) = found {
-            let why = match place.standing {
+            let reason = match place.standing {
                 Standing::Failing => Reason::Failing,
-                Standing::Able => Reason::Relief,
+                Standing::Able => Reason::Overcommitted,
                 _ => Reason::Replace,
             };
-            self.stop_one(service, place, why);
+            self.stop_one(service, place, reason);
         }
         if missing > 0 {
             self.notes.push(Note::Licences { service, missing });
--- a/crates/policy/src/sizing.rs
+++ b/crates/policy/src/sizing.rs
@@ -44,7 +44,7 @@
     /// The end of the interval.
     pub at: Time,
     /// Requests being worked on, in thousandths, on average.
-    pub in_hand_milli: u64,
+    pub in_flight_milli: u64,
     /// Requests that came in, in thousandths a second, refused ones included.
     pub arrivals_milli: u64,
     /// Requests refused for want of a free slot, in thousandths a second.
@@ -68,9 +68,9 @@
     /// Needed now and until a copy started now is warm.
     pub now: u32,
     /// Needed at most within the next half hour, as the day before tells.
-    pub soon: u32,
+    pub upcoming: u32,
     /// Worth keeping: the most needed within the holding time.
-    pub held: u32,
+    pub retained: u32,
     /// Whether no report is fresh.
     pub stale: bool,
     /// Whether the holding time has passed since the sizer began: before that
@@ -96,7 +96,7 @@
 /// let now = Time::from_millis(600_000);
 /// let mut sizer = Sizer::new(&fleet, now);
 /// // 20 requests in hand need three copies of eight slots.
-/// sizer.see_load(now, &fleet, transfer, Load { at: now, in_hand_milli: 20_000, ..Load::default() });
+/// sizer.record_load(now, &fleet, transfer, Load { at: now, in_flight_milli: 20_000, ..Load::default() });
 /// assert_eq!(sizer.demand(&fleet, transfer, &Config::default(), now).now, 3);
 /// # Ok::<(), corianderfork_model::name::Error>(())
 /// ```
@@ -123,24 +123,24 @@
 
     /// Takes in a report of load. One from the future is left out: a clock is
     /// wrong, and its value would outlive all true ones.
-    pub fn see_load(&mut self, now: Time, fleet: &Fleet, service: ServiceId, load: Load) {
+    pub fn record_load(&mut self, now: Time, fleet: &Fleet, service: ServiceId, load: Load) {
         if load.at > now + FUTURE {
             return;
         }
         let learned = &mut self.services[service.index()];
         let answered = load.arrivals_milli.saturating_sub(load.refused_milli);
         if answered > 0 {
-            learned.run.see(load.in_hand_milli as f64 / answered as f64);
+            learned.run.see(load.in_flight_milli as f64 / answered as f64);
         }
         // Refused requests would have been in hand too (Little's law).
         let declared = f64::from(fleet.service(service).run_millis) / 1000.0;
         let run = learned.run.mean(declared, Config::PRIOR_WEIGHT);
-        let wanted = load.in_hand_milli as f64 + load.refused_milli as f64 * run;
+        let wanted = load.in_flight_milli as f64 + load.refused_milli as f64 * run;
         learned.load.see(load.at, wanted, ahead(fleet.service(service)));
     }
 
     /// Takes in a report of usage. One from the future is left out.
-    pub fn see_usage(&mut self, now: Time, service: ServiceId, usage: Usage) {
+    pub fn record_usage(&mut self, now: Time, service: ServiceId, usage: Usage) {
         if usage.at > now + FUTURE {
             return;
         }
@@ -166,7 +166,7 @@
 
     /// Whether as much was reported of the size of `service` as its declared
     /// size weighs.
-    pub fn knows_size(&self, service: ServiceId, config: &Config) -> bool {
+    pub fn has_learned_size(&self, service: ServiceId, config: &Config) -> bool {
         self.services[service.index()].cores.count() >= config.prior_weight
     }
 
@@ -175,17 +175,22 @@
         let declared = fleet.service(service);
         let history = &self.services[service.index()].load;
         let upper = history.upper(ahead(declared));
-        let hold = config.hold_time(&fleet.weights);
-        let peak = history.peak(now, hold);
-        let before = if config.profile { history.day_before(now, config.ahead) } else { 0.0 };
+        let hold_time = config.hold_time_for(&fleet.weights);
+        let peak = history.peak(now, hold_time);
+        let before =
+            if config.daily_profile { history.day_before(now, config.lookahead) } else { 0.0 };
         let demand = copies(declared, upper);
-        let soon = demand.max(copies(declared, before));
+        let upcoming = demand.max(copies(declared, before));
         Demand {
             now: demand,
-            soon,
-            held: demand.max(copies(declared, peak)).max(if config.profile { soon } else { 0 }),
+            upcoming,
+            retained: demand.max(copies(declared, peak)).max(if config.daily_profile {
+                upcoming
+            } else {
+                0
+            }),
             stale: history.last().is_none_or(|last| now - last > STALE),
-            settled: now - self.since >= hold,
+            settled: now - self.since >= hold_time,
         }
     }
 }
@@ -197,9 +202,9 @@
     /// How long a copy is held: until that has cost as much as stopping it
     /// and starting it again. At most twice the least cost possible is paid
     /// that way, whatever the load does next.
-    pub(crate) fn hold_time(&self, weights: &Weights) -> Duration {
-        if let Some(hold) = self.hold {
-            return hold;
+    pub(crate) fn hold_time_for(&self, weights: &Weights) -> Duration {
+        if let Some(hold_time) = self.hold_time {
+            return hold_time;
         }
         let two_moves = 2.0 * f64::from(weights.moves);
         let hours = two_moves / f64::from(weights.buffer.max(1));
@@ -214,9 +219,9 @@
 
 impl Config {
     /// How long a lost VM is waited for: longer where moves cost more.
-    pub(crate) fn patience_for(&self, weights: &Weights) -> Duration {
-        let hold = self.hold_time(weights) / PATIENCE_SHARE;
-        self.patience.max(hold.min(PATIENCE_LONGEST))
+    pub(crate) fn replace_delay_for(&self, weights: &Weights) -> Duration {
+        let hold_time = self.hold_time_for(weights) / PATIENCE_SHARE;
+        self.replace_delay.max(hold_time.min(PATIENCE_LONGEST))
     }
 }
 
--- a/crates/policy/src/standing.rs
+++ b/crates/policy/src/standing.rs
@@ -73,7 +73,7 @@
     let domain_failed = state.failed_racks.contains(&rack)
         || state.failed_data_centres.contains(&fleet.data_centre_of(id));
     match (vm.phase, vm.purpose) {
-        _ if vm.lost.is_some() || domain_failed => Host::Lost,
+        _ if vm.lost_since.is_some() || domain_failed => Host::Lost,
         (Phase::Serving, _) if vm.failed_starts >= UNFIT => Host::Closing,
         (Phase::Serving, _) => Host::Usable,
         (Phase::Out, _) => Host::Gone,
@@ -85,15 +85,15 @@
 impl Standing {
     /// What can be expected of `copy` on `vm`.
     pub(crate) fn new(host: Host, vm: &Vm, copy: &Copy, config: &Config, now: Time) -> Self {
-        let lost = vm.lost.unwrap_or(now);
+        let lost = vm.lost_since.unwrap_or(now);
         match host {
-            Host::Lost if now - lost > config.lease_limit => Self::Lapsed,
+            Host::Lost if now - lost > config.lease_ttl => Self::Lapsed,
             Host::Lost => Self::Lost,
             Host::Away => Self::Away,
             Host::Gone => Self::Failing,
             _ if copy.failing => Self::Failing,
             _ if copy.warm => Self::Able,
-            _ if now - copy.since > config.start_limit => Self::Failing,
+            _ if now - copy.since > config.start_timeout => Self::Failing,
             _ => Self::Warming,
         }
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -117,11 +117,11 @@
     pub since: Time,
     /// Since when nobody has seen it, if it isn't seen now. A VM that is
     /// rebooting as told is not lost.
-    pub lost: Option<Time>,
+    pub lost_since: Option<Time>,
     /// Whether an operator wants it drained.
-    pub drain_wanted: bool,
+    pub drain_requested: bool,
     /// When it last came back from a reboot.
-    pub maintained: Option<Time>,
+    pub maintained_at: Option<Time>,
     /// Starts that failed on it in a row.
     pub failed_starts: u16,
     /// When the last of them failed.
@@ -130,7 +130,7 @@
     /// since.
     pub failing_since: Option<Time>,
     /// Reboots for being unfit since something last answered on it.
-    pub second_chances: u16,
+    pub unfit_reboots: u16,
     /// The copies assigned to it. They stay assigned while it is maintained.
     pub copies: Vec<Copy>,
 }
@@ -143,13 +143,13 @@
             phase: Phase::Serving,
             purpose: None,
             since,
-            lost: None,
-            drain_wanted: false,
-            maintained: None,
+            lost_since: None,
+            drain_requested: false,
+            maintained_at: None,
             failed_starts: 0,
             failed_at: Time::ZERO,
             failing_since: None,
-            second_chances: 0,
+            unfit_reboots: 0,
             copies: Vec::new(),
         }
     }
@@ -157,18 +157,18 @@
 
 /// How starting a service has gone lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trial {
+pub struct StartFailures {
     /// Starts that failed in a row, on whichever VM.
-    pub failed: u16,
+    pub count: u16,
     /// When the last one failed.
-    pub last: Time,
+    pub last_at: Time,
 }
 
 /// All that a decision is made from, but for the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct State {
     vms: Vec<Vm>,
-    trials: Vec<Trial>,
+    start_failures: Vec<StartFailures>,
     /// What was learned of load, run times and sizes.
     pub sizer: Sizer,
     /// The wave that operators ordered, if one is under way.
@@ -185,7 +185,7 @@
     pub fn new(fleet: &Fleet, now: Time) -> Self {
         Self {
             vms: fleet.vms().map(|(_, vm)| Vm::new(vm.home, now)).collect(),
-            trials: vec![Trial::default(); fleet.services().len()],
+            start_failures: vec![StartFailures::default(); fleet.services().len()],
             sizer: Sizer::new(fleet, now),
             wave: None,
             failed_data_centres: Vec::new(),
@@ -221,18 +221,18 @@
     /// # Panics
     ///
     /// Panics if the id is of another, larger fleet.
-    pub fn trial(&self, service: ServiceId) -> Trial {
-        self.trials[service.index()]
+    pub fn start_failures(&self, service: ServiceId) -> StartFailures {
+        self.start_failures[service.index()]
     }
 
     /// Records that a start of `service` on `vm` failed. Once a service has
     /// failed everywhere it was tried, its failures no longer speak against
     /// the VMs.
-    pub fn start_failed(&mut self, vm: VmId, service: ServiceId, now: Time) {
-        let trial = &mut self.trials[service.index()];
-        trial.failed = trial.failed.saturating_add(1);
-        trial.last = now;
-        if trial.failed <= BLAMES_VMS {
+    pub fn record_start_failure(&mut self, vm: VmId, service: ServiceId, now: Time) {
+        let failures = &mut self.start_failures[service.index()];
+        failures.count = failures.count.saturating_add(1);
+        failures.last_at = now;
+        if failures.count <= BLAMES_VMS {
             let vm = &mut self.vms[vm.index()];
             vm.failed_starts = vm.failed_starts.saturating_add(1);
             vm.failed_at = now;
@@ -241,19 +241,19 @@
     }
 
     /// Records that `vm` is back from a reboot, which gives it a new chance.
-    pub fn came_back(&mut self, vm: VmId, now: Time) {
+    pub fn record_reboot(&mut self, vm: VmId, now: Time) {
         let vm = &mut self.vms[vm.index()];
-        vm.maintained = Some(now);
+        vm.maintained_at = Some(now);
         vm.failed_starts = 0;
-        vm.second_chances += u16::from(vm.purpose == Some(Purpose::Unfit));
+        vm.unfit_reboots += u16::from(vm.purpose == Some(Purpose::Unfit));
     }
 
     /// Records that a copy of `service` on `vm` has answered.
-    pub fn start_succeeded(&mut self, vm: VmId, service: ServiceId) {
-        self.trials[service.index()] = Trial::default();
+    pub fn record_start_success(&mut self, vm: VmId, service: ServiceId) {
+        self.start_failures[service.index()] = StartFailures::default();
         let vm = &mut self.vms[vm.index()];
         vm.failed_starts = 0;
         vm.failing_since = None;
-        vm.second_chances = 0;
+        vm.unfit_reboots = 0;
     }
 }
--- a/crates/policy/src/step.rs
+++ b/crates/policy/src/step.rs
@@ -10,7 +10,7 @@
 
 /// One thing to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Act {
+pub enum Operation {
     /// Start a copy of `service` on `vm`. If one is assigned to it already,
     /// as after a reboot, that one is started again.
     Start {
@@ -59,7 +59,7 @@
     },
 }
 
-impl Act {
+impl Operation {
     /// The VM that it is done to.
     pub fn vm(self) -> VmId {
         match self {
@@ -81,15 +81,15 @@
     /// Too few copies for the load.
     Load,
     /// Too few copies to outlast the failure that the budget names.
-    Cover,
+    Redundancy,
     /// Fewer copies than the budget's least.
     Budget,
     /// A copy takes the place of one that is lost or failing.
     Replace,
     /// A copy goes ahead of the VM whose maintenance comes next.
-    Ahead,
+    Surge,
     /// A copy makes room on a VM that carries more than it has.
-    Relief,
+    Overcommitted,
     /// More copies than load and budget call for.
     Surplus,
     /// The copy fails what it is given, or never answered.
@@ -101,39 +101,39 @@
     /// The VM is due by its pool's days of maintenance.
     Due,
     /// An operator or a rule asked for it.
-    Asked,
+    Requested,
     /// The VM fails everything that is started on it.
     Unfit,
     /// The pool has no room for copies it needs.
-    Room,
+    NoRoom,
     /// The VM goes back to its home pool.
-    Home,
+    ReturnHome,
     /// The copy stands on a VM that is leaving its pool.
-    Leaving,
+    LeavingPool,
     /// The step before this one is done.
-    Next,
+    NextPhase,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Load => "too few copies for the load",
-            Self::Cover => "too few copies to outlast the failure the budget names",
+            Self::Redundancy => "too few copies to outlast the failure the budget names",
             Self::Budget => "fewer copies than the budget's least",
             Self::Replace => "takes the place of a copy that is lost or failing",
-            Self::Ahead => "goes ahead of the VM whose maintenance comes next",
-            Self::Relief => "relieves a VM that carries more than it has",
+            Self::Surge => "goes ahead of the VM whose maintenance comes next",
+            Self::Overcommitted => "relieves a VM that carries more than it has",
             Self::Surplus => "more copies than load and budget call for",
             Self::Failing => "fails what it is given",
             Self::Displaced(_) => "gives way to a more urgent service",
             Self::Wave => "part of the wave under way",
             Self::Due => "due for maintenance",
-            Self::Asked => "asked for by an operator or a rule",
+            Self::Requested => "asked for by an operator or a rule",
             Self::Unfit => "fails everything that is started on it",
-            Self::Room => "a pool has no room for copies it needs",
-            Self::Home => "the VM goes to its home pool",
-            Self::Leaving => "the VM is leaving its pool",
-            Self::Next => "the step before is done",
+            Self::NoRoom => "a pool has no room for copies it needs",
+            Self::ReturnHome => "the VM goes to its home pool",
+            Self::LeavingPool => "the VM is leaving its pool",
+            Self::NextPhase => "the step before is done",
         })
     }
 }
@@ -142,29 +142,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Step {
     /// What to do.
-    pub act: Act,
+    pub operation: Operation,
     /// Why.
-    pub why: Reason,
+    pub reason: Reason,
 }
 
 impl Step {
     /// A step.
-    pub fn new(act: Act, why: Reason) -> Self {
-        Self { act, why }
+    pub fn new(operation: Operation, reason: Reason) -> Self {
+        Self { operation, reason }
     }
 
     /// A line for the audit trail.
     pub fn to_text(self, fleet: &Fleet) -> String {
-        let vm = &fleet.vm(self.act.vm()).name;
-        let act = match self.act {
-            Act::Start { service, .. } => format!("start {} on {vm}", fleet.service(service).name),
-            Act::Stop { service, .. } => format!("stop {} on {vm}", fleet.service(service).name),
-            Act::Drain { purpose, .. } => format!("drain {vm} for {}", purpose.to_text(fleet)),
-            Act::Reboot { .. } => format!("reboot {vm}"),
-            Act::SwitchPool { to, .. } => format!("switch {vm} to {}", fleet.pool(to).name),
-            Act::Admit { .. } => format!("admit {vm}"),
-            Act::SetOut { .. } => format!("set {vm} out"),
+        let vm = &fleet.vm(self.operation.vm()).name;
+        let operation = match self.operation {
+            Operation::Start { service, .. } => {
+                format!("start {} on {vm}", fleet.service(service).name)
+            }
+            Operation::Stop { service, .. } => {
+                format!("stop {} on {vm}", fleet.service(service).name)
+            }
+            Operation::Drain { purpose, .. } => {
+                format!("drain {vm} for {}", purpose.to_text(fleet))
+            }
+            Operation::Reboot { .. } => format!("reboot {vm}"),
+            Operation::SwitchPool { to, .. } => format!("switch {vm} to {}", fleet.pool(to).name),
+            Operation::Admit { .. } => format!("admit {vm}"),
+            Operation::SetOut { .. } => format!("set {vm} out"),
         };
-        format!("{act}: {}", self.why)
+        format!("{operation}: {}", self.reason)
     }
 }
--- a/crates/policy/src/tally.rs
+++ b/crates/policy/src/tally.rs
@@ -32,14 +32,14 @@
         let order = view.state.wave.as_ref().filter(|order| order.covers(pool));
         let day_ago =
             Time::from_millis(view.now.as_millis().saturating_sub(due::DAY.as_millis() as u64));
-        let since = order.map_or(day_ago, |order| order.begun);
-        let resumed = order.and_then(|order| order.resumed).unwrap_or(Time::ZERO);
+        let since = order.map_or(day_ago, |order| order.started_at);
+        let resumed_at = order.and_then(|order| order.resumed_at).unwrap_or(Time::ZERO);
         let mut tally = Self::default();
         for &vm in view.pool(pool) {
             // An outage that hits VMs while they reboot says nothing of the
             // wave; without this it would take up its width, and halt it.
             if view.hosts[vm.index()] != Host::Lost {
-                tally.see(view, since, resumed, vm);
+                tally.see(view, since, resumed_at, vm);
             } else {
                 tally.lost += u32::from(may_be_back(view, vm));
             }
@@ -47,13 +47,13 @@
         tally
     }
 
-    fn see(&mut self, view: &View<'_>, since: Time, resumed: Time, id: VmId) {
+    fn see(&mut self, view: &View<'_>, since: Time, resumed_at: Time, id: VmId) {
         let late = is_late(view, id);
         let vm = view.state.vm(id);
         self.under_way += u32::from(under_way(vm) && !late);
-        let back = vm.maintained.is_some_and(|then| then >= since);
-        let forgiven = vm.maintained.is_some_and(|then| then < resumed);
-        if late && under_way(vm) && vm.since >= since.max(resumed) {
+        let back = vm.maintained_at.is_some_and(|then| then >= since);
+        let forgiven = vm.maintained_at.is_some_and(|then| then < resumed_at);
+        if late && under_way(vm) && vm.since >= since.max(resumed_at) {
             self.failing += 1;
         } else if back && fails(vm) {
             // One that failed before the wave says nothing about it.
@@ -83,7 +83,7 @@
 /// Whether a lost VM that is being maintained may still be back from that.
 fn may_be_back(view: &View<'_>, id: VmId) -> bool {
     let vm = view.state.vm(id);
-    under_way(vm) && view.age(vm.since) <= view.config.reboot_limit
+    under_way(vm) && view.age(vm.since) <= view.config.reboot_timeout
 }
 
 /// Whether `vm` isn't back from its reboot although it should be.
@@ -91,8 +91,8 @@
     let vm = view.state.vm(id);
     vm.phase == Phase::Rebooting
         && view.hosts[id.index()] != Host::Lost
-        && view.age(vm.since) > view.config.reboot_limit
-        && vm.maintained.is_none_or(|then| then < vm.since)
+        && view.age(vm.since) > view.config.reboot_timeout
+        && vm.maintained_at.is_none_or(|then| then < vm.since)
 }
 
 pub(crate) fn fails(vm: &Vm) -> bool {
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -26,22 +26,22 @@
     pub(crate) fn new(view: &View<'_>, service: ServiceId, notes: &mut Vec<Note>) -> Self {
         let row = view.fleet.service(service);
         let demand = view.demands[service.index()];
-        let (least, most) = bounds(service, row, notes);
+        let (min, max) = bounds(service, row, notes);
         let shed = view.directive.shed.is_some_and(|class| row.class <= class);
         if shed {
-            return Self { want: least, need: least, level: Outlasts::Nothing, shrink: true };
+            return Self { want: min, need: min, level: Outlasts::Nothing, shrink: true };
         }
         let level = view.level(service);
         let here = view.count(service, Place::remains);
-        let need = demand.now.clamp(least, most);
+        let need = demand.now.clamp(min, max);
         let covered = |load: u32| spread(load, level, view.domains(row.pool, level));
         // The least copies too are to be left after the failure.
-        let held = covered(demand.held.max(least));
+        let held = covered(demand.retained.max(min));
         // While a failure is waited out, what is left is no surplus.
         let whole = level == row.budget.outlasts;
         let settled = demand.settled && !demand.stale && whole;
         if demand.stale {
-            notes.push(Note::Stale { service });
+            notes.push(Note::StaleLoad { service });
         }
         let target = match view.directive.copies_of(service) {
             Copies::Measured if demand.stale => {
@@ -56,26 +56,26 @@
             // drained is judged by the budget, and with fewer copies than that
             // no VM could ever be drained.
             Copies::Headroom(share) => {
-                let want = demand.held.saturating_add(share.of(demand.held)).max(held);
+                let want = demand.retained.saturating_add(share.of(demand.retained)).max(held);
                 Self { want, need, level, shrink: settled }
             }
             // As many as there are, those that are about to leave included:
             // else no VM that carries one could be drained while a rule holds.
             Copies::Hold => {
                 let want = here + view.count(service, Place::leaves);
-                Self { want, need: least, level: Outlasts::Nothing, shrink: false }
+                Self { want, need: min, level: Outlasts::Nothing, shrink: false }
             }
         };
-        Self { want: target.want.clamp(least, most), ..target }
+        Self { want: target.want.clamp(min, max), ..target }
     }
 }
 
 /// The least and the most copies that can be asked for.
 fn bounds(service: ServiceId, row: &Service, notes: &mut Vec<Note>) -> (u32, u32) {
-    let most = row.budget.max_copies.min(row.licences);
-    let least = row.budget.min_copies;
-    if least > most {
-        notes.push(Note::Impossible { service, least, most });
+    let max = row.budget.max_copies.min(row.licences);
+    let min = row.budget.min_copies;
+    if min > max {
+        notes.push(Note::ConflictingLimits { service, min, max });
     }
-    (least.min(most), most)
+    (min.min(max), max)
 }
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -24,9 +24,9 @@
     pub(crate) config: &'a Config,
     pub(crate) now: Time,
     /// How long a lost VM is waited for.
-    patience: Duration,
+    replace_delay: Duration,
     /// How long a copy is held that the load no longer calls for.
-    pub(crate) hold: Duration,
+    pub(crate) hold_time: Duration,
     pub(crate) hosts: Vec<Host>,
     pub(crate) used: Vec<Size>,
     pub(crate) sizes: Vec<Size>,
@@ -54,8 +54,8 @@
             directive,
             config,
             now,
-            patience: config.patience_for(&fleet.weights),
-            hold: config.hold_time(&fleet.weights),
+            replace_delay: config.replace_delay_for(&fleet.weights),
+            hold_time: config.hold_time_for(&fleet.weights),
             hosts: state.vms().map(|(id, vm)| host(fleet, state, id, vm)).collect(),
             used: vec![Size::default(); state.vms().len()],
             sizes: fleet.service_ids().map(size).collect(),
@@ -151,8 +151,8 @@
     /// are still waited for.
     pub(crate) fn lost_lately(&self, service: ServiceId) -> bool {
         let lately = |vm: VmId| {
-            let lost = self.state.vm(vm).lost.unwrap_or(self.now);
-            self.now - lost < self.patience
+            let lost = self.state.vm(vm).lost_since.unwrap_or(self.now);
+            self.now - lost < self.replace_delay
         };
         let lost = |place: &Place| matches!(place.standing, Standing::Lost | Standing::Lapsed);
         self.places(service).iter().any(|place| lost(place) && lately(place.vm))
--- a/crates/policy/src/wave.rs
+++ b/crates/policy/src/wave.rs
@@ -18,7 +18,7 @@
 use crate::floor;
 use crate::note::Note;
 use crate::state::{Phase, Purpose, Vm};
-use crate::step::{Act, Reason, Step};
+use crate::step::{Operation, Reason, Step};
 use crate::tally::{Tally, fails, is_late};
 use crate::view::{Host, View};
 
@@ -30,20 +30,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// When it was ordered. A VM that came back since then is done.
-    pub begun: Time,
+    pub started_at: Time,
     /// When it has to be finished.
     pub deadline: Time,
     /// The pools it goes over; all, if there is none.
     pub pools: Vec<PoolId>,
     /// When an operator last said to go on: VMs that came back failing before
     /// then no longer halt it.
-    pub resumed: Option<Time>,
+    pub resumed_at: Option<Time>,
 }
 
 impl Order {
     /// A wave over all pools.
-    pub fn new(begun: Time, deadline: Time) -> Self {
-        Self { begun, deadline, pools: Vec::new(), resumed: None }
+    pub fn new(started_at: Time, deadline: Time) -> Self {
+        Self { started_at, deadline, pools: Vec::new(), resumed_at: None }
     }
 
     /// Whether it goes over `pool`.
@@ -52,28 +52,28 @@
     }
 
     /// Whether it has still to reboot `vm`.
-    pub fn awaits(&self, vm: &Vm) -> bool {
+    pub fn is_pending(&self, vm: &Vm) -> bool {
         self.covers(vm.pool)
             && vm.phase != Phase::Out
-            && vm.maintained.is_none_or(|then| then < self.begun)
+            && vm.maintained_at.is_none_or(|then| then < self.started_at)
     }
 
     /// Whether no VM is left to reboot or to come back.
     pub fn is_done(&self, state: &crate::State) -> bool {
-        state.vms().all(|(_, vm)| !self.awaits(vm) && !under_way(vm))
+        state.vms().all(|(_, vm)| !self.is_pending(vm) && !under_way(vm))
     }
 }
 
 /// Whether the wave under way has still to come to `vm`.
-pub(crate) fn awaits(view: &View<'_>, vm: VmId) -> bool {
-    view.state.wave.as_ref().is_some_and(|order| order.awaits(view.state.vm(vm)))
+pub(crate) fn is_pending(view: &View<'_>, vm: VmId) -> bool {
+    view.state.wave.as_ref().is_some_and(|order| order.is_pending(view.state.vm(vm)))
 }
 
 /// Whether `vm` came back failing in the wave under way.
 pub(crate) fn failed_return(view: &View<'_>, vm: VmId) -> bool {
     let vm = view.state.vm(vm);
     let back = |order: &Order| {
-        order.covers(vm.pool) && vm.maintained.is_some_and(|then| then >= order.begun)
+        order.covers(vm.pool) && vm.maintained_at.is_some_and(|then| then >= order.started_at)
     };
     view.state.wave.as_ref().is_some_and(back) && fails(vm)
 }
@@ -94,7 +94,7 @@
     ahead: u32,
     /// Whether nothing is under way.
     idle: bool,
-    why: Reason,
+    reason: Reason,
     deadline: Option<Time>,
 }
 
@@ -134,10 +134,10 @@
     let waiting = |vm: &&VmId| {
         view.state.vm(**vm).phase == Phase::Serving && view.hosts[vm.index()] == Host::Usable
     };
-    let ordered = |vm: &&VmId| order.is_some_and(|order| order.awaits(view.state.vm(**vm)));
+    let ordered = |vm: &&VmId| order.is_some_and(|order| order.is_pending(view.state.vm(**vm)));
     let open = view.pool(pool).iter().filter(waiting);
     let mut todo: Vec<VmId> = open.filter(ordered).copied().collect();
-    let (why, room, deadline) = if todo.is_empty() {
+    let (reason, room, deadline) = if todo.is_empty() {
         todo = due::next(view, pool, tally.under_way);
         (Reason::Due, todo.len() as u32, None)
     } else {
@@ -148,7 +148,7 @@
     }
     todo.sort_by_key(|&vm| (view.state.vm(vm).copies.len(), vm));
     let idle = tally.under_way == 0;
-    Some(Batch { pool, todo, room, ahead: room.max(tally.well), idle, why, deadline })
+    Some(Batch { pool, todo, room, ahead: room.max(tally.well), idle, reason, deadline })
 }
 
 /// How many more VMs of a pool may be under way.
@@ -185,13 +185,13 @@
             continue;
         }
         let purpose = Purpose::Maintenance;
-        steps.push(Step::new(Act::Drain { vm, purpose }, batch.why));
+        steps.push(Step::new(Operation::Drain { vm, purpose }, batch.reason));
         view.drained(vm, true);
         taken += 1;
         batch.idle = false;
     }
     if let Some(&(_, service)) = blocked.first() {
-        notes.push(Note::Waits { service });
+        notes.push(Note::WaitsForBudget { service });
     }
     for (vm, _) in blocked.into_iter().take(batch.ahead as usize) {
         if !worth_moving(view, &batch, vm) {
@@ -214,8 +214,8 @@
     let weights = &view.fleet.weights;
     let moves = view.state.vm(vm).copies.len() as f64;
     let saved = match batch.deadline {
-        Some(deadline) if batch.idle => (deadline - view.now).max(view.config.step),
-        _ => view.config.step,
+        Some(deadline) if batch.idle => (deadline - view.now).max(view.config.step_duration),
+        _ => view.config.step_duration,
     };
     let hours = saved.as_secs_f64() / 3600.0;
     let worth = moves * f64::from(weights.moves) <= hours * f64::from(weights.roll_out);
@@ -225,6 +225,6 @@
 /// Whether the VMs left would take past `deadline` one after the other.
 fn too_late(view: &View<'_>, batch: &Batch, deadline: Time) -> bool {
     let left = batch.todo.len().min(view.pool(batch.pool).len()) as u32;
-    let needed: Duration = view.config.step.saturating_mul(left);
+    let needed: Duration = view.config.step_duration.saturating_mul(left);
     view.now + needed > deadline
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use corianderfork_model::{Fleet, Name, Time};
 use corianderfork_policy::sizing::Load;
 use corianderfork_policy::state::{Copy, Phase};
-use corianderfork_policy::{Act, Config, Decision, Directive, State, Step, decide};
+use corianderfork_policy::{Config, Decision, Directive, Operation, State, Step, decide};
 
 pub const CORE: u32 = 1_000;
 pub const GIB: u32 = 1_024;
@@ -87,7 +87,7 @@
     pub fn new(fleet: Fleet) -> Self {
         let mut state = State::new(&fleet, minute(BEGIN));
         for vm in fleet.vm_ids() {
-            state.vm_mut(vm).maintained = Some(minute(BEGIN));
+            state.vm_mut(vm).maintained_at = Some(minute(BEGIN));
         }
         let loads = vec![0; fleet.services().len()];
         Self {
@@ -155,21 +155,21 @@
     fn tick(&mut self) {
         let now = minute(self.now);
         for (service, load) in self.fleet.service_ids().zip(self.loads.clone()) {
-            let load = Load { at: now, in_hand_milli: load * 1000, ..Load::default() };
-            self.state.sizer.see_load(now, &self.fleet, service, load);
+            let load = Load { at: now, in_flight_milli: load * 1000, ..Load::default() };
+            self.state.sizer.record_load(now, &self.fleet, service, load);
         }
         for id in self.fleet.vm_ids() {
             let vm = self.state.vm_mut(id);
-            if vm.lost.is_some() {
+            if vm.lost_since.is_some() {
                 continue;
             }
             match vm.phase {
                 Phase::Draining => (vm.phase, vm.since) = (Phase::Drained, now),
                 Phase::Rebooting
                     if now - vm.since >= Duration::from_secs(300)
-                        && vm.maintained.is_none_or(|then| then < vm.since) =>
+                        && vm.maintained_at.is_none_or(|then| then < vm.since) =>
                 {
-                    self.state.came_back(id, now);
+                    self.state.record_reboot(id, now);
                 }
                 Phase::Serving => self.warm(id),
                 _ => {}
@@ -182,9 +182,9 @@
             let copy = self.state.vm(id).copies[at];
             let fails = self.bad.contains(&id) || self.broken.contains(&copy.service);
             if fails && !copy.failing {
-                self.state.start_failed(id, copy.service, minute(self.now));
+                self.state.record_start_failure(id, copy.service, minute(self.now));
             } else if !fails && (copy.failing || !copy.warm) {
-                self.state.start_succeeded(id, copy.service);
+                self.state.record_start_success(id, copy.service);
             }
             let copy = &mut self.state.vm_mut(id).copies[at];
             (copy.warm, copy.failing) = (!fails, fails);
@@ -193,9 +193,9 @@
 
     pub fn apply(&mut self, step: Step) {
         let now = minute(self.now);
-        let vm = self.state.vm_mut(step.act.vm());
-        match step.act {
-            Act::Start { service, .. } => {
+        let vm = self.state.vm_mut(step.operation.vm());
+        match step.operation {
+            Operation::Start { service, .. } => {
                 match vm.copies.iter_mut().find(|copy| copy.service == service) {
                     Some(copy) => *copy = Copy::new(service, now),
                     None => {
@@ -204,25 +204,27 @@
                     }
                 }
             }
-            Act::Stop { service, .. } => {
-                self.moves += usize::from(vm.phase == Phase::Serving && vm.lost.is_none());
+            Operation::Stop { service, .. } => {
+                self.moves += usize::from(vm.phase == Phase::Serving && vm.lost_since.is_none());
                 vm.copies.retain(|copy| copy.service != service);
             }
-            Act::Drain { purpose, .. } => {
+            Operation::Drain { purpose, .. } => {
                 assert_eq!(vm.phase, Phase::Serving, "only a serving VM is drained");
                 (vm.phase, vm.purpose, vm.since) = (Phase::Draining, Some(purpose), now);
             }
-            Act::Reboot { .. } => {
+            Operation::Reboot { .. } => {
                 assert_eq!(vm.phase, Phase::Drained, "only a drained VM is rebooted");
                 (vm.phase, vm.since) = (Phase::Rebooting, now);
             }
-            Act::SwitchPool { to, .. } => {
+            Operation::SwitchPool { to, .. } => {
                 assert_eq!(vm.phase, Phase::Drained, "only a drained VM changes its pool");
                 assert!(vm.copies.is_empty(), "no copy of the old pool is left on the VM");
                 (vm.phase, vm.pool, vm.since) = (Phase::Switching, to, now);
             }
-            Act::Admit { .. } => (vm.phase, vm.purpose, vm.since) = (Phase::Serving, None, now),
-            Act::SetOut { .. } => (vm.phase, vm.since) = (Phase::Out, now),
+            Operation::Admit { .. } => {
+                (vm.phase, vm.purpose, vm.since) = (Phase::Serving, None, now)
+            }
+            Operation::SetOut { .. } => (vm.phase, vm.since) = (Phase::Out, now),
         }
     }
 
@@ -230,7 +232,7 @@
     pub fn able(&self, service: ServiceId) -> Vec<VmId> {
         let able = |copy: &Copy| copy.service == service && copy.warm && !copy.failing;
         let vms = self.state.vms().filter(|(_, vm)| {
-            vm.phase == Phase::Serving && vm.lost.is_none() && vm.copies.iter().any(able)
+            vm.phase == Phase::Serving && vm.lost_since.is_none() && vm.copies.iter().any(able)
         });
         vms.map(|(id, _)| id).collect()
     }
@@ -246,7 +248,7 @@
         for id in self.fleet.vm_ids() {
             if lost(&self.fleet, id) {
                 let vm = self.state.vm_mut(id);
-                vm.lost = Some(minute(self.now));
+                vm.lost_since = Some(minute(self.now));
                 vm.copies.iter_mut().for_each(|copy| copy.warm = false);
             }
         }
@@ -255,7 +257,7 @@
     /// Brings all lost VMs back.
     pub fn find_all(&mut self) {
         for id in self.fleet.vm_ids() {
-            self.state.vm_mut(id).lost = None;
+            self.state.vm_mut(id).lost_since = None;
         }
     }
 }
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -13,7 +13,7 @@
 use corianderfork_policy::sizing::{Load, Usage};
 use corianderfork_policy::state::{Phase, Purpose};
 use corianderfork_policy::wave::Order;
-use corianderfork_policy::{Act, decide};
+use corianderfork_policy::{Operation, decide};
 use proptest::prelude::*;
 
 const LEVELS: [Outlasts; 4] =
@@ -91,10 +91,10 @@
         Event::Bad(index) => driver.bad.push(vm(index)),
         Event::Mend => driver.bad.clear(),
         Event::Wave => driver.state.wave = Some(Order::new(now, minute(driver.now + 300))),
-        Event::Drain(index, on) => driver.state.vm_mut(vm(index)).drain_wanted = on,
+        Event::Drain(index, on) => driver.state.vm_mut(vm(index)).drain_requested = on,
         Event::Usage(service, milli_cores) => {
             let usage = Usage { at: now, milli_cores, memory_mib: 1024 };
-            driver.state.sizer.see_usage(now, ServiceId::from_index(service), usage);
+            driver.state.sizer.record_usage(now, ServiceId::from_index(service), usage);
         }
         Event::Copies(service, count) => {
             let id = ServiceId::from_index(service);
@@ -120,10 +120,10 @@
     }
     let mut drained = Vec::new();
     for step in &driver.last.steps {
-        let vm = step.act.vm();
+        let vm = step.operation.vm();
         let state = driver.state.vm(vm);
-        match step.act {
-            Act::Start { service, .. } if !carried[vm.index()].contains(&service) => {
+        match step.operation {
+            Operation::Start { service, .. } if !carried[vm.index()].contains(&service) => {
                 let (cores, memory) = &mut used[vm.index()];
                 *cores += u64::from(size(service).milli_cores);
                 *memory += u64::from(size(service).memory_mib);
@@ -134,8 +134,8 @@
                 prop_assert_eq!(state.pool, driver.fleet.service(service).pool);
                 carried[vm.index()].push(service);
             }
-            Act::Drain { purpose: Purpose::Maintenance, .. } => drained.push(vm),
-            Act::SwitchPool { .. } => {
+            Operation::Drain { purpose: Purpose::Maintenance, .. } => drained.push(vm),
+            Operation::SwitchPool { .. } => {
                 prop_assert!(state.phase == Phase::Drained && state.copies.is_empty());
             }
             _ => {}
@@ -206,13 +206,13 @@
         for service in driver.fleet.service_ids() {
             let load = Load {
                 at: at(wide[0]),
-                in_hand_milli: wide[1],
+                in_flight_milli: wide[1],
                 arrivals_milli: wide[2],
                 refused_milli: wide[3],
             };
-            driver.state.sizer.see_load(at(wide[4]), &driver.fleet, service, load);
+            driver.state.sizer.record_load(at(wide[4]), &driver.fleet, service, load);
             let usage = Usage { at: at(wide[0]), milli_cores: numbers[6], memory_mib: numbers[7] };
-            driver.state.sizer.see_usage(at(wide[4]), service, usage);
+            driver.state.sizer.record_usage(at(wide[4]), service, usage);
         }
         driver.directive.pace = pace;
         driver.state.wave = Some(Order::new(at(wide[5]), at(wide[0])));
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -9,10 +9,10 @@
 use corianderfork_model::place::{Pool, Size};
 use corianderfork_model::service::{Budget, Class, Outlasts, Service, Team};
 use corianderfork_policy::directive::Copies;
-use corianderfork_policy::note::Never;
+use corianderfork_policy::note::Unschedulable;
 use corianderfork_policy::state::Phase;
 use corianderfork_policy::step::Reason;
-use corianderfork_policy::{Act, Note};
+use corianderfork_policy::{Note, Operation};
 
 #[test]
 fn decide_outlasts_a_data_centre() {
@@ -79,16 +79,16 @@
     };
     let accelerated = Size { accelerators: 1, ..size(1, 1) };
     let jobs = [
-        (add("cores", pool, size(17, 1), 2), Never::Cores),
-        (add("memory", pool, size(1, 33), 2), Never::Memory),
-        (add("accelerators", pool, accelerated, 2), Never::Accelerators),
-        (add("licences", pool, size(1, 1), 0), Never::Licences),
-        (add("pool", empty, size(1, 1), 2), Never::EmptyPool),
+        (add("cores", pool, size(17, 1), 2), Unschedulable::Cores),
+        (add("memory", pool, size(1, 33), 2), Unschedulable::Memory),
+        (add("accelerators", pool, accelerated, 2), Unschedulable::Accelerators),
+        (add("licences", pool, size(1, 1), 0), Unschedulable::Licences),
+        (add("pool", empty, size(1, 1), 2), Unschedulable::EmptyPool),
     ];
     let mut driver = Driver::new(fleet);
     driver.step();
-    for (service, why) in jobs {
-        assert!(driver.last.notes.contains(&Note::Never { service, why }), "{why}");
+    for (service, reason) in jobs {
+        assert!(driver.last.notes.contains(&Note::Unschedulable { service, reason }), "{reason}");
     }
     assert!(driver.last.steps.is_empty());
 }
@@ -116,7 +116,7 @@
     for _ in 0..600 {
         driver.step();
         let starts = driver.last.steps.iter();
-        if starts.clone().any(|step| matches!(step.act, Act::Start { .. })) {
+        if starts.clone().any(|step| matches!(step.operation, Operation::Start { .. })) {
             tries.push(driver.now);
         }
     }
@@ -141,8 +141,8 @@
     let mut named = false;
     for _ in 0..300 {
         driver.step();
-        let on_bad = |act| matches!(act, Act::Start { vm, .. } if vm == bad);
-        starts += driver.last.steps.iter().filter(|step| on_bad(step.act)).count();
+        let on_bad = |operation| matches!(operation, Operation::Start { vm, .. } if vm == bad);
+        starts += driver.last.steps.iter().filter(|step| on_bad(step.operation)).count();
         named |= driver.last.notes.contains(&Note::Unfit { vm: bad });
     }
     assert!(starts <= 8, "{starts} starts on a VM that fails everything");
@@ -163,8 +163,8 @@
     let mut starts = 0;
     for _ in 0..9 {
         driver.step();
-        let again = Act::Start { vm: bad, service };
-        starts += driver.last.steps.iter().filter(|step| step.act == again).count();
+        let again = Operation::Start { vm: bad, service };
+        starts += driver.last.steps.iter().filter(|step| step.operation == again).count();
     }
     assert_eq!(starts, 1);
 }
@@ -188,7 +188,7 @@
     driver.loads = vec![16, 16];
     driver.step();
     let displaced = Reason::Displaced(transfer);
-    driver.run_until(|driver| driver.last.steps.iter().any(|step| step.why == displaced));
+    driver.run_until(|driver| driver.last.steps.iter().any(|step| step.reason == displaced));
     driver.run(10);
     assert_eq!((driver.held(transfer), driver.held(archive)), (2, 0));
 }
@@ -230,14 +230,14 @@
     let mut driver = Driver::new(fleet);
     driver.run(30);
     let vm = driver.able(service)[0];
-    driver.state.vm_mut(vm).drain_wanted = true;
+    driver.state.vm_mut(vm).drain_requested = true;
     for _ in 0..20 {
         driver.step();
         assert!(driver.able(service).len() >= 3);
     }
     assert_eq!(driver.state.vm(vm).phase, Phase::Drained);
     assert!(driver.state.vm(vm).copies.is_empty());
-    driver.state.vm_mut(vm).drain_wanted = false;
+    driver.state.vm_mut(vm).drain_requested = false;
     driver.run(2);
     assert_eq!(driver.state.vm(vm).phase, Phase::Serving);
 }
@@ -256,7 +256,7 @@
         driver.directive.copies.insert(service, copies);
         driver.run(30);
         let vm = driver.able(service)[0];
-        driver.state.vm_mut(vm).drain_wanted = true;
+        driver.state.vm_mut(vm).drain_requested = true;
         driver.run(10);
         assert_eq!(driver.state.vm(vm).phase, Phase::Drained, "{copies:?}");
         assert!(driver.able(service).len() >= 3);
--- a/crates/policy/tests/sizing.rs
+++ b/crates/policy/tests/sizing.rs
@@ -25,7 +25,7 @@
     // Values between 900 and 1100: the bound on the error that the docs state.
     let values: Vec<u32> = (0..180).map(|i| 900 + i * 37 % 201).collect();
     for &value in &values {
-        sizer.see_usage(now, service, usage(now, value));
+        sizer.record_usage(now, service, usage(now, value));
     }
     let learned = sizer.size(&fleet, service, &config).milli_cores;
     let above = values.iter().filter(|&&value| value > learned).count();
@@ -44,10 +44,10 @@
     let now = minute(BEGIN);
     let mut sizer = Sizer::new(&fleet, now);
     let config = Config::default();
-    let load = |at, in_hand_milli| Load { at, in_hand_milli, ..Load::default() };
-    sizer.see_load(now, &fleet, service, load(minute(BEGIN + 500_000), 900_000_000));
-    sizer.see_usage(now, service, usage(minute(BEGIN + 500_000), 900_000_000));
-    sizer.see_load(now, &fleet, service, load(now, 4_000));
+    let load = |at, in_flight_milli| Load { at, in_flight_milli, ..Load::default() };
+    sizer.record_load(now, &fleet, service, load(minute(BEGIN + 500_000), 900_000_000));
+    sizer.record_usage(now, service, usage(minute(BEGIN + 500_000), 900_000_000));
+    sizer.record_load(now, &fleet, service, load(now, 4_000));
     assert_eq!(sizer.demand(&fleet, service, &config, now).now, 1);
     assert_eq!(sizer.size(&fleet, service, &config), fleet.service(service).size);
 }
@@ -64,11 +64,11 @@
         // 8 in hand of 80 a second that are answered in 100 ms; 160 refused.
         let load = Load {
             at: minute(at),
-            in_hand_milli: 8_000,
+            in_flight_milli: 8_000,
             arrivals_milli: 240_000,
             refused_milli: 160_000,
         };
-        sizer.see_load(minute(at), &fleet, service, load);
+        sizer.record_load(minute(at), &fleet, service, load);
     }
     let demand = sizer.demand(&fleet, service, &Config::default(), minute(BEGIN + 29));
     assert!((3..=4).contains(&demand.now), "{demand:?}");
@@ -122,7 +122,7 @@
     driver.now += 300;
     let decision = driver.decide();
     assert!(decision.steps.is_empty(), "{decision:?}");
-    assert!(decision.notes.contains(&Note::Stale { service }));
+    assert!(decision.notes.contains(&Note::StaleLoad { service }));
     assert!(held >= 8);
 }
 
@@ -143,8 +143,9 @@
     let services: Vec<_> = driver.fleet.service_ids().collect();
     let usage = |driver: &mut Driver, milli_cores: u32| {
         for &service in &services {
-            (0..400)
-                .for_each(|_| driver.state.sizer.see_usage(now, service, usage(now, milli_cores)));
+            (0..400).for_each(|_| {
+                driver.state.sizer.record_usage(now, service, usage(now, milli_cores))
+            });
         }
     };
     usage(&mut driver, 1_000);
--- a/crates/policy/tests/wave.rs
+++ b/crates/policy/tests/wave.rs
@@ -68,7 +68,7 @@
     for _ in 0..600 {
         driver.step();
         let back = |vm: &corianderfork_policy::state::Vm| {
-            vm.maintained > Some(driver.state.wave.as_ref().unwrap().begun)
+            vm.maintained_at > Some(driver.state.wave.as_ref().unwrap().started_at)
         };
         rebooted = driver.state.vms().filter(|(_, vm)| back(vm)).map(|(id, _)| id).collect();
         driver.bad = rebooted.clone();
@@ -90,7 +90,7 @@
     // Cause: the wave counts the copies that it took out, and no others.
     let mut driver = settled();
     order(&mut driver, 8);
-    driver.config = Config::new().surge(false).patience(Duration::from_secs(7_200));
+    driver.config = Config::new().surge(false).replace_delay(Duration::from_secs(7_200));
     driver.run(10);
     let first = driver.fleet.data_centre_ids().next().unwrap();
     driver.lose(|fleet, vm| fleet.data_centre_of(vm) == first);
@@ -115,13 +115,13 @@
     let mut driver = settled();
     order(&mut driver, 8);
     driver.run(25);
-    let begun = driver.state.wave.as_ref().unwrap().begun;
-    let before: Vec<_> = driver.state.vms().map(|(_, vm)| vm.maintained).collect();
+    let begun = driver.state.wave.as_ref().unwrap().started_at;
+    let before: Vec<_> = driver.state.vms().map(|(_, vm)| vm.maintained_at).collect();
     driver.state.sizer = corianderfork_policy::sizing::Sizer::new(&driver.fleet, begun);
     driver.run_until(done);
     for ((_, vm), before) in driver.state.vms().zip(before) {
         if before.is_some_and(|before| before >= begun) {
-            assert_eq!(vm.maintained, before, "no VM is rebooted twice");
+            assert_eq!(vm.maintained_at, before, "no VM is rebooted twice");
         }
     }
 }
@@ -160,11 +160,11 @@
         driver.now += 60;
         let steps: Vec<Step> = driver.decide().steps.clone();
         for step in steps {
-            driver.state.vm_mut(step.act.vm()).maintained = Some(minute(driver.now));
+            driver.state.vm_mut(step.operation.vm()).maintained_at = Some(minute(driver.now));
             weeks[(hour / 24 / 7) as usize] += 1;
         }
         for (_, vm) in driver.state.vms() {
-            let age = minute(driver.now) - vm.maintained.unwrap();
+            let age = minute(driver.now) - vm.maintained_at.unwrap();
             assert!(age <= Duration::from_secs(days * 86_400), "a VM is overdue");
         }
     }
@@ -180,21 +180,24 @@
     };
     let order = Order::new(now, minute(driver.now + 480));
     let fits = plan(&driver, &order);
-    assert!(fits.fits && fits.left.is_empty() && fits.remedies.is_empty(), "{fits:?}");
+    assert!(
+        fits.meets_deadline && fits.remaining.is_empty() && fits.remedies.is_empty(),
+        "{fits:?}"
+    );
     let short = plan(&driver, &Order::new(now, minute(driver.now + 10)));
     let finish = fits.finish.unwrap();
-    assert!(!short.fits && short.left[0].1 > 0);
+    assert!(!short.meets_deadline && short.remaining[0].1 > 0);
     assert!(short.remedies.contains(&Remedy::Deadline(finish)), "{short:?}");
     driver.directive.pace = Pace::Paused;
     let paused = plan(&driver, &order);
-    assert!(!paused.fits && paused.finish.is_none());
+    assert!(!paused.meets_deadline && paused.finish.is_none());
     assert!(paused.remedies.contains(&Remedy::Pace));
     // Held back by a budget: it says by which, and how many copies it takes.
     driver.directive.pace = Pace::Measured;
     driver.directive.refuse_moves = true;
     let service = driver.fleet.service_ids().next().unwrap();
     let blocked = plan(&driver, &order);
-    let names = |remedy: &Remedy| matches!(remedy, Remedy::Copies { service: named, more } if *named == service && *more > 0);
+    let names = |remedy: &Remedy| matches!(remedy, Remedy::Copies { service: named, missing } if *named == service && *missing > 0);
     assert!(blocked.remedies.iter().any(names), "{blocked:?}");
 }
 
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -25,7 +25,7 @@
 use corianderfork_model::Fleet;
 
 use crate::error::Error;
-use crate::explain::Seen;
+use crate::explain::Observation;
 use crate::situation::Situation;
 use crate::term::Term;
 
@@ -96,15 +96,15 @@
     }
 
     /// Every value that the condition asks for, in the order of the text.
-    pub fn seen(&self, situation: &Situation) -> Vec<Seen> {
-        let mut seen = Vec::new();
+    pub fn observations(&self, situation: &Situation) -> Vec<Observation> {
+        let mut observations = Vec::new();
         self.node.each_term(&mut |term| {
-            let one = term.seen(situation);
-            if !seen.contains(&one) {
-                seen.push(one);
+            let observation = term.observe(situation);
+            if !observations.contains(&observation) {
+                observations.push(observation);
             }
         });
-        seen
+        observations
     }
 }
 
--- a/crates/rules/src/cursor.rs
+++ b/crates/rules/src/cursor.rs
@@ -51,54 +51,54 @@
     }
 
     /// Takes the next token, which has to read `text`.
-    pub(crate) fn expect(&mut self, text: &str, due: &'static str) -> Result<(), Error> {
-        if self.takes(text) { Ok(()) } else { Err(self.unexpected(due)) }
+    pub(crate) fn expect(&mut self, text: &str, expected: &'static str) -> Result<(), Error> {
+        if self.takes(text) { Ok(()) } else { Err(self.unexpected(expected)) }
     }
 
     /// Takes the next token if it is of `token`.
-    pub(crate) fn take(&mut self, token: Token, due: &'static str) -> Result<Word<'a>, Error> {
+    pub(crate) fn take(&mut self, token: Token, expected: &'static str) -> Result<Word<'a>, Error> {
         match self.lexemes.get(self.next) {
             Some(lexeme) if lexeme.token == token => {
                 let at = lexeme.at.clone();
                 self.next += 1;
                 Ok(Word { text: &self.text[at.clone()], at })
             }
-            _ => Err(self.unexpected(due)),
+            _ => Err(self.unexpected(expected)),
         }
     }
 
     /// Takes a word, name or number.
-    pub(crate) fn word(&mut self, due: &'static str) -> Result<Word<'a>, Error> {
-        self.take(Token::Word, due)
+    pub(crate) fn word(&mut self, expected: &'static str) -> Result<Word<'a>, Error> {
+        self.take(Token::Word, expected)
     }
 
     /// The mistake of another token than the one due.
-    pub(crate) fn unexpected(&self, due: &'static str) -> Error {
+    pub(crate) fn unexpected(&self, expected: &'static str) -> Error {
         let kind = if self.is_done() {
-            Kind::End(due)
+            Kind::UnexpectedEnd(expected)
         } else {
-            Kind::Unexpected { found: self.peek().to_owned(), due }
+            Kind::Unexpected { found: self.peek().to_owned(), expected }
         };
-        Error::new(kind, self.at(), format!("write {due} here"))
+        Error::new(kind, self.at(), format!("write {expected} here"))
     }
 }
 
 impl Word<'_> {
     /// The mistake of a word that is none of `known`.
     pub(crate) fn unknown<'b>(&self, known: impl IntoIterator<Item = &'b str>) -> Error {
-        let kind = Kind::Word(self.text.to_owned());
+        let kind = Kind::UnknownWord(self.text.to_owned());
         Error::new(kind, self.at.clone(), nearest::help(self.text, known))
     }
 
     /// The id that `find` has for this name.
     pub(crate) fn resolve<'b, I>(
         &self,
-        what: &'static str,
+        category: &'static str,
         find: Option<I>,
         known: impl IntoIterator<Item = &'b str>,
     ) -> Result<I, Error> {
         find.ok_or_else(|| {
-            let kind = Kind::Name { what, name: self.text.to_owned() };
+            let kind = Kind::UnknownName { category, name: self.text.to_owned() };
             Error::new(kind, self.at.clone(), nearest::help(self.text, known))
         })
     }
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -17,7 +17,7 @@
 pub enum Kind {
     /// The text is empty, or ends before it is complete.
     #[error("the text ends where {0} is due")]
-    End(&'static str),
+    UnexpectedEnd(&'static str),
     /// The text is longer than [`MAX_LEN`].
     #[error("the text has {0} bytes; {MAX_LEN} is the most")]
     TooLong(usize),
@@ -26,51 +26,51 @@
     TooDeep,
     /// A character that no condition and no action has.
     #[error("`{0}` has no meaning here")]
-    Character(char),
+    UnexpectedCharacter(char),
     /// Something else is due here.
-    #[error("`{found}` stands where {due} is due")]
+    #[error("`{found}` stands where {expected} is due")]
     Unexpected {
         /// What stands there.
         found: String,
         /// What is due.
-        due: &'static str,
+        expected: &'static str,
     },
     /// A word that is no quantity, flag or action.
     #[error("`{0}` is unknown")]
-    Word(String),
+    UnknownWord(String),
     /// A name that the configuration does not have.
-    #[error("there is no {what} called `{name}`")]
-    Name {
+    #[error("there is no {category} called `{name}`")]
+    UnknownName {
         /// `service`, `pool`, `data centre`, `rack` or `VM`.
-        what: &'static str,
+        category: &'static str,
         /// The name.
         name: String,
     },
     /// A pool that carries no service, so that it has no value.
     #[error("pool `{0}` carries no service")]
-    NoService(String),
+    EmptyPool(String),
     /// A number that is no number, or has more digits than count.
     #[error("`{0}` is no number that fits here")]
-    Number(String),
+    InvalidNumber(String),
     /// A number outside its bounds.
-    #[error("`{found}` is out of bounds, which are {least} to {most}")]
-    Bounds {
+    #[error("`{found}` is out of bounds, which are {min} to {max}")]
+    OutOfBounds {
         /// The number as written.
         found: String,
         /// The least.
-        least: String,
+        min: String,
         /// The most.
-        most: String,
+        max: String,
     },
     /// A number without its unit, or with another's.
-    #[error("`{what}` is compared with {due}, not with `{found}`")]
-    Unit {
+    #[error("`{quantity}` is compared with {expected}, not with `{found}`")]
+    WrongUnit {
         /// The quantity.
-        what: String,
+        quantity: String,
         /// The number as written.
         found: String,
         /// What it is compared with.
-        due: &'static str,
+        expected: &'static str,
     },
     /// Two actions of one text that contradict each other.
     #[error("`{0}` contradicts an action before it")]
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -11,26 +11,26 @@
 
 /// A value that a condition asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observation {
     /// The quantity as conditions write it, `load(transfer)` say.
-    pub what: String,
+    pub label: String,
     /// Its value, or `None` if it is unknown or stale.
     pub value: Option<Value>,
     /// Its age, also where it is stale; `None` if it was never known.
     pub age: Option<Duration>,
 }
 
-impl fmt::Display for Seen {
+impl fmt::Display for Observation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.value, self.age) {
             (Some(value), Some(age)) => {
-                write!(f, "{} is {value}, {} ms old", self.what, age.as_millis())
+                write!(f, "{} is {value}, {} ms old", self.label, age.as_millis())
             }
-            (Some(value), None) => write!(f, "{} is {value}", self.what),
+            (Some(value), None) => write!(f, "{} is {value}", self.label),
             (None, Some(age)) => {
-                write!(f, "{} is unknown: the last value is {} ms old", self.what, age.as_millis())
+                write!(f, "{} is unknown: the last value is {} ms old", self.label, age.as_millis())
             }
-            (None, None) => write!(f, "{} is unknown", self.what),
+            (None, None) => write!(f, "{} is unknown", self.label),
         }
     }
 }
@@ -38,7 +38,7 @@
 /// A rule above the deciding one, which did not match.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
-pub struct Passed {
+pub struct SkippedRule {
     /// Its name.
     pub name: Name,
     /// Its condition, as the operator wrote it.
@@ -46,16 +46,16 @@
     /// False, or unknown.
     pub truth: Truth,
     /// The values it asked for.
-    pub seen: Vec<Seen>,
+    pub observations: Vec<Observation>,
 }
 
-impl Passed {
+impl SkippedRule {
     pub(crate) fn new(rule: &Rule, situation: &Situation) -> Self {
         Self {
             name: rule.name().clone(),
             when: rule.when().as_str().to_owned(),
             truth: rule.when().truth(situation),
-            seen: rule.when().seen(situation),
+            observations: rule.when().observations(situation),
         }
     }
 }
@@ -65,12 +65,12 @@
 pub struct Explanation {
     decision: Decision,
     rules: usize,
-    passed: Vec<Passed>,
+    skipped: Vec<SkippedRule>,
 }
 
 impl Explanation {
-    pub(crate) fn new(decision: Decision, rules: usize, passed: Vec<Passed>) -> Self {
-        Self { decision, rules, passed }
+    pub(crate) fn new(decision: Decision, rules: usize, skipped: Vec<SkippedRule>) -> Self {
+        Self { decision, rules, skipped }
     }
 
     /// The decision.
@@ -79,24 +79,24 @@
     }
 
     /// The rules above the deciding one, in their order.
-    pub fn passed(&self) -> &[Passed] {
-        &self.passed
+    pub fn skipped(&self) -> &[SkippedRule] {
+        &self.skipped
     }
 }
 
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for passed in &self.passed {
-            let truth = if passed.truth == Truth::Unknown { "unknown" } else { "false" };
-            writeln!(f, "rule `{}` did not match: `{}` is {truth}", passed.name, passed.when)?;
-            seen(f, &passed.seen)?;
+        for skipped in &self.skipped {
+            let truth = if skipped.truth == Truth::Unknown { "unknown" } else { "false" };
+            writeln!(f, "rule `{}` did not match: `{}` is {truth}", skipped.name, skipped.when)?;
+            write_observations(f, &skipped.observations)?;
         }
         let (number, name) = (self.decision.rule() + 1, self.decision.name());
         writeln!(f, "rule `{name}` ({number} of {}) decided", self.rules)?;
-        seen(f, self.decision.seen())
+        write_observations(f, self.decision.observations())
     }
 }
 
-fn seen(f: &mut fmt::Formatter<'_>, seen: &[Seen]) -> fmt::Result {
-    seen.iter().try_for_each(|one| writeln!(f, "  {one}"))
+fn write_observations(f: &mut fmt::Formatter<'_>, observations: &[Observation]) -> fmt::Result {
+    observations.iter().try_for_each(|observation| writeln!(f, "  {observation}"))
 }
--- a/crates/rules/src/lexer.rs
+++ b/crates/rules/src/lexer.rs
@@ -43,8 +43,9 @@
             start += c.len_utf8();
             continue;
         }
-        let (token, len) = next(&text[start..], c)
-            .map_err(|help| Error::new(Kind::Character(c), start..start + c.len_utf8(), help))?;
+        let (token, len) = next(&text[start..], c).map_err(|help| {
+            Error::new(Kind::UnexpectedCharacter(c), start..start + c.len_utf8(), help)
+        })?;
         lexemes.push(Lexeme { token, at: start..start + len });
         start += len;
     }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -72,7 +72,7 @@
 pub use action::Action;
 pub use condition::{Condition, Truth};
 pub use error::Error;
-pub use explain::{Explanation, Seen};
+pub use explain::{Explanation, Observation};
 pub use lint::{Finding, lint};
 pub use list::{Decision, List, Rule};
 pub use situation::Situation;
--- a/crates/rules/src/lint.rs
+++ b/crates/rules/src/lint.rs
@@ -46,7 +46,7 @@
 
 impl Kind {
     /// Whether the rule can never match.
-    pub fn is_never(&self) -> bool {
+    pub fn never_matches(&self) -> bool {
         !matches!(self, Self::Overlap(_))
     }
 
@@ -81,7 +81,7 @@
 /// let findings = lint(&list);
 /// assert_eq!(findings.len(), 1);
 /// assert_eq!(findings[0].name.as_str(), "noon");
-/// assert!(findings[0].kind.is_never());
+/// assert!(findings[0].kind.never_matches());
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub fn lint(list: &List) -> Vec<Finding> {
--- a/crates/rules/src/list.rs
+++ b/crates/rules/src/list.rs
@@ -4,7 +4,7 @@
 
 use crate::action::Action;
 use crate::condition::{Condition, Truth};
-use crate::explain::{Explanation, Passed, Seen};
+use crate::explain::{Explanation, Observation, SkippedRule};
 use crate::situation::Situation;
 
 /// The most rules that a list has.
@@ -61,7 +61,7 @@
     Duplicate(Name),
     /// The last rule does not always match.
     #[error("the last rule, `{0}`, does not match always; add a last rule with `when = always`")]
-    NoLastResort(Name),
+    NoFallback(Name),
 }
 
 impl List {
@@ -78,7 +78,7 @@
     ///
     /// let day = condition::parse("hour >= 8 and hour < 20", &Fleet::default())?;
     /// let rules = vec![Rule::new(Name::new("day")?, day, Vec::new())];
-    /// assert_eq!(List::new(rules), Err(list::Error::NoLastResort(Name::new("day")?)));
+    /// assert_eq!(List::new(rules), Err(list::Error::NoFallback(Name::new("day")?)));
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     pub fn new(rules: Vec<Rule>) -> Result<Self, Error> {
@@ -89,7 +89,7 @@
             return Err(Error::TooMany(rules.len()));
         }
         if !last.when.is_always() {
-            return Err(Error::NoLastResort(last.name.clone()));
+            return Err(Error::NoFallback(last.name.clone()));
         }
         for (i, rule) in rules.iter().enumerate() {
             if rules[..i].iter().any(|earlier| earlier.name == rule.name) {
@@ -115,16 +115,18 @@
             rule: index,
             name: rule.name.clone(),
             actions: rule.then.clone(),
-            seen: rule.when.seen(situation),
+            observations: rule.when.observations(situation),
         }
     }
 
     /// The decision, and why no earlier rule made it.
     pub fn explain(&self, situation: &Situation) -> Explanation {
         let decision = self.decide(situation);
-        let passed =
-            self.rules[..decision.rule].iter().map(|rule| Passed::new(rule, situation)).collect();
-        Explanation::new(decision, self.rules.len(), passed)
+        let skipped = self.rules[..decision.rule]
+            .iter()
+            .map(|rule| SkippedRule::new(rule, situation))
+            .collect();
+        Explanation::new(decision, self.rules.len(), skipped)
     }
 }
 
@@ -134,7 +136,7 @@
     rule: usize,
     name: Name,
     actions: Vec<Action>,
-    seen: Vec<Seen>,
+    observations: Vec<Observation>,
 }
 
 impl Decision {
@@ -154,7 +156,7 @@
     }
 
     /// The values that the deciding rule saw.
-    pub fn seen(&self) -> &[Seen] {
-        &self.seen
+    pub fn observations(&self) -> &[Observation] {
+        &self.observations
     }
 }
--- a/crates/rules/src/name.rs
+++ b/crates/rules/src/name.rs
@@ -41,7 +41,7 @@
             .map(|(id, _)| id)
             .collect();
         if services.is_empty() {
-            let kind = Kind::NoService(word.text.to_owned());
+            let kind = Kind::EmptyPool(word.text.to_owned());
             return Err(Error::new(kind, word.at, "name a pool that carries a service"));
         }
         Ok(Scope { services, breadth: Breadth::Pool, label: format!("pool {}", word.text) })
--- a/crates/rules/src/number.rs
+++ b/crates/rules/src/number.rs
@@ -21,7 +21,7 @@
     /// The number that `word` is.
     pub(crate) fn read(word: &Word<'_>) -> Result<Self, Error> {
         Self::from_text(word.text).ok_or_else(|| {
-            let kind = Kind::Number(word.text.to_owned());
+            let kind = Kind::InvalidNumber(word.text.to_owned());
             let help = "write a number such as `10`, `12.5%`, `90s` or `5m`";
             Error::new(kind, word.at.clone(), help)
         })
@@ -55,13 +55,13 @@
 }
 
 /// The bounds of a number and how they are written.
-pub(crate) fn within(n: i64, least: i64, most: i64, word: &Word<'_>) -> Result<i64, Error> {
-    if (least..=most).contains(&n) {
+pub(crate) fn within(n: i64, min: i64, max: i64, word: &Word<'_>) -> Result<i64, Error> {
+    if (min..=max).contains(&n) {
         return Ok(n);
     }
     let percent = word.text.ends_with('%');
     let show = |n: i64| if percent { format!("{}%", n / 10) } else { n.to_string() };
-    let kind = Kind::Bounds { found: word.text.to_owned(), least: show(least), most: show(most) };
-    let help = format!("write a number from {} to {}", show(least), show(most));
+    let kind = Kind::OutOfBounds { found: word.text.to_owned(), min: show(min), max: show(max) };
+    let help = format!("write a number from {} to {}", show(min), show(max));
     Err(Error::new(kind, word.at.clone(), help))
 }
--- a/crates/rules/src/parser.rs
+++ b/crates/rules/src/parser.rs
@@ -210,15 +210,16 @@
 }
 
 fn wrong_unit(subject: &Subject, label: &str, word: &Word<'_>) -> Error {
-    let due = match subject {
+    let expected = match subject {
         Subject::Load(_) => "a percentage such as `80%`",
         Subject::Trend(_) => "a percentage a minute such as `5%`",
         Subject::Licences(_) => "a number or a percentage",
         Subject::UsageAge => "a time such as `90s`",
         _ => "a whole number",
     };
-    let kind = Kind::Unit { what: label.to_owned(), found: word.text.to_owned(), due };
-    Error::new(kind, word.at.clone(), format!("write {due}"))
+    let kind =
+        Kind::WrongUnit { quantity: label.to_owned(), found: word.text.to_owned(), expected };
+    Error::new(kind, word.at.clone(), format!("write {expected}"))
 }
 
 /// `in mon..fri, sun`, or `== mon`, or `!= mon`.
@@ -245,7 +246,7 @@
 
 fn day(cursor: &mut Cursor<'_>) -> Result<i64, Error> {
     let word = cursor.word("a day, `mon` to `sun`")?;
-    match Weekday::find(word.text) {
+    match Weekday::parse(word.text) {
         Some(day) => Ok(day.number()),
         None => Err(word.unknown(Weekday::ALL.map(Weekday::as_str))),
     }
--- a/crates/rules/src/situation.rs
+++ b/crates/rules/src/situation.rs
@@ -13,7 +13,7 @@
 #[non_exhaustive]
 pub enum Quantity {
     /// Requests in hand of a service.
-    InHand(ServiceId),
+    InFlight(ServiceId),
     /// Slots of a service's copies that are able to serve.
     Slots(ServiceId),
     /// Change of a service's load, in per mille a minute.
@@ -128,7 +128,7 @@
     }
 
     /// The day that conditions write as `text`.
-    pub fn find(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|day| day.as_str() == text)
     }
 
@@ -207,11 +207,11 @@
     pub fn set_load(
         &mut self,
         service: ServiceId,
-        in_hand: u32,
+        in_flight: u32,
         slots: u32,
         age: Duration,
     ) -> &mut Self {
-        self.set(Quantity::InHand(service), in_hand.into(), age);
+        self.set(Quantity::InFlight(service), in_flight.into(), age);
         self.set(Quantity::Slots(service), slots.into(), age)
     }
 
--- a/crates/rules/src/term.rs
+++ b/crates/rules/src/term.rs
@@ -6,7 +6,7 @@
 use corianderfork_model::service::ServiceId;
 
 use crate::condition::Truth;
-use crate::explain::Seen;
+use crate::explain::Observation;
 use crate::region::Ranges;
 use crate::situation::{Quantity, Reading, Situation, Value, Weekday};
 
@@ -116,11 +116,11 @@
         }
     }
 
-    pub(crate) fn seen(&self, now: &Situation) -> Seen {
+    pub(crate) fn observe(&self, now: &Situation) -> Observation {
         let reading = self.subject.reading(now);
         let last = || self.subject.read(now, &|quantity| now.last(quantity));
-        Seen {
-            what: self.label.clone(),
+        Observation {
+            label: self.label.clone(),
             value: reading.map(|reading| self.subject.value(reading.value)),
             age: reading.or_else(last).map(|reading| reading.age),
         }
@@ -148,11 +148,11 @@
 /// able to serve counts as fully loaded: were it 0, a rule that adds copies
 /// under load would fall silent just when the last copy is lost.
 fn load(of: &[ServiceId], get: Get<'_>) -> Option<Reading> {
-    let in_hand = sum(of, Quantity::InHand, get)?;
+    let in_flight = sum(of, Quantity::InFlight, get)?;
     let slots = sum(of, Quantity::Slots, get)?;
-    let share = in_hand.value.saturating_mul(THOUSAND) / slots.value.max(1);
+    let share = in_flight.value.saturating_mul(THOUSAND) / slots.value.max(1);
     let value = if slots.value == 0 { share.max(THOUSAND) } else { share };
-    Some(Reading { value, age: in_hand.age.max(slots.age) })
+    Some(Reading { value, age: in_flight.age.max(slots.age) })
 }
 
 /// The trend of a pool is the mean of its services' trends.
--- a/crates/rules/src/then.rs
+++ b/crates/rules/src/then.rs
@@ -195,9 +195,9 @@
     }
 }
 
-fn wrong_unit(what: &str, word: &Word<'_>, due: &'static str) -> Error {
-    let kind = Kind::Unit { what: what.to_owned(), found: word.text.to_owned(), due };
-    Error::new(kind, word.at.clone(), format!("write {due}"))
+fn wrong_unit(what: &str, word: &Word<'_>, expected: &'static str) -> Error {
+    let kind = Kind::WrongUnit { quantity: what.to_owned(), found: word.text.to_owned(), expected };
+    Error::new(kind, word.at.clone(), format!("write {expected}"))
 }
 
 fn conflicts(word: &Word<'_>) -> Error {
--- a/crates/rules/tests/action.rs
+++ b/crates/rules/tests/action.rs
@@ -76,12 +76,12 @@
 fn parse_mistakes() {
     assert_eq!(refused("headrom all 10%").help(), "did you mean `headroom`?");
     assert_eq!(refused("drain vm v02").help(), "did you mean `v01`?");
-    assert!(matches!(refused("headroom transfer 30").kind(), Kind::Unit { .. }));
-    assert!(matches!(refused("copies transfer 101%").kind(), Kind::Bounds { .. }));
-    assert!(matches!(refused("copies transfer -1").kind(), Kind::Bounds { .. }));
-    assert!(matches!(refused("wave pace 0").kind(), Kind::Bounds { .. }));
+    assert!(matches!(refused("headroom transfer 30").kind(), Kind::WrongUnit { .. }));
+    assert!(matches!(refused("copies transfer 101%").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(refused("copies transfer -1").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(refused("wave pace 0").kind(), Kind::OutOfBounds { .. }));
     assert!(matches!(refused("hold wave pause").kind(), Kind::Unexpected { .. }));
-    assert!(matches!(refused(" ").kind(), Kind::End(_)));
+    assert!(matches!(refused(" ").kind(), Kind::UnexpectedEnd(_)));
 }
 
 #[test]
--- a/crates/rules/tests/common/mod.rs
+++ b/crates/rules/tests/common/mod.rs
@@ -70,7 +70,7 @@
     let age = || prop::option::weighted(0.8, prop::sample::select(vec![0u64, 5, 500]));
     let values = (0..5u64, -1..5i32, any::<bool>(), any::<bool>(), 0..4u32, 0..3u32);
     (values, age(), age(), age(), age(), 0..7u64).prop_map(
-        |((hour, spare, store, wave, in_hand, slots), a, b, c, d, day)| {
+        |((hour, spare, store, wave, in_flight, slots), a, b, c, d, day)| {
             let mut now = Situation::new();
             now.set_clock(Time::from_millis((day * 24 + hour) * 3_600_000), 0);
             let age = Duration::from_secs;
@@ -78,8 +78,8 @@
             b.map(|b| now.set_store_down(store, age(b)).clone());
             c.map(|c| now.set_wave(wave, 0, age(c)).clone());
             d.map(|d| {
-                now.set_load(service("transfer"), in_hand, slots, age(d));
-                now.set_load(service("lookup"), in_hand, 1, age(d)).clone()
+                now.set_load(service("transfer"), in_flight, slots, age(d));
+                now.set_load(service("lookup"), in_flight, 1, age(d)).clone()
             });
             now
         },
--- a/crates/rules/tests/condition.rs
+++ b/crates/rules/tests/condition.rs
@@ -113,29 +113,35 @@
 #[test]
 fn parse_unknown_names() {
     let error = refused("store_down or load(trnsfer) > 80%");
-    assert_eq!(error.kind(), &Kind::Name { what: "service", name: "trnsfer".to_owned() });
+    assert_eq!(
+        error.kind(),
+        &Kind::UnknownName { category: "service", name: "trnsfer".to_owned() }
+    );
     assert_eq!((error.offset(), error.len()), (19, 7));
     assert_eq!(error.help(), "did you mean `transfer`?");
     assert_eq!(refused("load(pool regsitry) > 1%").help(), "did you mean `registry`?");
     assert_eq!(refused("down(data_centre kolkatta)").help(), "did you mean `kolkata`?");
     assert_eq!(refused("stor_down").help(), "did you mean `store_down`?");
-    assert_eq!(refused("load(pool idle) > 1%").kind(), &Kind::NoService("idle".to_owned()));
+    assert_eq!(refused("load(pool idle) > 1%").kind(), &Kind::EmptyPool("idle".to_owned()));
 }
 
 #[test]
 fn parse_wrong_numbers() {
-    assert!(matches!(refused("load(transfer) > 80").kind(), Kind::Unit { .. }));
-    assert!(matches!(refused("hour > 8%").kind(), Kind::Unit { .. }));
-    assert!(matches!(refused("hour < 25").kind(), Kind::Bounds { .. }));
-    assert!(matches!(refused("copies(lookup) > -1").kind(), Kind::Bounds { .. }));
-    assert!(matches!(refused("hour < many").kind(), Kind::Number(_)));
-    assert!(matches!(refused("spare(lookup) > 99999999999999999999").kind(), Kind::Number(_)));
+    assert!(matches!(refused("load(transfer) > 80").kind(), Kind::WrongUnit { .. }));
+    assert!(matches!(refused("hour > 8%").kind(), Kind::WrongUnit { .. }));
+    assert!(matches!(refused("hour < 25").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(refused("copies(lookup) > -1").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(refused("hour < many").kind(), Kind::InvalidNumber(_)));
+    assert!(matches!(
+        refused("spare(lookup) > 99999999999999999999").kind(),
+        Kind::InvalidNumber(_)
+    ));
 }
 
 #[test]
 fn parse_wrong_form() {
-    assert!(matches!(refused("").kind(), Kind::End(_)));
-    assert!(matches!(refused("wave and").kind(), Kind::End(_)));
+    assert!(matches!(refused("").kind(), Kind::UnexpectedEnd(_)));
+    assert!(matches!(refused("wave and").kind(), Kind::UnexpectedEnd(_)));
     assert!(matches!(refused("wave store_down").kind(), Kind::Unexpected { .. }));
     assert_eq!(refused("hour = 8").help(), "write `==` to compare");
     assert_eq!(refused("wave && wave").help(), "write `and`");
--- a/crates/rules/tests/list.rs
+++ b/crates/rules/tests/list.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 
 fn never(list: &List) -> Vec<Finding> {
-    lint(list).into_iter().filter(|finding| finding.kind.is_never()).collect()
+    lint(list).into_iter().filter(|finding| finding.kind.never_matches()).collect()
 }
 
 #[test]
@@ -26,7 +26,7 @@
     assert_eq!(List::new(twice), Err(Error::Duplicate(name("a"))));
     // True wherever the hour is known, and so not always.
     let nearly = vec![rule("a", "hour < 12 or hour >= 12")];
-    assert_eq!(List::new(nearly), Err(Error::NoLastResort(name("a"))));
+    assert_eq!(List::new(nearly), Err(Error::NoFallback(name("a"))));
 }
 
 #[test]
@@ -45,9 +45,9 @@
     let explained = list.explain(&now);
     let decision = explained.decision();
     assert_eq!((decision.rule(), decision.actions()), (2, &[Action::RefuseMoves][..]));
-    assert_eq!(decision.seen()[0].value, Some(Value::Count(-1)));
-    assert_eq!(decision.seen()[0].age, Some(Duration::from_secs(3)));
-    let truths: Vec<_> = explained.passed().iter().map(|passed| passed.truth).collect();
+    assert_eq!(decision.observations()[0].value, Some(Value::Count(-1)));
+    assert_eq!(decision.observations()[0].age, Some(Duration::from_secs(3)));
+    let truths: Vec<_> = explained.skipped().iter().map(|skipped| skipped.truth).collect();
     assert_eq!(truths, [Truth::Unknown, Truth::False]);
     let text = explained.to_string();
     for part in [
