--- a/crates/policy/benches/policy/baseline.rs
+++ b/crates/policy/benches/policy/baseline.rs
@@ -9,8 +9,8 @@
 use corianderfork_policy::state::{Phase, Purpose, State};
 use corianderfork_policy::step::{Operation, Reason, Step};
 
-use crate::fake::{Measures, Policy, real_services};
-use crate::shape::Shape;
+use crate::scenario::Shape;
+use crate::simulator::{Measures, Policy, real_services};
 
 /// As many copies as there are runners today, always; one VM of each pool at
 /// a time.
--- a/crates/policy/benches/policy/start.rs
+++ b/crates/policy/benches/policy/initial_placement.rs
@@ -5,8 +5,8 @@
 use corianderfork_model::service::ServiceId;
 use corianderfork_policy::state::{Copy, State};
 
-use crate::fake::{real_services, time};
-use crate::shape::Shape;
+use crate::scenario::Shape;
+use crate::simulator::{real_services, time};
 
 /// Ten copies of each service, over data centres, racks and VMs in turn.
 pub fn place_evenly(shape: &Shape, state: &mut State) {
--- a/crates/policy/benches/policy/main.rs
+++ b/crates/policy/benches/policy/main.rs
@@ -20,9 +20,9 @@
 //! `POLICY_ONLY=name` runs one policy, `POLICY_USER=name` one user.
 
 mod baseline;
-mod fake;
-mod shape;
-mod start;
+mod initial_placement;
+mod scenario;
+mod simulator;
 
 use std::time::Duration;
 
@@ -30,8 +30,8 @@
 use corianderfork_policy::config::Width;
 use corianderfork_policy::{Config, Directive, State, Step, decide};
 
-use fake::{Measures, Policy};
-use shape::Shape;
+use scenario::Shape;
+use simulator::{Measures, Policy};
 
 const SEEDS: [u64; 5] = [11, 23, 42, 57, 68];
 
@@ -130,7 +130,7 @@
                 continue;
             }
             let all: Vec<Measures> =
-                shapes.iter().map(|shape| fake::run(shape, &mut *(row.make)())).collect();
+                shapes.iter().map(|shape| simulator::run(shape, &mut *(row.make)())).collect();
             print(name, row.name, mean(&all));
         }
         let bounds: Vec<Measures> = shapes.iter().map(baseline::lower_bound).collect();
--- a/crates/policy/benches/policy/fake.rs
+++ b/crates/policy/benches/policy/simulator.rs
@@ -12,8 +12,8 @@
 use corianderfork_policy::step::{Operation, Step};
 use corianderfork_policy::wave::Order;
 
-use crate::shape::{Part, Shape};
-use crate::start::place_evenly;
+use crate::initial_placement::place_evenly;
+use crate::scenario::{Part, Shape};
 
 /// Minutes that things take.
 const DRAIN: u64 = 1;
--- a/crates/policy/src/floor.rs
+++ b/crates/policy/src/budget.rs
@@ -8,7 +8,7 @@
 use corianderfork_model::place::VmId;
 use corianderfork_model::service::{Outlasts, ServiceId};
 
-use crate::cover::spread;
+use crate::failure_domain::spread;
 use crate::view::{Place, Standing, View};
 
 /// The first service that can't spare `vm`, if there is one.
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -11,7 +11,7 @@
 use corianderfork_model::place::VmId;
 use corianderfork_model::service::{Outlasts, ServiceId};
 
-use crate::cover::domain;
+use crate::failure_domain::domain;
 use crate::target::Target;
 use crate::view::{Host, Place, View};
 use crate::wave;
--- a/crates/policy/src/forecast.rs
+++ b/crates/policy/src/forecast.rs
@@ -9,9 +9,9 @@
 use corianderfork_model::place::PoolId;
 use corianderfork_model::service::ServiceId;
 
+use crate::budget;
 use crate::config::Config;
 use crate::directive::{Directive, Pace};
-use crate::floor;
 use crate::state::{Phase, Purpose, State};
 use crate::step::Operation;
 use crate::view::{Host, View};
@@ -175,9 +175,9 @@
 /// The services whose budgets hold back the VMs that are left.
 fn blockers(view: &View<'_>, order: &Order, remedies: &mut Vec<Remedy>) {
     for (id, vm) in view.state.vms().filter(|(_, vm)| order.is_pending(vm)) {
-        let remedy = match floor::blocks(view, id) {
+        let remedy = match budget::blocks(view, id) {
             _ if view.hosts[id.index()] != Host::Usable => Remedy::Repair(vm.pool),
-            Some(service) => Remedy::Copies { service, missing: floor::missing(view, service) },
+            Some(service) => Remedy::Copies { service, missing: budget::missing(view, service) },
             None => continue,
         };
         if !remedies.contains(&remedy) {
--- a/crates/policy/src/lend.rs
+++ b/crates/policy/src/lend.rs
@@ -8,8 +8,8 @@
 use corianderfork_model::place::{PoolId, VmId};
 use corianderfork_model::service::Outlasts;
 
-use crate::cover::domain;
-use crate::floor;
+use crate::budget;
+use crate::failure_domain::domain;
 use crate::placement::Request;
 use crate::state::{Phase, Purpose};
 use crate::step::{Operation, Reason, Step};
@@ -49,7 +49,7 @@
             continue;
         }
         left.push(vm.pool);
-        if floor::blocks(view, id).is_none() {
+        if budget::blocks(view, id).is_none() {
             let purpose = Purpose::Switch(home);
             steps.push(Step::new(Operation::Drain { vm: id, purpose }, Reason::ReturnHome));
             view.drained(id, false);
@@ -102,6 +102,6 @@
             && fleet.vm(vm).size.holds(&size)
             && view.used[vm.index()] == Default::default()
     };
-    let vms = fleet.vm_ids().filter(|&vm| open(vm) && floor::blocks(view, vm).is_none());
+    let vms = fleet.vm_ids().filter(|&vm| open(vm) && budget::blocks(view, vm).is_none());
     vms.min_by_key(|&vm| (fleet.vm(vm).home != request.pool, near(vm), vm))
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,19 +58,19 @@
 pub mod step;
 pub mod wave;
 
+mod budget;
 mod choice;
-mod cover;
-mod due;
 mod estimate;
-mod floor;
+mod failure_domain;
+mod feasibility;
 mod history;
 mod lend;
-mod never;
+mod periodic;
 mod phase;
 mod placement;
-mod retire;
-mod standing;
-mod tally;
+mod progress;
+mod scale_down;
+mod status;
 mod target;
 mod view;
 
--- a/crates/policy/src/phase.rs
+++ b/crates/policy/src/phase.rs
@@ -6,7 +6,7 @@
 use corianderfork_model::arena::Id;
 use corianderfork_model::place::VmId;
 
-use crate::floor;
+use crate::budget;
 use crate::note::Note;
 use crate::state::{Phase, Purpose, Vm};
 use crate::step::{Operation, Reason, Step};
@@ -109,7 +109,7 @@
         } else {
             continue;
         };
-        match floor::blocks(view, id) {
+        match budget::blocks(view, id) {
             None => {
                 steps.push(Step::new(Operation::Drain { vm: id, purpose }, reason));
                 view.drained(id, false);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -14,7 +14,7 @@
 use crate::step::{Operation, Reason, Step};
 use crate::target::Target;
 use crate::view::{Host, Place, Standing, View};
-use crate::{choice, never};
+use crate::{choice, feasibility};
 
 /// A pool that lacks room for a copy it has to have.
 #[derive(Clone, Copy, Debug)]
@@ -67,7 +67,7 @@
         }
         for service in self.order() {
             let target = Target::new(self.view, service, self.notes);
-            match never::reason(self.view, service) {
+            match feasibility::reason(self.view, service) {
                 Some(reason) => self.notes.push(Note::Unschedulable { service, reason }),
                 None => self.start(service, target),
             }
@@ -116,7 +116,7 @@
 
     fn start(&mut self, service: ServiceId, target: Target) {
         let failures = self.view.state.start_failures(service);
-        let next = never::next_try(failures);
+        let next = feasibility::next_try(failures);
         if let Some(next) = next.filter(|&next| next > self.view.now) {
             self.notes.push(Note::Backoff { service, failed: failures.count, next });
             return;
--- a/crates/policy/src/tally.rs
+++ b/crates/policy/src/progress.rs
@@ -4,7 +4,7 @@
 use corianderfork_model::arena::Id;
 use corianderfork_model::place::{PoolId, VmId};
 
-use crate::due;
+use crate::periodic;
 use crate::state::{Phase, Purpose, Vm};
 use crate::view::{Host, View};
 use crate::wave::under_way;
@@ -30,8 +30,9 @@
     /// what was due in the last day.
     pub(crate) fn new(view: &View<'_>, pool: PoolId) -> Self {
         let order = view.state.wave.as_ref().filter(|order| order.covers(pool));
-        let day_ago =
-            Time::from_millis(view.now.as_millis().saturating_sub(due::DAY.as_millis() as u64));
+        let day_ago = Time::from_millis(
+            view.now.as_millis().saturating_sub(periodic::DAY.as_millis() as u64),
+        );
         let since = order.map_or(day_ago, |order| order.started_at);
         let resumed_at = order.and_then(|order| order.resumed_at).unwrap_or(Time::ZERO);
         let mut tally = Self::default();
--- a/crates/policy/src/retire.rs
+++ b/crates/policy/src/scale_down.rs
@@ -6,20 +6,20 @@
 use corianderfork_model::place::VmId;
 use corianderfork_model::service::{Class, Outlasts, ServiceId};
 
-use crate::cover::domain;
+use crate::failure_domain::domain;
 use crate::note::Note;
 use crate::placement::{Lack, Planner};
 use crate::step::Reason;
 use crate::target::Target;
 use crate::view::{Host, Place, Standing};
-use crate::{floor, never, wave};
+use crate::{budget, feasibility, wave};
 
 impl Planner<'_, '_> {
     pub(crate) fn stop(&mut self, service: ServiceId, target: Target) {
         let able = |place: &Place| place.stays() && place.standing == Standing::Able;
         if self.view.count(service, able) < target.want.max(target.need) {
             // Where every start fails, what fails would pile up on the VMs.
-            if never::next_try(self.view.state.start_failures(service)).is_some() {
+            if feasibility::next_try(self.view.state.start_failures(service)).is_some() {
                 self.stop_failing(service);
             }
             return;
@@ -118,7 +118,7 @@
         let spared = |place: &&Place| {
             let usable = self.view.hosts[place.vm.index()] == Host::Usable;
             let able = place.standing == Standing::Able;
-            usable && able && place.leaving && floor::spares(self.view, service, place.vm)
+            usable && able && place.leaving && budget::spares(self.view, service, place.vm)
         };
         let places = self.view.places(service).iter();
         let found = places.clone().find(idle).or_else(|| places.clone().find(spared)).copied();
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -3,8 +3,8 @@
 use corianderfork_model::arena::Id;
 use corianderfork_model::service::{Outlasts, Service, ServiceId};
 
-use crate::cover::spread;
 use crate::directive::Copies;
+use crate::failure_domain::spread;
 use crate::note::Note;
 use crate::view::{Place, View};
 
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -9,12 +9,12 @@
 use corianderfork_model::{Fleet, Time};
 
 use crate::config::Config;
-use crate::cover::{domain, lowered, survivors};
 use crate::directive::Directive;
+use crate::failure_domain::{domain, lowered, survivors};
 use crate::sizing::Demand;
-use crate::standing::host;
-pub(crate) use crate::standing::{Host, Place, Standing, UNFIT};
 use crate::state::State;
+use crate::status::host;
+pub(crate) use crate::status::{Host, Place, Standing, UNFIT};
 
 /// A state, seen for one decision.
 pub(crate) struct View<'a> {
--- a/crates/policy/src/wave.rs
+++ b/crates/policy/src/wave.rs
@@ -12,14 +12,14 @@
 use corianderfork_model::arena::Id;
 use corianderfork_model::place::{PoolId, VmId};
 
+use crate::budget;
 use crate::config::Width;
 use crate::directive::Pace;
-use crate::due;
-use crate::floor;
 use crate::note::Note;
+use crate::periodic;
+use crate::progress::{Tally, fails, is_late};
 use crate::state::{Phase, Purpose, Vm};
 use crate::step::{Operation, Reason, Step};
-use crate::tally::{Tally, fails, is_late};
 use crate::view::{Host, View};
 
 /// At most one in this many of a pool's VMs is under way, so that copies lost
@@ -102,7 +102,7 @@
 pub(crate) fn plan(view: &mut View<'_>, steps: &mut Vec<Step>, notes: &mut Vec<Note>) {
     let tallies: Vec<Tally> = view.fleet.pool_ids().map(|pool| Tally::new(view, pool)).collect();
     let all = tallies.iter().fold(Tally::default(), |sum, tally| sum.plus(*tally));
-    due::overdue(view, notes);
+    periodic::overdue(view, notes);
     let late = view.fleet.vm_ids().filter(|&vm| is_late(view, vm));
     notes.extend(late.map(|vm| Note::NotBack { vm }));
     if all.halts() {
@@ -138,7 +138,7 @@
     let open = view.pool(pool).iter().filter(waiting);
     let mut todo: Vec<VmId> = open.filter(ordered).copied().collect();
     let (reason, room, deadline) = if todo.is_empty() {
-        todo = due::next(view, pool, tally.under_way);
+        todo = periodic::next(view, pool, tally.under_way);
         (Reason::Due, todo.len() as u32, None)
     } else {
         (Reason::Wave, width(view, pool, tally), order.map(|order| order.deadline))
@@ -177,7 +177,7 @@
         if taken >= batch.room && blocked.len() >= batch.ahead as usize {
             break;
         }
-        if let Some(service) = floor::blocks(view, vm) {
+        if let Some(service) = budget::blocks(view, vm) {
             blocked.push((vm, service));
             continue;
         }
--- a/crates/rules/src/action.rs
+++ b/crates/rules/src/action.rs
@@ -128,5 +128,5 @@
 ///
 /// Fails at the first mistake, with its place and the remedy.
 pub fn parse(text: &str, fleet: &Fleet) -> Result<Vec<Action>, Error> {
-    crate::then::actions(text, fleet)
+    crate::action_parser::actions(text, fleet)
 }
--- a/crates/rules/src/then.rs
+++ b/crates/rules/src/action_parser.rs
@@ -6,8 +6,8 @@
 use crate::action::{Action, Amount, Target};
 use crate::cursor::{Cursor, Word};
 use crate::error::{Error, Kind};
-use crate::name::{Breadth, Scope};
 use crate::number::{Number, within};
+use crate::resolve::{Breadth, Scope};
 
 /// Every word that an action begins with.
 const ACTIONS: [&str; 9] =
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -74,7 +74,7 @@
 /// assert_eq!(error.help(), "did you mean `fri`?");
 /// ```
 pub fn parse(text: &str, fleet: &Fleet) -> Result<Condition, Error> {
-    let node = crate::parser::condition(text, fleet)?;
+    let node = crate::condition_parser::condition(text, fleet)?;
     Ok(Condition { node, text: text.trim().to_owned() })
 }
 
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -53,21 +53,21 @@
 //! ```
 
 pub mod action;
+mod action_parser;
 pub mod condition;
+mod condition_parser;
 mod cursor;
 pub mod error;
 pub mod explain;
 mod lexer;
 pub mod lint;
 pub mod list;
-mod name;
 pub mod nearest;
 mod number;
-mod parser;
 mod region;
+mod resolve;
 pub mod situation;
 mod term;
-mod then;
 
 pub use action::Action;
 pub use condition::{Condition, Truth};
--- a/crates/rules/src/lint.rs
+++ b/crates/rules/src/lint.rs
@@ -3,9 +3,9 @@
 use corianderfork_model::Name;
 
 use crate::action::Action;
+use crate::action_parser;
 use crate::list::{List, Rule};
 use crate::region::{self, Region, Steps};
-use crate::then;
 
 /// Something about a list that its operator surely did not mean.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -145,7 +145,8 @@
 /// Whether two rules size one service differently.
 fn contradicts(one: &[Action], other: &[Action]) -> bool {
     one.iter().any(|one| {
-        let service = then::sized(one);
-        service.is_some() && other.iter().any(|other| then::sized(other) == service && other != one)
+        let service = action_parser::sized(one);
+        service.is_some()
+            && other.iter().any(|other| action_parser::sized(other) == service && other != one)
     })
 }
