--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -11,7 +11,7 @@
 use corianderfork_model::place::VmId;
 use corianderfork_model::service::{Outlasts, ServiceId};
 
-use crate::cover::domain;
+use crate::failure_domain::domain;
 use crate::target::Target;
 use crate::view::{Host, Place, View};
 use crate::wave;
@@ -34,7 +34,7 @@
             view.state.vm(vm).failed_starts,
             near(Outlasts::DataCentre, vm),
             near(Outlasts::Rack, vm),
-            wave::awaits(view, vm),
+            wave::is_pending(view, vm),
             Reverse(view.used[vm.index()].milli_cores),
             vm,
         )
