--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -12,7 +12,7 @@
 
 use crate::duty::Table;
 use crate::lookup::{job_key, run_key};
-use crate::places::{Entry, Placement, Way, queue_key};
+use crate::placement::{Entry, Placement, Way, queue_key};
 
 /// Rows of one job in its pool: two conditions and a value.
 const JOB_ROWS: usize = 3;
@@ -41,7 +41,7 @@
 /// ```
 /// use corianderfork_entry::admission::{Admission, Offer};
 /// use corianderfork_entry::duty::Table;
-/// use corianderfork_entry::places::Way;
+/// use corianderfork_entry::placement::Way;
 ///
 /// let way = Way { version: 1, pool: "alpha".to_owned() };
 /// let id = "0123456789abcdef".to_owned();
--- a/crates/entry/src/tries.rs
+++ b/crates/entry/src/attempts.rs
@@ -20,7 +20,7 @@
 /// job may be stored by that, and the refusal untrue.
 ///
 /// ```
-/// use corianderfork_entry::tries::Tries;
+/// use corianderfork_entry::attempts::Tries;
 /// use corianderfork_model::Time;
 ///
 /// let at = Time::from_millis;
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::node::{HOLD_ON, TTL};
-use crate::places::Entry;
+use crate::placement::Entry;
 use crate::rendezvous::score;
 
 /// The prefix of members' records; the name follows.
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -15,7 +15,7 @@
 use crate::duty::{self, DUTIES, MEMBERS};
 use crate::node::Node;
 use crate::owner::ms;
-use crate::places::{self, QUEUES};
+use crate::placement::{self, QUEUES};
 use crate::store::Error;
 
 /// How long a watch waits. Its end is what shows that it still works: one whose
@@ -194,8 +194,8 @@
         table.put_duty(clock::now(), name, record);
     } else if let Some(name) = key.strip_prefix(QUEUES) {
         // No daemon removes one: without it, nobody knows where the jobs are.
-        let removed = places::Entry::Damaged { revision: 0 };
-        let entry = value.map_or(removed, |value| places::Entry::read(value, revision));
+        let removed = placement::Entry::Damaged { revision: 0 };
+        let entry = value.map_or(removed, |value| placement::Entry::read(value, revision));
         if value.is_some() && entry.pools().is_empty() {
             unreadable(node, key, revision, "the queue's pools aren't known until it is written");
         }
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -1,9 +1,9 @@
 //! Callers: jobs handed in, asked for and taken back, at any entry VM.
 
 mod accept;
-mod doubt;
-mod sought;
+mod lookup_log;
 mod state;
+mod uncertain;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 use crate::node::Node;
 use crate::owner::ms;
 use crate::peer::{self, Ask, Reply};
-use crate::places::{Step, Way};
+use crate::placement::{Step, Way};
 use crate::server::{Asked, Told};
 use accept::{Accepted, Waiting, patience};
 
--- a/crates/entry/src/gateway/accept.rs
+++ b/crates/entry/src/gateway/accept.rs
@@ -11,14 +11,14 @@
 use tokio::time::timeout;
 
 use super::Gateway;
-use super::sought::Sought;
+use super::lookup_log::Sought;
 use crate::admission::{Admission, Offer};
+use crate::attempts::Tries;
 use crate::clock;
 use crate::lookup::Next;
-use crate::places::Entry;
+use crate::placement::Entry;
 use crate::server::Asked;
 use crate::store::Error;
-use crate::tries::Tries;
 
 /// How long the store is asked to take a job before the caller is told that it
 /// did not. Within a quarter of the time that callers wait.
--- a/crates/entry/src/gateway/state.rs
+++ b/crates/entry/src/gateway/state.rs
@@ -6,12 +6,12 @@
 use corianderfork_jobs::record::State;
 use serde_json::json;
 
-use super::sought::Sought;
+use super::lookup_log::Sought;
 use super::{Gateway, UNANSWERED, refuse};
 use crate::clock;
 use crate::lookup::{Lookup, Next};
 use crate::peer::{self, Ask, Reply};
-use crate::places::Step;
+use crate::placement::Step;
 use crate::server::Told;
 use crate::store::Error;
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -3,23 +3,23 @@
 //! nothing; see `docs/DEPLOYMENT.md`.
 //!
 //! What it decides is pure and lies in `corianderfork_jobs`, in [`duty`], in
-//! [`predecessor`] and in [`places`]; the rest brings that and the world together,
+//! [`predecessor`] and in [`placement`]; the rest brings that and the world together,
 //! as tasks of one thread.
 
 pub mod absence;
 pub mod admission;
 pub mod arrivals;
+pub mod attempts;
 pub mod duty;
 pub mod elapsed;
 pub mod exchange;
-pub mod heard;
 pub mod lookup;
 pub mod outage;
-pub mod places;
+pub mod placement;
 pub mod predecessor;
+pub mod queue_counts;
 pub mod rendezvous;
 pub mod settings;
-pub mod tries;
 
 mod clock;
 mod explain;
--- a/crates/entry/src/member.rs
+++ b/crates/entry/src/member.rs
@@ -13,7 +13,7 @@
 use crate::duty::{DUTIES, FLEET, Holder, MEMBERS, Member, Past, Record};
 use crate::node::{Node, TTL};
 use crate::owner::Owner;
-use crate::places::Entry;
+use crate::placement::Entry;
 use crate::planner;
 use crate::store::Error;
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -12,18 +12,18 @@
 use serde_json::json;
 use tokio::sync::Notify;
 
+use crate::attempts::Tries;
 use crate::clock;
 use crate::duty::{Former, Holder, Table};
-use crate::heard::Heard;
 use crate::http::{Client, Failed};
 use crate::metrics::Metrics;
 use crate::owner::{Owner, ms};
 use crate::peer::{self, Ask, Reply};
-use crate::places::{Entry, Search, queue_key};
+use crate::placement::{Entry, Search, queue_key};
+use crate::queue_counts::Heard;
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::trace::Trace;
-use crate::tries::Tries;
 
 /// How long a member's lease is. After it a holder that died is replaced;
 /// renewals and their answers must fit into it several times.
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -3,7 +3,7 @@
 mod advise;
 mod load;
 mod predecessors;
-mod work;
+mod workers;
 mod write;
 
 use std::cell::{Cell, RefCell};
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/placement.rs
@@ -53,7 +53,7 @@
     /// Reads a record.
     ///
     /// ```
-    /// use corianderfork_entry::places::Entry;
+    /// use corianderfork_entry::placement::Entry;
     ///
     /// assert_eq!(Entry::read(b"\xff{", 7), Entry::Damaged { revision: 7 });
     /// ```
@@ -113,7 +113,7 @@
     /// fro.
     ///
     /// ```
-    /// use corianderfork_entry::places::{Entry, Placement, Way};
+    /// use corianderfork_entry::placement::{Entry, Placement, Way};
     ///
     /// let way = Way { version: 1, pool: "alpha".to_owned() };
     /// let first = Placement::new(&Entry::Missing, &way, []);
@@ -162,7 +162,7 @@
 /// entry VM, in the queue's new pool, is told that there is no such job.
 ///
 /// ```
-/// use corianderfork_entry::places::{Entry, Search, Step};
+/// use corianderfork_entry::placement::{Entry, Search, Step};
 ///
 /// let mut search = Search::new(Entry::Missing, "alpha");
 /// assert_eq!(search.next(), Step::Pool("alpha".to_owned()));
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -1,6 +1,6 @@
 //! The platform's store, as the daemon calls it.
 
-mod way;
+mod routing;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::metrics::Metrics;
 use crate::outage::Outage;
 use crate::trace::Trace;
-use way::WATCH;
+use routing::WATCH;
 
 /// How long an answer of the store may take. It answers in milliseconds; when it
 /// is slow, in some hundreds.
--- a/crates/entry/tests/admission.rs
+++ b/crates/entry/tests/admission.rs
@@ -6,7 +6,7 @@
 use corianderfork_adapter::store::{Item, MAX_ROWS, Txn};
 use corianderfork_entry::admission::{Admission, Offer};
 use corianderfork_entry::duty::Table;
-use corianderfork_entry::places::{Entry, Places, Way, queue_key};
+use corianderfork_entry::placement::{Entry, Places, Way, queue_key};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
--- a/crates/entry/tests/tries.rs
+++ b/crates/entry/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! Tries of one job that overlap, at one entry VM.
 
-use corianderfork_entry::tries::Tries;
+use corianderfork_entry::attempts::Tries;
 use corianderfork_model::Time;
 
 fn at(millis: u64) -> Time {
--- a/crates/entry/tests/places.rs
+++ b/crates/entry/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Which pools a queue's jobs may lie in, and what a search of them concludes.
 
-use corianderfork_entry::places::{Entry, Placement, Places, Search, Step, Way};
+use corianderfork_entry::placement::{Entry, Placement, Places, Search, Step, Way};
 
 fn entry(version: u64, pools: &[&str]) -> Entry {
     let pools = pools.iter().map(|pool| (*pool).to_owned()).collect();
--- a/crates/entry/tests/heard.rs
+++ b/crates/entry/tests/queue_counts.rs
@@ -1,6 +1,6 @@
 //! Counts that are passed on.
 
-use corianderfork_entry::heard::Heard;
+use corianderfork_entry::queue_counts::Heard;
 use corianderfork_model::Time;
 
 #[test]
