--- a/crates/proxy/src/cache.rs
+++ b/crates/proxy/src/cache.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_coord::claim::Id;
 
-use crate::answer::Answer;
+use crate::response::Answer;
 
 /// The last answers, within bounds of number and bytes. A caller whose answer
 /// was lost on the way gets it whole if it asks again here; elsewhere it is
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -26,7 +26,7 @@
 use crate::lease::{Kept, carry_out};
 use crate::membership::Means;
 use crate::metrics::Gauge;
-use crate::turn;
+use crate::takeover;
 use machine::Machine;
 
 pub use message::{Inboxes, Message};
@@ -98,7 +98,7 @@
             let view = self.hub.view.borrow();
             let me = self.hub.me();
             let owner = view.owner(self.shard).cloned();
-            (owner, turn::turn(self.shard, &me, view.members()))
+            (owner, takeover::turn(self.shard, &me, view.members()))
         };
         if owner.is_some() {
             self.vacant = None;
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -15,8 +15,8 @@
 use ureq::unversioned::resolver::DefaultResolver;
 use ureq::unversioned::transport::{Connector, TcpConnector};
 
-use crate::answer::Answer;
 use crate::request::{IDEMPOTENCY_KEY, REQUEST_ID, Request, pass_on};
+use crate::response::Answer;
 use crate::transport::{Probe, Watcher};
 
 /// The header by which a backend server promises that nothing ran.
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -9,12 +9,12 @@
 use corianderfork_routing::router::RunnerKey;
 use corianderfork_wire::peer::Verdict;
 
-use crate::answer::{Answer, Outcome};
 use crate::cache::Cache;
 use crate::claimant::{Claimant, Claimed};
 use crate::exchange;
 use crate::gate::Want;
 use crate::request::Request;
+use crate::response::{Answer, Outcome};
 use crate::shared::Shared;
 
 /// When to come back to a proxy that is cut off.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,7 +6,7 @@
 //! the backend server's whole answer, *not run* with a time to come back, or
 //! *unknown*. How it comes to be sure of each is spread over small modules:
 //!
-//! * [`request`] checks what a caller sent; [`answer`] is what it gets.
+//! * [`request`] checks what a caller sent; [`response`] is what it gets.
 //! * [`exchange`] makes one try at a backend server and checks that the answer
 //!   is whole and its own; [`transport`] knows whether a byte was sent.
 //! * [`gate`] gives out slots in the order of classes, by the pure decisions of
@@ -40,7 +40,6 @@
 //! ```
 
 pub mod alarm;
-pub mod answer;
 pub mod cache;
 pub mod claimant;
 pub mod claims;
@@ -59,13 +58,14 @@
 pub mod metrics;
 pub mod pulse;
 pub mod request;
+pub mod response;
 pub mod run;
 pub mod serve;
 pub mod settings;
 pub mod shared;
 pub mod stop;
+pub mod takeover;
 pub mod transport;
-pub mod turn;
 pub mod view;
 
 pub use run::run;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -7,7 +7,7 @@
 //! queue. What does not fit there is refused in the same moment.
 
 mod body;
-mod reply;
+mod responder;
 mod worker;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,12 +20,12 @@
 use corianderfork_runtime::admin::{self, Ready};
 use tiny_http::Server;
 
-use crate::answer::Answer;
 use crate::forward::Forwarder;
 use crate::metrics::Gauge;
 use crate::request::Head;
+use crate::response::Answer;
 use crate::shared::{InFlight, Shared};
-use reply::{Body, Replier};
+use responder::{Body, Replier};
 
 /// Requests handed to the workers and not begun yet, in all.
 const BACKLOG: usize = 64;
--- a/crates/proxy/src/serve/reply.rs
+++ b/crates/proxy/src/serve/responder.rs
@@ -6,9 +6,9 @@
 use tiny_http::ReadWrite;
 
 use super::Fail;
-use crate::answer::Answer;
 use crate::metrics::Gauge;
 use crate::request::Head;
+use crate::response::Answer;
 use crate::shared::Shared;
 
 /// Bodies up to this size, in bytes, tiny_http reads before it hands a request
--- a/crates/proxy/src/serve/worker.rs
+++ b/crates/proxy/src/serve/worker.rs
@@ -5,10 +5,10 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-use super::reply::Body;
+use super::responder::Body;
 use super::{Front, Job};
-use crate::answer::{Answer, Outcome};
 use crate::request::{Error, Head, Request};
+use crate::response::{Answer, Outcome};
 
 /// The service's name in metrics for what is none.
 const NO_SERVICE: &str = "-";
--- a/crates/proxy/src/turn.rs
+++ b/crates/proxy/src/takeover.rs
@@ -21,7 +21,7 @@
 /// keeps tries apart: the store's compare-and-swap decides.
 ///
 /// ```
-/// use corianderfork_proxy::turn::turn;
+/// use corianderfork_proxy::takeover::turn;
 /// # use corianderfork_provider::record::{Member, Role};
 /// # use corianderfork_model::Name;
 /// # let proxy = |name: &str| Member {
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -3,8 +3,8 @@
 //! News comes from the store and from peers, in any order. Of each record the
 //! newest revision wins, so that a late message cannot bring back what is over.
 
+mod drain;
 mod snapshot;
-mod wish;
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use corianderfork_routing::view;
 
 use crate::shared::Directory;
-use wish::Wish;
+use drain::Wish;
 
 /// A configuration in force.
 #[derive(Clone, Debug)]
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -1,7 +1,7 @@
 //! What callers may send.
 
-use corianderfork_proxy::answer::{Answer, Outcome};
 use corianderfork_proxy::request::{Head, MAX_HEADERS, MAX_PATH};
+use corianderfork_proxy::response::{Answer, Outcome};
 
 const ID: (&str, &str) = ("Request-Id", "r-1");
 
