--- a/crates/controller/src/plan/mod.rs
+++ b/crates/controller/src/plan/mod.rs
@@ -188,7 +188,7 @@
             let at = Time::from_millis(report.at_ms);
             let usage =
                 Usage { at, milli_cores: report.milli_cores, memory_mib: report.memory_mib };
-            self.state.sizer.see_usage(unix, service, usage);
+            self.state.sizer.record_usage(unix, service, usage);
         }
         let listed: BTreeSet<Copy> =
             usage.iter().map(|report| (report.vm.clone(), report.service.clone())).collect();
--- a/crates/controller/src/plan/observe.rs
+++ b/crates/controller/src/plan/observe.rs
@@ -69,12 +69,12 @@
     let record = &entry.record;
     vm.pool = fleet.find_pool(record.pool.as_str()).unwrap_or(vm.pool);
     vm.since = Time::from_millis(record.since_ms);
-    vm.maintained = (record.maintained_ms > 0).then(|| Time::from_millis(record.maintained_ms));
+    vm.maintained_at = (record.maintained_ms > 0).then(|| Time::from_millis(record.maintained_ms));
     vm.phase = phase(record, &vm);
     vm.purpose = purpose(fleet, id, record, view);
     let lost = is_lost(facts, name, record.phase);
-    vm.lost = planner.tracker.lost(inputs.unix, name, lost);
-    vm.drain_wanted = view.drain(name).is_some()
+    vm.lost_since = planner.tracker.lost(inputs.unix, name, lost);
+    vm.drain_requested = view.drain(name).is_some()
         || is_leaving(facts, name, record.phase)
         || (record.phase == Phase::Serving && new_home(fleet, id, record).is_some());
     vm.copies = copies(planner, fleet, inputs, name, record);
@@ -89,7 +89,7 @@
         Phase::Rebooting => state::Phase::Rebooting,
         // The write that ends a reboot also sets the maintenance time; a return
         // from another pool does not.
-        Phase::Returning if vm.maintained.is_some_and(|then| then >= vm.since) => {
+        Phase::Returning if vm.maintained_at.is_some_and(|then| then >= vm.since) => {
             state::Phase::Rebooting
         }
         Phase::Returning => state::Phase::Switching,
--- a/crates/controller/src/plan/situation.rs
+++ b/crates/controller/src/plan/situation.rs
@@ -73,7 +73,7 @@
 pub fn count_copies(state: &State) -> BTreeMap<ServiceId, Copies> {
     let mut copies: BTreeMap<ServiceId, Copies> = BTreeMap::new();
     for (_, vm) in state.vms() {
-        let is_up = vm.phase == Phase::Serving && vm.lost.is_none();
+        let is_up = vm.phase == Phase::Serving && vm.lost_since.is_none();
         for copy in &vm.copies {
             let count = copies.entry(copy.service).or_default();
             count.licensed += 1;
@@ -112,7 +112,7 @@
     // A domain is down if it has VMs and all of them are lost.
     let (mut racks, mut data_centres) = (BTreeMap::new(), BTreeMap::new());
     for (id, vm) in source.state.vms() {
-        let lost = vm.lost.is_some();
+        let lost = vm.lost_since.is_some();
         *racks.entry(fleet.vm(id).rack).or_insert(true) &= lost;
         *data_centres.entry(fleet.data_centre_of(id)).or_insert(true) &= lost;
     }
--- a/crates/controller/src/plan/steps.rs
+++ b/crates/controller/src/plan/steps.rs
@@ -5,7 +5,7 @@
 use corianderfork_model::service::ServiceId;
 use corianderfork_model::{Fleet, Name};
 use corianderfork_policy::state::Purpose;
-use corianderfork_policy::{Act, Reason, Step};
+use corianderfork_policy::{Operation, Reason, Step};
 use corianderfork_provider::fleet::TaskState;
 use corianderfork_provider::record::Phase;
 
@@ -24,7 +24,7 @@
 ) {
     planner.stops.retain(steps, fleet, inputs);
     for step in steps {
-        let name = &fleet.vm(step.act.vm()).name;
+        let name = &fleet.vm(step.operation.vm()).name;
         if planner.is_writing(name) {
             continue;
         }
@@ -33,11 +33,11 @@
 }
 
 fn who(step: &Step, rule: &str) -> String {
-    match step.why {
+    match step.reason {
         Reason::Wave => "wave".to_owned(),
         Reason::Due => "maintenance".to_owned(),
-        Reason::Asked => "operator".to_owned(),
-        _ => format!("rule {rule}: {}", step.why),
+        Reason::Requested => "operator".to_owned(),
+        _ => format!("rule {rule}: {}", step.reason),
     }
 }
 
@@ -49,33 +49,33 @@
     step: &Step,
     who: &str,
 ) {
-    let name = &fleet.vm(step.act.vm()).name;
+    let name = &fleet.vm(step.operation.vm()).name;
     let Some(entry) = inputs.view.vm(name) else { return };
     let (record, unix) = (&entry.record, inputs.unix);
-    match step.act {
-        Act::Start { service, .. } => start(fleet, inputs, draft, name, service),
-        Act::Stop { service, .. } => stop(planner, fleet, inputs, draft, name, service),
-        Act::Drain { vm, purpose } if record.phase == Phase::Serving => {
+    match step.operation {
+        Operation::Start { service, .. } => start(fleet, inputs, draft, name, service),
+        Operation::Stop { service, .. } => stop(planner, fleet, inputs, draft, name, service),
+        Operation::Drain { vm, purpose } if record.phase == Phase::Serving => {
             let (why, to) = drain_target(fleet, inputs, vm, purpose);
             draft.write(name, entry, change::draining(record, &why, to, unix), who);
         }
-        Act::Reboot { .. } if record.phase == Phase::Drained => {
+        Operation::Reboot { .. } if record.phase == Phase::Drained => {
             draft.write(name, entry, change::rebooting(record, unix), who);
         }
         // A copy of the old pool that still runs would serve alongside those of
         // the new pool, so the switch waits until none is listed.
-        Act::SwitchPool { vm, to }
+        Operation::SwitchPool { vm, to }
             if record.phase == Phase::Drained && has_no_tasks(inputs, name) =>
         {
             let lent = fleet.vm(vm).home != to;
             let to = &fleet.pool(to).name;
             draft.write(name, entry, change::switched(record, to, lent, unix), who);
         }
-        Act::Admit { .. } if can_admit(record.phase) => {
+        Operation::Admit { .. } if can_admit(record.phase) => {
             let runners = transition::ready_runners(planner, fleet, inputs, name, record);
             draft.write(name, entry, change::serving(record, runners, unix), who);
         }
-        Act::SetOut { .. } if record.phase == Phase::Drained => {
+        Operation::SetOut { .. } if record.phase == Phase::Drained => {
             draft.write(name, entry, change::out(record, "unfit", unix), who);
         }
         _ => {}
--- a/crates/controller/src/plan/stops.rs
+++ b/crates/controller/src/plan/stops.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use corianderfork_model::Fleet;
-use corianderfork_policy::{Act, Step};
+use corianderfork_policy::{Operation, Step};
 
 use crate::facts::{Copy, Facts};
 use crate::plan::Inputs;
@@ -37,8 +37,8 @@
     /// Drops copies that are gone or no longer need to be stopped.
     pub(crate) fn retain(&mut self, steps: &[Step], fleet: &Fleet, inputs: &Inputs<'_>) {
         let requested = |copy: &Copy| {
-            steps.iter().any(|step| match step.act {
-                Act::Stop { vm, service } => {
+            steps.iter().any(|step| match step.operation {
+                Operation::Stop { vm, service } => {
                     fleet.vm(vm).name == copy.0 && fleet.service(service).name == copy.1
                 }
                 _ => false,
--- a/crates/controller/src/plan/transition.rs
+++ b/crates/controller/src/plan/transition.rs
@@ -7,7 +7,7 @@
 use corianderfork_coord::drain::{Reason, Status, Wait};
 use corianderfork_model::place::VmId;
 use corianderfork_model::{Fleet, Name};
-use corianderfork_policy::{Act, Step};
+use corianderfork_policy::{Operation, Step};
 use corianderfork_provider::fleet::TaskState;
 use corianderfork_provider::record::{Phase, Runner, Vm};
 use corianderfork_provider::store::Expect;
@@ -175,7 +175,7 @@
         RebootStep::Request => draft.call(Action::Reboot(name.clone())),
         RebootStep::Wait => {}
         RebootStep::Done => {
-            planner.state.came_back(id, inputs.unix);
+            planner.state.record_reboot(id, inputs.unix);
             let record = change::rebooted(&entry.record, inputs.unix);
             draft.write(name, entry, record, "platform");
         }
@@ -222,8 +222,8 @@
 impl Draft {
     /// Creates a draft of a decision that carries out `steps`.
     pub(crate) fn new(steps: &[Step]) -> Self {
-        let admitted = |step: &Step| match step.act {
-            Act::Admit { vm } => Some(vm),
+        let admitted = |step: &Step| match step.operation {
+            Operation::Admit { vm } => Some(vm),
             _ => None,
         };
         Self { admitted: steps.iter().filter_map(admitted).collect(), ..Self::default() }
--- a/crates/controller/src/plan/wave.rs
+++ b/crates/controller/src/plan/wave.rs
@@ -42,7 +42,7 @@
     let mut order = Order::new(began, deadline);
     // Failures listed while the wave is not halted have been seen by an
     // operator, who continues the wave by clearing the halt.
-    order.resumed = resumed_at(wave, fleet, state);
+    order.resumed_at = resumed_at(wave, fleet, state);
     state.wave = Some(order);
     exclude_others(wave, fleet, state, began);
     if wave.halted.is_some() {
@@ -57,7 +57,7 @@
         return None;
     }
     let ids = wave.failed.iter().filter_map(|name| fleet.find_vm(name.as_str()));
-    let last = ids.filter_map(|id| state.vm(id).maintained).max()?;
+    let last = ids.filter_map(|id| state.vm(id).maintained_at).max()?;
     Some(last + Duration::from_millis(1))
 }
 
@@ -72,7 +72,7 @@
         let is_named = names.contains(&spec.name);
         let vm = state.vm_mut(id);
         if !is_named && vm.phase == Phase::Serving {
-            vm.maintained = vm.maintained.max(Some(began));
+            vm.maintained_at = vm.maintained_at.max(Some(began));
         }
     }
 }
@@ -95,7 +95,7 @@
 }
 
 fn progress(vm: &Vm, began: Time) -> Progress {
-    let is_back = vm.maintained.is_some_and(|then| then >= began);
+    let is_back = vm.maintained_at.is_some_and(|then| then >= began);
     let serving = vm.phase == Phase::Serving;
     if !is_back {
         let out = vm.phase == Phase::Out;
@@ -112,7 +112,7 @@
     if is_unfit || all_fail || vm.failed_starts >= UNFIT_AFTER {
         return Progress::Failing;
     }
-    let is_healthy = serving && vm.lost.is_none() && vm.copies.iter().all(|copy| copy.warm);
+    let is_healthy = serving && vm.lost_since.is_none() && vm.copies.iter().all(|copy| copy.warm);
     if is_healthy { Progress::Done } else { Progress::Doing }
 }
 
--- a/crates/controller/tests/waves.rs
+++ b/crates/controller/tests/waves.rs
@@ -105,7 +105,7 @@
     let mut state = State::new(&fleet, began);
     for vm in ["v1", "v2"] {
         let vm = state.vm_mut(fleet.find_vm(vm).expect("a VM of the fleet"));
-        (vm.phase, vm.maintained) = (state::Phase::Out, Some(back));
+        (vm.phase, vm.maintained_at) = (state::Phase::Out, Some(back));
     }
     let notes = [Note::Halted { failing: 2, back: 2 }];
     let halted = wave::advance(&sim.store.wave(), &fleet, &state, &notes);
@@ -118,7 +118,7 @@
     let mut directive = Directive::default();
     wave::apply(&cleared, &fleet, &mut state, &mut directive);
     assert_eq!(directive.pace, Pace::AtMost(2));
-    let resumed = state.wave.as_ref().and_then(|order| order.resumed);
+    let resumed = state.wave.as_ref().and_then(|order| order.resumed_at);
     assert!(resumed > Some(back), "failures seen by an operator still halt the wave");
 }
 
