--- a/crates/controller/src/actor/gossip.rs
+++ b/crates/controller/src/actor/gossip.rs
@@ -21,7 +21,7 @@
 /// The timeout of a request for a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long this process may be behind the newest configuration before it
-/// requests a snapshot. As long as it works, the watch is faster.
+/// requests a snapshot. The watch is faster as long as it works.
 const CATCH_UP_DELAY: Duration = Duration::from_millis(500);
 
 /// The number of peers called per tick while a VM drains.
--- a/crates/controller/src/actor/planner/outcome.rs
+++ b/crates/controller/src/actor/planner/outcome.rs
@@ -30,8 +30,8 @@
                 self.gauges.on_written("applied");
                 self.on_vm_changed(&write, revision);
             }
-            Outcome::Conflict(is_current) => {
-                if let Some(entry) = is_current {
+            Outcome::Conflict(current) => {
+                if let Some(entry) = current {
                     view.on_entry(&key, entry.revision, Some(&entry));
                 }
                 self.gauges.on_written("conflict");
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,20 +1,22 @@
-//! The controller daemon: rules, placement and waves, held by lease.
+//! The controller daemon: evaluates the rules and manages copies, placement and
+//! maintenance waves.
 //!
-//! One runs on every entry VM, all equal. The one that holds the lease on
-//! planning decides for the fleet; the others keep up with the records and the
-//! load, and one of them takes over within the lease's time to live.
+//! A controller runs on every entry VM, and all are equal. The one that holds
+//! the planner lease makes decisions for the fleet. The others follow the
+//! records and the load, so that one of them can take over within the lease's
+//! time to live.
 //!
-//! [`plan`] is the decision: what is known in, writes and calls out, without
-//! I/O. Around it, [`view`] keeps the shared records, [`directory`] the other
-//! processes and what they confirmed, and [`facts`] what the platform said. All
-//! of these are pure. The rest is the shell: [`actor`]s on the core thread,
-//! [`lease`] and [`execute`] on threads that may block, [`daemon`] to put it
-//! together.
+//! [`plan`] makes the decisions: it turns the known state into writes and
+//! calls. Its input comes from [`view`], the shared records, [`directory`], the
+//! other processes and their confirmations, and [`facts`], the state reported
+//! by the platform. None of these does I/O. The [`actor`]s run on the core
+//! thread, [`lease`] and [`execute`] on threads that may block, and [`daemon`]
+//! assembles them.
 //!
-//! A decision never rests on being the only one to decide. Each write of a
-//! record expects the revision it was decided on, and each call is made only
-//! while the lease holds: a holder that was paused past its lease finds its
-//! writes refused and its calls held back.
+//! Decisions stay safe even if two processes make them at the same time. Each
+//! write of a record is conditional on the revision that it is based on, and
+//! each call is made only while the lease is held: if a holder was paused past
+//! the end of its lease, its writes are refused and its calls are not made.
 //!
 //! ```
 //! use corianderfork_controller::plan::change;
--- a/crates/controller/src/plan/barriers.rs
+++ b/crates/controller/src/plan/barriers.rs
@@ -49,10 +49,10 @@
             *barrier = new();
         }
         for (proxy, report) in directory.reports(now, Duration::MAX) {
-            let here = |load: &&corianderfork_wire::peer::Load| {
+            let is_same_copy = |load: &&corianderfork_wire::peer::Load| {
                 load.vm == copy.0.as_str() && load.service == copy.1.as_str()
             };
-            let busy = report.loads.iter().filter(here).any(|load| load.in_flight > 0);
+            let busy = report.loads.iter().filter(is_same_copy).any(|load| load.in_flight > 0);
             if report.store_revision >= revision && !busy {
                 barrier.on_ack(&proxy, revision);
             }
--- a/crates/controller/src/plan/count.rs
+++ b/crates/controller/src/plan/count.rs
@@ -37,8 +37,8 @@
     }
     let count = |(id, spec): (ServiceId, &Service)| {
         let Copies { able, licensed } = counts.get(&id).copied().unwrap_or_default();
-        let in_hand = load.in_hand(now, id).map_or(0, |(in_hand, _)| in_hand);
-        let busy = in_hand.div_ceil(u32::from(spec.slots.max(1)));
+        let in_flight = load.in_flight(now, id).map_or(0, |(in_flight, _)| in_flight);
+        let busy = in_flight.div_ceil(u32::from(spec.slots.max(1)));
         Count { service: spec.name.clone(), able, licensed, idle: able.saturating_sub(busy) }
     };
     fleet.services().map(count).collect()
--- a/crates/controller/src/plan/load.rs
+++ b/crates/controller/src/plan/load.rs
@@ -68,7 +68,7 @@
 
     /// Returns the requests of a service that are in flight or waiting, and the
     /// age of this number. `None` if nothing was ever reported.
-    pub fn in_hand(&self, now: Time, service: ServiceId) -> Option<(u32, Duration)> {
+    pub fn in_flight(&self, now: Time, service: ServiceId) -> Option<(u32, Duration)> {
         let age = now - self.sampled_at?;
         Some((self.latest.get(&service).copied().unwrap_or_default(), age))
     }
--- a/crates/controller/src/plan/observe.rs
+++ b/crates/controller/src/plan/observe.rs
@@ -167,6 +167,6 @@
     // A VM that came back without copies has proven nothing; its first copy has
     // to.
     let since = if in_wave { planner.tracker.since(copy).unwrap_or(inputs.unix) } else { returned };
-    let is_proven = inputs.unix - since.max(returned) >= planner.limits.prove_after;
-    record.phase != Phase::Serving || is_proven
+    let has_run_long_enough = inputs.unix - since.max(returned) >= planner.limits.prove_after;
+    record.phase != Phase::Serving || has_run_long_enough
 }
--- a/crates/controller/src/plan/rate_limit.rs
+++ b/crates/controller/src/plan/rate_limit.rs
@@ -23,7 +23,7 @@
     wait: Duration,
 }
 
-/// A call without its state, as a key to count its attempts.
+/// Identifies a call, so that its attempts can be counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CallKey {
     Start(Copy),
@@ -97,8 +97,8 @@
     /// Records an attempt. Each one doubles the wait for the next.
     fn record_attempt(&mut self, now: Time, call: &Action) {
         let Some(key) = call_key(call) else { return };
-        let before = self.attempts.get(&key).map(|attempt| attempt.wait);
-        let wait = before.map_or(FIRST_WAIT, |wait| (wait * 2).min(MAX_WAIT));
+        let previous = self.attempts.get(&key).map(|attempt| attempt.wait);
+        let wait = previous.map_or(FIRST_WAIT, |wait| (wait * 2).min(MAX_WAIT));
         self.attempts.insert(key, Attempt { next: now + wait, wait });
     }
 }
--- a/crates/controller/src/plan/situation.rs
+++ b/crates/controller/src/plan/situation.rs
@@ -94,10 +94,10 @@
     situation.set_copies(service, able, age);
     situation.set_licences(service, licensed, age);
     let slots = able.saturating_mul(u32::from(spec.slots));
-    let Some((in_hand, load_age)) = source.load.in_hand(source.now, service) else { return };
+    let Some((in_flight, load_age)) = source.load.in_flight(source.now, service) else { return };
     let age = age.max(load_age);
-    situation.set_load(service, in_hand, slots, age);
-    let needed = in_hand.div_ceil(u32::from(spec.slots.max(1))).max(spec.budget.min_copies);
+    situation.set_load(service, in_flight, slots, age);
+    let needed = in_flight.div_ceil(u32::from(spec.slots.max(1))).max(spec.budget.min_copies);
     let spare = i64::from(able) - i64::from(needed);
     situation.set_spare(service, i32::try_from(spare).unwrap_or(i32::MAX), age);
     if let Some(trend) = source.load.trend(service) {
--- a/crates/controller/tests/phases.rs
+++ b/crates/controller/tests/phases.rs
@@ -65,7 +65,7 @@
     let mut sim = running_fleet();
     let vm = vm_running(&sim, "transfer");
     let runners_before = sim.store.vm(&vm).runners;
-    // Now no proxy is waited for because of an earlier process.
+    // After these rounds no proxy is waited for because of an earlier process.
     for _ in 0..ROUNDS_TO_KNOW_PROXIES {
         sim.round(0);
     }
--- a/crates/controller/tests/races.rs
+++ b/crates/controller/tests/races.rs
@@ -157,15 +157,15 @@
     (limits.writes, limits.calls) = (2, 2);
     let mut sim = Simulation::with(1, 1, &limits);
     let mut writes = 0;
-    for turn in 0..40 {
+    for round in 0..40 {
         sim.now += 50;
         sim.read(0);
         sim.settle_proxies();
-        let round = sim.decide(0).expect("there is a configuration");
-        writes += round.actions.iter().filter(|action| action.is_write()).count();
+        let decision = sim.decide(0).expect("there is a configuration");
+        writes += decision.actions.iter().filter(|action| action.is_write()).count();
         sim.carry_out(0);
-        let limit = 1 + 2 * (turn + 1) * 50 / 1_000 + 1;
-        assert!(writes <= limit, "{writes} writes after {turn} turns");
+        let limit = 1 + 2 * (round + 1) * 50 / 1_000 + 1;
+        assert!(writes <= limit, "{writes} writes after {round} rounds");
     }
     assert!(writes >= 3, "writes stopped");
 }
@@ -177,14 +177,14 @@
     Gossip(usize, usize),
     Decide(usize),
     CarryOut(usize),
-    Lease(usize),
+    AcquireLease(usize),
     Sync(usize),
     Send(usize, usize),
     Finish(usize),
-    Boot,
+    CompleteReboots,
     Drain(u8),
     Undrain(u8),
-    Home(bool),
+    V3AtHome(bool),
     RemoveRally,
     Wave(u8),
 }
@@ -196,14 +196,14 @@
         6 => (0..2usize, 0..2usize).prop_map(|(p, c)| Op::Gossip(p, c)),
         6 => (0..2usize).prop_map(Op::Decide),
         6 => (0..2usize).prop_map(Op::CarryOut),
-        1 => (0..2usize).prop_map(Op::Lease),
+        1 => (0..2usize).prop_map(Op::AcquireLease),
         5 => (0..2usize).prop_map(Op::Sync),
         5 => (0..2usize, 0..8usize).prop_map(|(p, index)| Op::Send(p, index)),
         5 => (0..2usize).prop_map(Op::Finish),
-        1 => Just(Op::Boot),
+        1 => Just(Op::CompleteReboots),
         1 => (1..6u8).prop_map(Op::Drain),
         1 => (1..6u8).prop_map(Op::Undrain),
-        1 => any::<bool>().prop_map(Op::Home),
+        1 => any::<bool>().prop_map(Op::V3AtHome),
         1 => Just(Op::RemoveRally),
         1 => (1..6u8).prop_map(Op::Wave),
     ]
@@ -216,7 +216,7 @@
         Op::Gossip(p, c) => sim.gossip(p, c),
         Op::Decide(c) => drop(sim.decide(c)),
         Op::CarryOut(c) => sim.carry_out(c),
-        Op::Lease(c) => {
+        Op::AcquireLease(c) => {
             sim.holder = c;
             sim.controllers[c].facts.clear();
             sim.controllers[c].planner.reset();
@@ -225,11 +225,11 @@
         Op::Sync(p) => sim.sync(p),
         Op::Send(p, index) => sim.proxies[p].send(index),
         Op::Finish(p) => sim.proxies[p].in_flight.clear(),
-        Op::Boot => sim.complete_reboots(),
+        Op::CompleteReboots => sim.complete_reboots(),
         Op::Drain(vm) => sim.drain(&format!("v{vm}")),
         Op::Undrain(vm) => sim.undrain(&format!("v{vm}")),
-        Op::Home(true) => sim.apply_config(FLEET),
-        Op::Home(false) => sim.apply_config(&fleet_with_v3_moved()),
+        Op::V3AtHome(true) => sim.apply_config(FLEET),
+        Op::V3AtHome(false) => sim.apply_config(&fleet_with_v3_moved()),
         Op::RemoveRally => sim.apply_config(&fleet_without_rally()),
         Op::Wave(vm) => sim.order_wave(&[&format!("v{vm}")], 1),
     }
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -302,9 +302,9 @@
             Action::Write(write) => {
                 let key = key::vm(&write.vm);
                 let value = serde_json::to_string(&write.record).unwrap();
-                let end = self.store.put(&key, value, write.expect);
+                let result = self.store.put(&key, value, write.expect);
                 let controller = &mut self.controllers[c];
-                controller.conflicts += usize::from(end.is_err());
+                controller.conflicts += usize::from(result.is_err());
                 let entry = self.store.entry(&key).unwrap();
                 controller.view.on_entry(&key, entry.revision, Some(&entry));
                 controller.planner.on_written(&write.vm);
@@ -346,12 +346,12 @@
         }
     }
 
-    fn assert_nothing_in_flight(&self, there: impl Fn(&Copy) -> bool, what: &str) {
+    fn assert_nothing_in_flight(&self, is_affected: impl Fn(&Copy) -> bool, what: &str) {
         for proxy in &self.proxies {
-            let cut = proxy.in_flight.iter().find(|copy| there(copy));
+            let copy = proxy.in_flight.iter().find(|copy| is_affected(copy));
             assert!(
-                cut.is_none(),
-                "{cut:?} was {what} while {} had a request in flight",
+                copy.is_none(),
+                "{copy:?} was {what} while {} had a request in flight",
                 proxy.member.name
             );
         }
