--- a/crates/controller/src/plan/directive.rs
+++ b/crates/controller/src/plan/directive.rs
@@ -38,8 +38,8 @@
         Action::Hold => directive.default_copies = Copies::Hold,
         Action::Drain(Target::Vm(vm)) => directive.drains.push(*vm),
         Action::Drain(Target::Rack(rack)) => {
-            let there = fleet.vms().filter(|(_, vm)| vm.rack == *rack);
-            directive.drains.extend(there.map(|(id, _)| id));
+            let vms = fleet.vms().filter(|(_, vm)| vm.rack == *rack);
+            directive.drains.extend(vms.map(|(id, _)| id));
         }
         Action::WavePace(vms) => directive.pace = Pace::AtMost(u32::from(*vms)),
         Action::WavePause => directive.pace = Pace::Paused,
