--- a/crates/proxy/tests/process.rs
+++ b/crates/proxy/tests/process.rs
@@ -230,7 +230,7 @@
     fleet.vm("v01", Phase::Serving, 0);
     let e1 = fleet.proxy("e1", "");
     until(|| e1.serves());
-    let acks = support::acks::Asker::start();
+    let acks = support::peer::Asker::start();
     fleet.behave("{\"late_ms\":3000}");
     let to = e1.callers;
     let text = b"GET /transfer/wb-1 HTTP/1.1\r\nRequest-Id: slow\r\nConnection: close\r\n\r\n";
@@ -269,7 +269,7 @@
     fleet.serve();
     let e1 = fleet.proxy("e1", "");
     until(|| e1.serves());
-    let acks = support::acks::Asker::start();
+    let acks = support::peer::Asker::start();
     raw(
         fleet.admin,
         b"POST /_leave HTTP/1.1\r\nConnection: close\r\nContent-Length: 12\r\n\r\n{\"vm\":\"v01\"}",
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! Scripted backend servers, raw callers, and proxies as processes.
 #![allow(dead_code, clippy::unwrap_used, missing_docs)]
 
-pub mod acks;
 pub mod fleet;
+pub mod peer;
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read, Write};
