--- a/crates/proxy/src/alarm.rs
+++ b/crates/proxy/src/alarm.rs
@@ -1,17 +1,17 @@
-//! Keeps one timer for a machine that says when it is due next.
+//! Avoids redundant timers for a state machine that reports when it is due next.
 
 use corianderfork_model::Time;
 
-/// Remembers the earliest timer that is set and has not fired.
+/// The earliest timer that is set and has not fired.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Alarm {
     armed: Option<Time>,
 }
 
 impl Alarm {
-    /// The machine is due at `due`. Gives the time to set a timer for, or
-    /// `None` if one that fires early enough is set already: each event would
-    /// leave one more timer behind otherwise.
+    /// Records that the machine is due at `due`. Returns the time for which to set a
+    /// timer, or `None` if one that fires early enough is already set; without this check
+    /// each event would leave another timer behind.
     ///
     /// ```
     /// use corianderfork_model::Time;
@@ -29,7 +29,7 @@
         Some(due)
     }
 
-    /// The timer set for `at` fired.
+    /// Records that the timer set for `at` fired.
     pub fn fired(&mut self, at: Time) {
         if self.armed == Some(at) {
             self.armed = None;
--- a/crates/proxy/src/cache.rs
+++ b/crates/proxy/src/cache.rs
@@ -1,71 +1,71 @@
-//! Whole answers of this process's own non-idempotent runs, for repetitions.
+//! Cache of responses to non-idempotent requests that this process ran, for retries.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use corianderfork_coord::claim::Id;
 
-use crate::response::Answer;
+use crate::response::Response;
 
-/// The last answers, within bounds of number and bytes. A caller whose answer
-/// was lost on the way gets it whole if it asks again here; elsewhere it is
-/// told that its id was run.
+/// Holds the latest responses, bounded by number and bytes. A caller that lost the
+/// response gets it again if it retries at this proxy; another proxy only reports that
+/// the id was run.
 #[derive(Debug)]
 pub struct Cache {
-    entries: usize,
-    bytes: usize,
+    max_entries: usize,
+    max_bytes: usize,
     inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    answers: HashMap<Id, Kept>,
+    responses: HashMap<Id, CachedResponse>,
     order: VecDeque<Id>,
     bytes: usize,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedResponse {
     path: String,
-    answer: Answer,
+    response: Response,
 }
 
 impl Cache {
-    /// Holds at most `entries` answers of `bytes` all together.
-    pub fn new(entries: usize, bytes: usize) -> Self {
-        Self { entries, bytes, inner: Mutex::default() }
+    /// Creates a cache of at most `max_entries` responses and `max_bytes` in total.
+    pub fn new(max_entries: usize, max_bytes: usize) -> Self {
+        Self { max_entries, max_bytes, inner: Mutex::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The answer to `id` if it was run for this same path; an id that is used
-    /// for another request must not get the answer of the first.
-    pub fn get(&self, id: Id, path: &str) -> Option<Answer> {
+    /// Returns the response to `id` if it was run for this path. An id that is reused for
+    /// another request must not get the response to the first.
+    pub fn get(&self, id: Id, path: &str) -> Option<Response> {
         let inner = self.lock();
-        let kept = inner.answers.get(&id)?;
-        (kept.path == path).then(|| kept.answer.clone())
+        let cached = inner.responses.get(&id)?;
+        (cached.path == path).then(|| cached.response.clone())
     }
 
-    /// Keeps an answer, dropping the oldest ones to make room.
-    pub fn put(&self, id: Id, path: &str, answer: &Answer) {
-        let size = answer.size();
-        if size > self.bytes {
+    /// Stores a response, evicting the oldest ones to make room.
+    pub fn put(&self, id: Id, path: &str, response: &Response) {
+        let size = response.size();
+        if size > self.max_bytes {
             return;
         }
         let mut inner = self.lock();
-        let kept = Kept { path: path.to_owned(), answer: answer.clone() };
-        if let Some(old) = inner.answers.insert(id, kept) {
-            inner.bytes -= old.answer.size();
+        let cached = CachedResponse { path: path.to_owned(), response: response.clone() };
+        if let Some(old) = inner.responses.insert(id, cached) {
+            inner.bytes -= old.response.size();
         } else {
             inner.order.push_back(id);
         }
         inner.bytes += size;
-        while inner.order.len() > self.entries || inner.bytes > self.bytes {
+        while inner.order.len() > self.max_entries || inner.bytes > self.max_bytes {
             let Some(oldest) = inner.order.pop_front() else { return };
-            if let Some(old) = inner.answers.remove(&oldest) {
-                inner.bytes -= old.answer.size();
+            if let Some(old) = inner.responses.remove(&oldest) {
+                inner.bytes -= old.response.size();
             }
         }
     }
--- a/crates/proxy/src/claimant.rs
+++ b/crates/proxy/src/claimant.rs
@@ -1,4 +1,5 @@
-//! Asks the owner of an id's shard for the claim, before anything is sent.
+//! Claims ids of non-idempotent requests from the owner of their shard before anything is
+//! sent.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,30 +15,30 @@
 use crate::inbox::Inbox;
 use crate::shared::Shared;
 
-/// The least time for an ask to be worth it.
-const LEAST: Duration = Duration::from_millis(20);
-/// The part of the time that the first ask may take.
-const FIRST_ASK: f32 = 0.6;
-/// How long a settlement may take; nobody waits for it.
+/// The minimum time left for an attempt to be worthwhile.
+const MIN_WAIT: Duration = Duration::from_millis(20);
+/// The share of the timeout available to the first attempt.
+const FIRST_WAIT_SHARE: f32 = 0.6;
+/// The timeout of a settlement; no thread waits for it.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// When to come back if the owner did not say.
-const RETRY: Duration = Duration::from_secs(1);
+/// The default retry delay if the owner gives none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A question to a shard, from this process or a peer.
-pub struct Question {
+/// A claim request to a shard, from this process or a peer.
+pub struct Request {
     /// The request.
     pub id: Id,
-    /// Who wants to run it.
+    /// The attempt that wants to run the request.
     pub attempt: Attempt,
-    /// Takes the answer, from any thread; must not block.
+    /// Receives the reply on any thread; must not block.
     pub reply: Box<dyn FnOnce(peer::ClaimReply) + Send>,
 }
 
-/// What is sent to the actor of a shard.
+/// A message to the actor of a shard.
 pub enum Message {
-    /// A claim is asked for.
-    Ask(Question),
-    /// An attempt has ended.
+    /// Requests a claim.
+    Claim(Request),
+    /// Reports the end of an attempt.
     Settle {
         /// The request.
         id: Id,
@@ -48,36 +49,36 @@
     },
 }
 
-/// A claim that was granted, and until when it may be used.
+/// A granted claim.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant {
-    /// The attempt it was granted to.
+    /// The attempt that holds the claim.
     pub attempt: Attempt,
 }
 
-/// What became of asking for a claim.
+/// The result of a claim request.
 #[derive(Clone, Copy, Debug)]
 #[must_use]
-pub enum Claimed {
-    /// This attempt may send the request.
+pub enum Decision {
+    /// The attempt may send the request.
     Granted(Grant),
-    /// It may not; it was not run by this attempt.
+    /// The attempt must not send the request and has not run it.
     Refused(Verdict, Duration),
 }
 
-/// Asks for claims, for threads that may block.
+/// Requests claims on behalf of threads that may block.
 pub struct Claimant {
     me: Member,
-    wire_me: peer::Member,
+    wire_member: peer::Member,
     peers: Peers,
     shared: Arc<Shared>,
     shards: Vec<Inbox<Message>>,
     timeout: Duration,
-    count: AtomicU64,
+    next_attempt: AtomicU64,
 }
 
 impl Claimant {
-    /// Asks as `me`; `shards` are this process's own actors.
+    /// Creates a claimant of the process `me`; `shards` are its own shard actors.
     pub fn new(
         me: Member,
         peers: Peers,
@@ -85,62 +86,72 @@
         shards: Vec<Inbox<Message>>,
         timeout: Duration,
     ) -> Self {
-        let wire_me = crate::convert::member(&me);
-        Self { me, wire_me, peers, shared, shards, timeout, count: AtomicU64::new(0) }
+        let wire_member = crate::convert::member(&me);
+        Self { me, wire_member, peers, shared, shards, timeout, next_attempt: AtomicU64::new(0) }
     }
 
     fn shard(&self, id: Id) -> u32 {
         shard(id, u32::try_from(self.shards.len()).unwrap_or(u32::MAX))
     }
 
-    /// Claims `id` for a fresh attempt, until `deadline` at most.
-    pub fn claim(&self, id: Id, deadline: Instant) -> Claimed {
-        let count = self.count.fetch_add(1, Ordering::Relaxed);
-        let attempt = Attempt::new(self.me.incarnation, count);
-        let until = deadline.min(Instant::now() + self.timeout);
-        let mut last = peer::ClaimReply::default();
-        let mut asked: Option<Holder> = None;
+    /// Claims `id` for a new attempt, by `deadline` at the latest.
+    pub fn claim(&self, id: Id, deadline: Instant) -> Decision {
+        let number = self.next_attempt.fetch_add(1, Ordering::Relaxed);
+        let attempt = Attempt::new(self.me.incarnation, number);
+        let deadline = deadline.min(Instant::now() + self.timeout);
+        let mut last_reply = peer::ClaimReply::default();
+        let mut last_owner: Option<Holder> = None;
         let mut unanswered = false;
-        // An attempt may repeat a question that got no answer: the connection
-        // may have gone silent, or the owner is gone and there is another.
+        // A request without a reply may be repeated for the same attempt: the connection
+        // may have gone silent, or the shard has a new owner.
         for _ in 0..2 {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let Some(owner) = self.shared.directory().owners.get(&self.shard(id)).cloned() else {
                 break;
             };
-            let denied = last.verdict() == Verdict::NotOwner && asked.as_ref() == Some(&owner);
-            if left < LEAST || denied {
+            let denied =
+                last_reply.verdict() == Verdict::NotOwner && last_owner.as_ref() == Some(&owner);
+            if left < MIN_WAIT || denied {
                 break;
             }
-            let wait = if asked.is_none() { left.mul_f32(FIRST_ASK) } else { left };
-            last = self.ask(&owner, id, attempt, wait);
-            asked = Some(owner);
-            match last.verdict() {
-                Verdict::Granted => return Claimed::Granted(Grant { attempt }),
+            let wait = if last_owner.is_none() { left.mul_f32(FIRST_WAIT_SHARE) } else { left };
+            last_reply = self.request_claim(&owner, id, attempt, wait);
+            last_owner = Some(owner);
+            match last_reply.verdict() {
+                Verdict::Granted => return Decision::Granted(Grant { attempt }),
                 Verdict::Unspecified => unanswered = true,
                 Verdict::NotOwner => {}
                 _ => break,
             }
         }
-        let verdict = last.verdict();
+        let verdict = last_reply.verdict();
         if unanswered {
-            // The claim may have been made all the same: give it up, lest a
-            // repetition find the id taken by an attempt that never runs it.
+            // The claim may have been granted nevertheless. Abandon it, or a retry would
+            // find the id taken by an attempt that never runs it.
             self.settle(id, attempt, End::Abandoned);
         }
-        let millis = Duration::from_millis(last.retry_after_ms);
-        Claimed::Refused(verdict, if millis.is_zero() { RETRY } else { millis })
+        let retry_after = Duration::from_millis(last_reply.retry_after_ms);
+        Decision::Refused(
+            verdict,
+            if retry_after.is_zero() { DEFAULT_RETRY_AFTER } else { retry_after },
+        )
     }
 
-    fn ask(&self, owner: &Holder, id: Id, attempt: Attempt, wait: Duration) -> peer::ClaimReply {
+    fn request_claim(
+        &self,
+        owner: &Holder,
+        id: Id,
+        attempt: Attempt,
+        wait: Duration,
+    ) -> peer::ClaimReply {
         if self.is_me(owner) {
-            return self.ask_here(id, attempt, wait);
+            return self.request_local_claim(id, attempt, wait);
         }
         let request = peer::ClaimRequest {
             shard: self.shard(id),
             id: id.to_string(),
-            attempt: crate::convert::attempt_text(attempt),
-            from: Some(self.wire_me.clone()),
+            attempt: crate::convert::format_attempt(attempt),
+            from: Some(self.wire_member.clone()),
         };
         let reply = self.peers.claim_wait(owner.peers, request, wait);
         let result = if reply.is_ok() { "ok" } else { "failed" };
@@ -148,36 +159,36 @@
         reply.unwrap_or_default()
     }
 
-    fn ask_here(&self, id: Id, attempt: Attempt, wait: Duration) -> peer::ClaimReply {
+    fn request_local_claim(&self, id: Id, attempt: Attempt, wait: Duration) -> peer::ClaimReply {
         let (sender, receiver) = sync_channel(1);
         let reply = Box::new(move |reply| {
             let _ = sender.try_send(reply);
         });
-        let message = Message::Ask(Question { id, attempt, reply });
-        if self.send_here(id, message).is_none() {
+        let message = Message::Claim(Request { id, attempt, reply });
+        if self.send_local(id, message).is_none() {
             return peer::ClaimReply::default();
         }
         receiver.recv_timeout(wait).unwrap_or_default()
     }
 
-    fn send_here(&self, id: Id, message: Message) -> Option<()> {
+    fn send_local(&self, id: Id, message: Message) -> Option<()> {
         let index = usize::try_from(self.shard(id)).ok()?;
         self.shards.get(index)?.send(message).ok()
     }
 
-    /// Tells how an attempt ended. Best effort: a settlement that is lost
-    /// leaves the id taken, its outcome unknown, which never runs it twice.
+    /// Reports the end of an attempt, best effort. If the settlement is lost, the id
+    /// stays taken with an unknown outcome, which never runs it twice.
     pub fn settle(&self, id: Id, attempt: Attempt, end: End) {
         let directory = self.shared.directory();
         let Some(owner) = directory.owners.get(&self.shard(id)) else { return };
         if self.is_me(owner) {
-            let _ = self.send_here(id, Message::Settle { id, attempt, end });
+            let _ = self.send_local(id, Message::Settle { id, attempt, end });
             return;
         }
         let request = peer::SettleRequest {
             shard: self.shard(id),
             id: id.to_string(),
-            attempt: crate::convert::attempt_text(attempt),
+            attempt: crate::convert::format_attempt(attempt),
             done: end == End::Done,
         };
         self.peers.settle(owner.peers, request, SETTLE_TIMEOUT, |_| {});
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -1,5 +1,5 @@
-//! The actor of one shard of claims: takes the shard over when it is this
-//! process's turn, owns it, and answers questions.
+//! The actor of one shard of claims: takes over the shard when it is free, owns it and
+//! answers claim requests.
 
 mod journal;
 mod machine;
@@ -20,70 +20,70 @@
 use stakker::{Actor, CX, after, call, fwd_to};
 
 use crate::alarm::Alarm;
-use crate::claimant::{Message as FromOthers, Question};
+use crate::claimant::{Message as ClaimMessage, Request};
 use crate::convert;
 use crate::hub::Hub;
-use crate::lease::{Kept, carry_out};
-use crate::membership::Means;
+use crate::lease::{Registration, execute};
+use crate::membership::StoreAccess;
 use crate::metrics::Gauge;
 use crate::takeover;
 use machine::Machine;
 
 pub use message::{Inboxes, Message};
 
-/// How often a shard without an owner is looked at.
-const PERIOD: Duration = Duration::from_millis(250);
-/// Questions that wait for an answer at once.
-const MAX_WAITING: usize = 4096;
+/// The interval between checks for a shard without an owner.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// The maximum number of claim requests that wait for a reply.
+const MAX_PENDING: usize = 4096;
 
-/// One shard.
+/// The actor of one shard.
 pub struct Shard {
     hub: Rc<Hub>,
-    means: Means,
+    access: StoreAccess,
     shard: u32,
-    kept: Kept,
+    registration: Registration,
     inboxes: Inboxes,
     holder: Option<Holder>,
-    /// How many holders there were.
-    holders: u64,
+    /// The number of holders created so far, which identifies the current one.
+    holder_number: u64,
     machine: Option<(Token, Machine)>,
-    replies: HashMap<u64, Box<dyn FnOnce(peer::ClaimReply) + Send>>,
-    next: u64,
-    /// Since when the shard is seen without an owner.
-    vacant: Option<Time>,
+    pending_replies: HashMap<u64, Box<dyn FnOnce(peer::ClaimReply) + Send>>,
+    next_key: u64,
+    /// When the shard was first seen without an owner.
+    vacant_since: Option<Time>,
     released: bool,
     lease_alarm: Alarm,
     claim_alarm: Alarm,
 }
 
 impl Shard {
-    /// Listens at `inboxes`.
+    /// Starts the actor, connected to `inboxes`.
     pub fn init(
         cx: CX![],
         hub: Rc<Hub>,
-        means: Means,
-        kept: Kept,
+        access: StoreAccess,
+        registration: Registration,
         (shard, inboxes): (u32, Inboxes),
         timer: Actor<Service>,
     ) -> Option<Self> {
-        let fwd = fwd_to!([cx], asked() as (FromOthers));
-        inboxes.claims.connect(Port::open(cx, means.handle.clone(), fwd));
-        let fwd = fwd_to!([cx], heard() as (Message));
-        inboxes.own.connect(Port::open(cx, means.handle.clone(), fwd));
+        let fwd = fwd_to!([cx], on_claim_message() as (ClaimMessage));
+        inboxes.claims.connect(Port::open(cx, access.handle.clone(), fwd));
+        let fwd = fwd_to!([cx], on_message() as (Message));
+        inboxes.own.connect(Port::open(cx, access.handle.clone(), fwd));
         let tick = fwd_to!([cx], tick() as (Tick));
-        call!([timer], subscribe(PERIOD, tick));
+        call!([timer], subscribe(CHECK_INTERVAL, tick));
         Some(Self {
             hub,
-            means,
+            access,
             shard,
-            kept,
+            registration,
             inboxes,
             holder: None,
-            holders: 0,
+            holder_number: 0,
             machine: None,
-            replies: HashMap::new(),
-            next: 0,
-            vacant: None,
+            pending_replies: HashMap::new(),
+            next_key: 0,
+            vacant_since: None,
             released: false,
             lease_alarm: Alarm::default(),
             claim_alarm: Alarm::default(),
@@ -94,67 +94,68 @@
         if self.released {
             return;
         }
-        let (owner, turn) = {
+        let (owner, delay) = {
             let view = self.hub.view.borrow();
             let me = self.hub.me();
             let owner = view.owner(self.shard).cloned();
-            (owner, takeover::turn(self.shard, &me, view.members()))
+            (owner, takeover::delay(self.shard, &me, view.members()))
         };
         if owner.is_some() {
-            self.vacant = None;
+            self.vacant_since = None;
             let is_other = owner.is_some_and(|owner| !self.hub.is_me(&owner));
             if is_other && self.holder.is_some() && self.machine.is_none() {
-                // Another was faster; trying on would cost a call now and then.
+                // Another process was faster; further attempts would only cost store
+                // calls.
                 self.feed_lease(cx, lease::Event::Release);
                 self.holder = None;
             }
             return;
         }
-        let since = *self.vacant.get_or_insert(tick.now);
-        if self.holder.is_none() && turn.is_some_and(|turn| tick.now - since >= turn) {
-            let config = lease::Config::new().ttl(self.kept.ttl);
+        let since = *self.vacant_since.get_or_insert(tick.now);
+        if self.holder.is_none() && delay.is_some_and(|delay| tick.now - since >= delay) {
+            let config = lease::Config::new().ttl(self.registration.ttl);
             self.holder = Some(Holder::new(config, clock::seed()));
-            self.holders += 1;
+            self.holder_number += 1;
             self.feed_lease(cx, lease::Event::Tick);
         }
     }
 
-    fn asked(&mut self, cx: CX![], message: FromOthers) {
+    fn on_claim_message(&mut self, cx: CX![], message: ClaimMessage) {
         match message {
-            FromOthers::Ask(question) => self.ask(cx, question),
-            FromOthers::Settle { id, attempt, end } => {
+            ClaimMessage::Claim(request) => self.on_claim_request(cx, request),
+            ClaimMessage::Settle { id, attempt, end } => {
                 self.feed_claim(cx, Event::Settle { id, attempt, end });
             }
         }
     }
 
-    fn ask(&mut self, cx: CX![], question: Question) {
+    fn on_claim_request(&mut self, cx: CX![], request: Request) {
         if self.machine.is_none() {
             let verdict = peer::Verdict::NotOwner.into();
-            (question.reply)(peer::ClaimReply { verdict, retry_after_ms: 0 });
+            (request.reply)(peer::ClaimReply { verdict, retry_after_ms: 0 });
             return;
         }
-        if self.replies.len() >= MAX_WAITING {
-            (question.reply)(unavailable());
+        if self.pending_replies.len() >= MAX_PENDING {
+            (request.reply)(unavailable());
             return;
         }
-        let key = self.next;
-        self.next += 1;
-        self.replies.insert(key, question.reply);
-        self.feed_claim(cx, Event::Ask(Ask { key, id: question.id, attempt: question.attempt }));
+        let key = self.next_key;
+        self.next_key += 1;
+        self.pending_replies.insert(key, request.reply);
+        self.feed_claim(cx, Event::Ask(Ask { key, id: request.id, attempt: request.attempt }));
     }
 
-    fn heard(&mut self, cx: CX![], message: Message) {
+    fn on_message(&mut self, cx: CX![], message: Message) {
         match message {
             Message::Lease(holder, answer) => {
-                // One of an earlier holder would be taken for the answer to
-                // whatever this one asked.
-                if holder == self.holders {
+                // An answer to an earlier holder would be taken for the answer to the
+                // current one's call.
+                if holder == self.holder_number {
                     self.feed_lease(cx, lease::Event::Store(answer));
                 }
             }
             Message::Journal(token, answer) => {
-                // The answer to a machine that is gone says nothing to this one.
+                // Ignore answers to an earlier machine.
                 if self.machine.as_ref().is_some_and(|(current, _)| *current == token) {
                     self.feed_claim(cx, Event::Store(answer));
                 }
@@ -181,47 +182,48 @@
             after!(at - now, [cx], wake_lease(at));
         }
         for action in actions {
-            self.on_lease(cx, action);
+            self.execute_lease(cx, action);
         }
     }
 
-    fn on_lease(&mut self, cx: CX![], action: lease::Action) {
+    fn execute_lease(&mut self, cx: CX![], action: lease::Action) {
         match action {
-            lease::Action::Started { token } => return self.start(cx, token),
+            lease::Action::Started { token } => return self.start_takeover(cx, token),
             lease::Action::Stopped => return self.drop_machine(),
             _ => {}
         }
-        let (inbox, holder) = (self.inboxes.own.clone(), self.holders);
-        // Nobody waits for the answer to a revoke.
+        let (inbox, holder) = (self.inboxes.own.clone(), self.holder_number);
+        // The answer to a revoke is not needed.
         let awaited = !matches!(action, lease::Action::Revoke { .. });
-        let then = move |answer| {
+        let on_answer = move |answer| {
             if awaited {
                 let _ = inbox.send_wait(Message::Lease(holder, answer));
             }
         };
-        let sent = carry_out(&self.means.pool, &self.means.store, &self.kept, action, then);
+        let sent =
+            execute(&self.access.pool, &self.access.store, &self.registration, action, on_answer);
         if sent.is_err() && awaited {
-            call!([cx], heard(Message::Lease(holder, lease::Answer::Failed)));
+            call!([cx], on_message(Message::Lease(holder, lease::Answer::Failed)));
         }
     }
 
-    fn start(&mut self, cx: CX![], token: Token) {
+    fn start_takeover(&mut self, cx: CX![], token: Token) {
         let me = self.hub.me();
         let writer = segment::Writer::new(me.name, me.incarnation);
         self.machine = Some((token, Machine::new(writer, token)));
-        ::log::info!(shard = self.shard, token = token.0; "taking over a shard of claims");
+        ::log::info!(shard = self.shard, token = token.0; "taking over a claim shard");
         self.hub.shared.metrics.add(Gauge::Shards);
         self.feed_claim(cx, Event::Tick);
     }
 
-    /// Questions that wait are answered: no claim is granted any more. One
-    /// that was written all the same stays taken, which runs nothing twice.
+    /// Ends ownership and refuses all pending claim requests. A claim that was written
+    /// nevertheless stays taken, which runs nothing twice.
     fn drop_machine(&mut self) {
         if self.machine.take().is_some() {
-            ::log::info!(shard = self.shard; "no longer the owner of a shard of claims");
+            ::log::info!(shard = self.shard; "lost ownership of a claim shard");
             self.hub.shared.metrics.sub(Gauge::Shards);
         }
-        for (_, reply) in self.replies.drain() {
+        for (_, reply) in self.pending_replies.drain() {
             reply(unavailable());
         }
     }
@@ -232,28 +234,28 @@
     }
 
     fn feed_claim(&mut self, cx: CX![], event: Event) {
-        // Ids carry Unix time, so that is what this machine counts in.
+        // This machine uses Unix time, because ids contain it.
         let now = Time::from_millis(clock::unix_millis());
         let Some((token, machine)) = &mut self.machine else { return };
         let token = *token;
-        let (actions, became) = machine.on_event(now, event);
-        if let Some(ids) = became {
-            ::log::info!(shard = self.shard, ids; "owner of a shard of claims");
+        let (actions, remembered_ids) = machine.on_event(now, event);
+        if let Some(ids) = remembered_ids {
+            ::log::info!(shard = self.shard, ids; "became owner of a claim shard");
         }
         let due = machine.wake();
         if let Some(at) = self.claim_alarm.set(due) {
             after!(at - now, [cx], wake_claim(at));
         }
         for action in actions {
-            self.on_claim(cx, token, action);
+            self.execute_claim(cx, token, action);
         }
     }
 
-    fn on_claim(&mut self, cx: CX![], token: Token, action: Action) {
+    fn execute_claim(&mut self, cx: CX![], token: Token, action: Action) {
         match action {
             Action::Reply { key, verdict } => {
-                if let Some(reply) = self.replies.remove(&key) {
-                    reply(convert::verdict(verdict));
+                if let Some(reply) = self.pending_replies.remove(&key) {
+                    reply(convert::claim_reply(verdict));
                 }
             }
             Action::Deposed => {
@@ -261,25 +263,25 @@
                 self.feed_lease(cx, lease::Event::Release);
                 self.holder = None;
             }
-            action => self.call(cx, token, action),
+            action => self.call_store(cx, token, action),
         }
     }
 
-    fn call(&self, cx: CX![], token: Token, action: Action) {
+    fn call_store(&self, cx: CX![], token: Token, action: Action) {
         let Some(failed) = journal::failure(&action) else { return };
-        let (store, shard) = (Arc::clone(&self.means.store), self.shard);
+        let (store, shard) = (Arc::clone(&self.access.store), self.shard);
         let inbox = self.inboxes.own.clone();
         let job = move || {
-            if let Some(answer) = journal::carry_out(&*store, shard, action) {
+            if let Some(answer) = journal::execute(&*store, shard, action) {
                 let _ = inbox.send_wait(Message::Journal(token, answer));
             }
         };
-        if self.means.pool.submit(job).is_err() {
-            call!([cx], heard(Message::Journal(token, failed)));
+        if self.access.pool.submit(job).is_err() {
+            call!([cx], on_message(Message::Journal(token, failed)));
         }
     }
 }
 
 fn unavailable() -> peer::ClaimReply {
-    convert::verdict(Verdict::Unavailable { retry_after: Duration::from_secs(1) })
+    convert::claim_reply(Verdict::Unavailable { retry_after: Duration::from_secs(1) })
 }
--- a/crates/proxy/src/claims/journal.rs
+++ b/crates/proxy/src/claims/journal.rs
@@ -1,10 +1,11 @@
-//! A shard's journal in the store: calls for its machine.
+//! Executes the store calls for the journal of a shard.
 
 use corianderfork_coord::claim::{Action, Answer, Segment, segment};
 use corianderfork_provider::store::{Error, Expect, Store};
 use corianderfork_provider::{key, store};
 
-/// The answer to a call that was not made.
+/// Returns the answer that reports `action` as failed without a call; `None` if it needs
+/// no call.
 pub(super) fn failure(action: &Action) -> Option<Answer> {
     match action {
         Action::Put { segment, .. } => Some(Answer::PutUnavailable { segment: *segment }),
@@ -15,16 +16,16 @@
     }
 }
 
-/// Carries `action` out; `None` if it is no call to the store.
-pub(super) fn carry_out(store: &dyn Store, shard: u32, action: Action) -> Option<Answer> {
+/// Executes `action`; returns `None` if it needs no call to the store.
+pub(super) fn execute(store: &dyn Store, shard: u32, action: Action) -> Option<Answer> {
     match action {
         Action::Put { segment, expect, value } => Some(put(store, shard, segment, expect, &value)),
         Action::Read { segment } => Some(match store.get(&key::claim_segment(shard, segment)) {
-            Ok(found) => Answer::Read { segment, entry: found.entry.map(|e| entry(segment, &e)) },
+            Ok(stored) => Answer::Read { segment, entry: stored.entry.map(|e| entry(segment, &e)) },
             Err(_) => Answer::ReadFailed { segment },
         }),
         Action::List => Some(match store.range(&key::claim_log(shard)) {
-            Ok(range) => Answer::Listed(listed(shard, &range.entries)),
+            Ok(range) => Answer::Listed(parse_entries(shard, &range.entries)),
             Err(_) => Answer::ListFailed,
         }),
         Action::Delete { segment } => {
@@ -54,13 +55,13 @@
     }
 }
 
-fn listed(shard: u32, entries: &[store::Entry]) -> Vec<segment::Entry> {
+fn parse_entries(shard: u32, entries: &[store::Entry]) -> Vec<segment::Entry> {
     let prefix = key::claim_log(shard);
-    let number = |e: &store::Entry| e.key.strip_prefix(&prefix)?.parse().ok();
-    entries.iter().filter_map(|e| Some(entry(number(e)?, e))).collect()
+    let parse_number = |e: &store::Entry| e.key.strip_prefix(&prefix)?.parse().ok();
+    entries.iter().filter_map(|e| Some(entry(parse_number(e)?, e))).collect()
 }
 
-fn entry(number: u64, found: &store::Entry) -> segment::Entry {
-    let segment = serde_json::from_str(&found.value).ok();
-    segment::Entry { number, revision: found.revision.0, segment }
+fn entry(number: u64, stored: &store::Entry) -> segment::Entry {
+    let segment = serde_json::from_str(&stored.value).ok();
+    segment::Entry { number, revision: stored.revision.0, segment }
 }
--- a/crates/proxy/src/claims/machine.rs
+++ b/crates/proxy/src/claims/machine.rs
@@ -1,4 +1,4 @@
-//! The decisions of a shard: first the takeover, then the owner.
+//! The state machine of a shard: first the takeover, then ownership.
 
 use corianderfork_coord::claim::{Action, Config, Event, Owner, Takeover, segment};
 use corianderfork_coord::lease::Token;
@@ -14,8 +14,8 @@
         Self::Takeover(Box::new(Takeover::new(Config::new(), writer, token.0)))
     }
 
-    /// Gives what to do, and how many ids the owner remembers if the takeover
-    /// has ended by this event.
+    /// Returns the actions to execute, and the number of ids that the owner remembers if
+    /// this event completed the takeover.
     pub(super) fn on_event(&mut self, now: Time, event: Event) -> (Vec<Action>, Option<usize>) {
         let mut actions = match self {
             Self::Takeover(takeover) => takeover.on_event(now, event),
@@ -29,7 +29,7 @@
         (actions, Some(ids))
     }
 
-    /// When the next tick is due.
+    /// Returns when the next tick is due.
     pub(super) fn wake(&self) -> Option<Time> {
         match self {
             Self::Takeover(takeover) => takeover.wake(),
--- a/crates/proxy/src/claims/message.rs
+++ b/crates/proxy/src/claims/message.rs
@@ -1,28 +1,26 @@
-//! What the actor of a shard is told, and where.
+//! Messages to the actor of a shard and their inboxes.
 
 use corianderfork_coord::claim::Answer;
 use corianderfork_coord::lease::{self, Token};
 
-use crate::claimant::Message as FromOthers;
+use crate::claimant::Message as ClaimMessage;
 use crate::inbox::Inbox;
 
-/// What reaches the actor from the store's threads.
+/// A message from the store threads or the stopping process.
 pub enum Message {
-    /// The answer to a call about the lease, with the number of the holder that
-    /// made it.
+    /// The answer to a lease call, with the number of the holder that made it.
     Lease(u64, lease::Answer),
-    /// The answer to a call about the journal, with the fencing token of the
-    /// machine that made it.
+    /// The answer to a journal call, with the fencing token of the machine that made it.
     Journal(Token, Answer),
-    /// The process is stopping: give the shard up.
+    /// The process is stopping: release the shard.
     Release,
 }
 
-/// Where messages for a shard are left.
+/// The inboxes of a shard.
 #[derive(Clone, Default)]
 pub struct Inboxes {
-    /// Questions and settlements, of this process and of peers.
-    pub claims: Inbox<FromOthers>,
-    /// All else.
+    /// Claim requests and settlements, of this process and of peers.
+    pub claims: Inbox<ClaimMessage>,
+    /// All other messages.
     pub own: Inbox<Message>,
 }
--- a/crates/proxy/src/convert.rs
+++ b/crates/proxy/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the types of the store's records, of messages and of decisions.
+//! Conversions between store records, wire messages and decision types.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::gate::{Key, Loads};
 
-/// A member as it is sent.
+/// Converts a member to its wire form.
 pub fn member(member: &Member) -> peer::Member {
     let role = match member.role {
         Role::Proxy => peer::Role::Proxy,
@@ -25,8 +25,8 @@
     }
 }
 
-/// A member as it was received; `None` if it makes no sense.
-pub fn member_of(member: &peer::Member) -> Option<Member> {
+/// Parses a member from its wire form; `None` if it is invalid.
+pub fn parse_member(member: &peer::Member) -> Option<Member> {
     let role = match member.role() {
         peer::Role::Proxy => Role::Proxy,
         peer::Role::Controller => Role::Controller,
@@ -42,18 +42,18 @@
     })
 }
 
-/// An attempt as text.
-pub fn attempt_text(attempt: Attempt) -> String {
+/// Formats an attempt as text.
+pub fn format_attempt(attempt: Attempt) -> String {
     format!("{:032x}", attempt.as_u128())
 }
 
-/// An attempt of a text.
-pub fn attempt_of(text: &str) -> Option<Attempt> {
+/// Parses an attempt from text.
+pub fn parse_attempt(text: &str) -> Option<Attempt> {
     u128::from_str_radix(text, 16).ok().map(Attempt::from_u128)
 }
 
-/// A verdict as it is sent.
-pub fn verdict(verdict: Verdict) -> peer::ClaimReply {
+/// Converts a verdict to a claim reply.
+pub fn claim_reply(verdict: Verdict) -> peer::ClaimReply {
     let (verdict, retry_after) = match verdict {
         Verdict::Granted => (peer::Verdict::Granted, None),
         Verdict::Duplicate { outcome: Outcome::Done, .. } => (peer::Verdict::Done, None),
@@ -68,35 +68,37 @@
     peer::ClaimReply { verdict: verdict.into(), retry_after_ms }
 }
 
-/// The loads as they are sent: one row a copy that no VM in service
-/// lists, whose end a controller waits for, and one row a service for all the
-/// others. A row for each would grow with the fleet, a few times a second.
+/// Converts loads to their wire form: one entry for each runner that no serving VM lists,
+/// since a controller waits until these are idle, and one entry per service for all
+/// others. Entries for all runners would grow with the fleet, and reports are sent a few
+/// times a second.
 pub fn loads(loads: &Loads, is_listed: impl Fn(&Key) -> bool) -> Vec<peer::Load> {
-    let mut rows = Vec::new();
+    let mut entries = Vec::new();
     let mut services: BTreeMap<&Name, peer::Load> = BTreeMap::new();
     for (key, count) in &loads.in_flight {
         if is_listed(key) {
-            service_row(&mut services, &key.service).in_flight += count;
+            service_load(&mut services, &key.service).in_flight += count;
         } else {
-            rows.push(row(key, *count));
+            entries.push(runner_load(key, *count));
         }
     }
     for (service, waiting) in &loads.waiting {
-        service_row(&mut services, service).waiting += waiting;
+        service_load(&mut services, service).waiting += waiting;
     }
-    rows.extend(services.into_values());
-    rows
+    entries.extend(services.into_values());
+    entries
 }
 
-fn service_row<'a, 'b>(
-    rows: &'a mut BTreeMap<&'b Name, peer::Load>,
+fn service_load<'a, 'b>(
+    entries: &'a mut BTreeMap<&'b Name, peer::Load>,
     service: &'b Name,
 ) -> &'a mut peer::Load {
-    rows.entry(service)
+    entries
+        .entry(service)
         .or_insert_with(|| peer::Load { service: service.to_string(), ..peer::Load::default() })
 }
 
-/// The demands as they are sent.
+/// Converts demands to their wire form.
 pub fn demands(loads: &Loads) -> Vec<peer::Demand> {
     let demand = |demand: &Demand| peer::Demand {
         service: demand.service.to_string(),
@@ -105,24 +107,24 @@
     loads.report.demands.iter().map(demand).collect()
 }
 
-fn row(key: &Key, in_flight: u32) -> peer::Load {
+fn runner_load(key: &Key, in_flight: u32) -> peer::Load {
     let (vm, service) = (key.vm.to_string(), key.service.to_string());
     peer::Load { vm, service, in_flight, waiting: 0 }
 }
 
-/// VMs that leave, as they are sent.
+/// Converts leaving VMs to their wire form.
 pub fn leaving(loads: &Loads, revision: impl Fn(&Name) -> u64) -> Vec<peer::Leaving> {
     let drains = loads.report.drains.iter().map(|drain| peer::Leaving {
         vm: drain.vm.to_string(),
         epoch: drain.epoch,
         revision: revision(&drain.vm),
     });
-    let own =
+    let self_reported =
         loads.leaving.iter().map(|vm| peer::Leaving { vm: vm.to_string(), epoch: 0, revision: 0 });
-    drains.chain(own).collect()
+    drains.chain(self_reported).collect()
 }
 
-/// Runners that fail, as they are sent.
+/// Converts failing runners to their wire form.
 pub fn suspects(loads: &Loads) -> Vec<peer::Suspect> {
     let ejected = loads.report.runners.iter().filter(|runner| runner.ejected);
     let suspect =
@@ -130,32 +132,32 @@
     ejected.map(suspect).collect()
 }
 
-/// A proxy's report for the router. A VM that said itself that it leaves does
-/// so with all its `services`.
+/// Converts the report of a proxy for the router. A VM that reported itself as leaving
+/// leaves with all its `services`.
 pub fn report(report: &peer::Report, services: &[Name]) -> Report {
-    let mut out = Report::default();
+    let mut converted = Report::default();
     for demand in &report.demands {
         let Ok(service) = Name::new(&demand.service) else { continue };
-        out.demands.push(Demand { service, tenths: demand.tenths });
+        converted.demands.push(Demand { service, tenths: demand.tenths });
     }
     for leaving in &report.leaving {
         let Ok(vm) = Name::new(&leaving.vm) else { continue };
         if leaving.epoch > 0 {
-            out.drains.push(Drain { vm, epoch: leaving.epoch });
+            converted.drains.push(Drain { vm, epoch: leaving.epoch });
             continue;
         }
-        let runner = |service: &Name| hint(&vm, service, true);
-        out.runners.extend(services.iter().map(runner));
+        let runner = |service: &Name| runner_hint(&vm, service, true);
+        converted.runners.extend(services.iter().map(runner));
     }
     for suspect in &report.suspects {
         let (Ok(vm), Ok(service)) = (Name::new(&suspect.vm), Name::new(&suspect.service)) else {
             continue;
         };
-        out.runners.push(hint(&vm, &service, false));
+        converted.runners.push(runner_hint(&vm, &service, false));
     }
-    out
+    converted
 }
 
-fn hint(vm: &Name, service: &Name, leaving: bool) -> Runner {
+fn runner_hint(vm: &Name, service: &Name, leaving: bool) -> Runner {
     Runner { vm: vm.clone(), service: service.clone(), leaving, ejected: !leaving }
 }
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -1,9 +1,10 @@
-//! One try at a backend server: send the request, read the whole answer, check
-//! that it is the answer to this request.
+//! One try at a backend server: sends the request, reads the complete response and checks
+//! that it belongs to this request.
 //!
-//! What a client library does on its own would break promises silently, so all
-//! of it is off: following a redirect or a proxy variable sends a body to a
-//! place nobody chose, and a resend on a stale pooled connection runs it twice.
+//! Everything that the HTTP library does by itself is disabled, because it would silently
+//! break guarantees: following a redirect or a proxy variable sends the body to an
+//! unintended server, and a resend after a stale pooled connection runs the request
+//! twice.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,143 +16,149 @@
 use ureq::unversioned::resolver::DefaultResolver;
 use ureq::unversioned::transport::{Connector, TcpConnector};
 
-use crate::request::{IDEMPOTENCY_KEY, REQUEST_ID, Request, pass_on};
-use crate::response::Answer;
-use crate::transport::{Probe, Watcher};
+use crate::request::{IDEMPOTENCY_KEY, REQUEST_ID, Request, end_to_end_headers};
+use crate::response::Response;
+use crate::transport::{Recorder, WriteProbe};
 
-/// The header by which a backend server promises that nothing ran.
+/// The header by which a backend server guarantees that nothing ran.
 const NOT_RUN: &str = "not-run";
-/// How long a pooled connection may be idle: shorter than a wave of drains, so
-/// that none is kept to a VM of which no news came.
+/// The maximum idle time of a pooled connection: shorter than a wave of drains, so that
+/// no connection to a VM is kept if the news of its drain did not arrive.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(5);
 
 /// Limits of a try.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     connect_timeout: Duration,
-    max_answer: usize,
+    max_response: usize,
 }
 
 impl Default for Config {
     fn default() -> Self {
-        Self { connect_timeout: Duration::from_millis(500), max_answer: 8 << 20 }
+        Self { connect_timeout: Duration::from_millis(500), max_response: 8 << 20 }
     }
 }
 
 impl Config {
-    /// How long a connection may take to open. Default 500 ms.
+    /// Sets the connect timeout. Default 500 ms.
     #[must_use]
     pub fn connect_timeout(mut self, timeout: Duration) -> Self {
         self.connect_timeout = timeout;
         self
     }
 
-    /// The largest answer held, in bytes. Default 8 MiB.
+    /// Sets the maximum size of a response, in bytes. Default 8 MiB.
     #[must_use]
-    pub fn max_answer(mut self, bytes: usize) -> Self {
-        self.max_answer = bytes;
+    pub fn max_response(mut self, bytes: usize) -> Self {
+        self.max_response = bytes;
         self
     }
 }
 
-/// What a try brought: a result for the router, and an answer if there is one.
+/// The outcome of a try: a result for the router, and a response if there is one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
-    /// How it ended.
+pub struct Outcome {
+    /// How the try ended.
     pub attempt: Attempt,
-    /// The whole answer, for [`Attempt::Answered`] and [`Attempt::Failed`], or
-    /// the text of a doubt that the attempt alone does not tell.
-    pub answer: Option<Answer>,
+    /// The complete response for [`Attempt::Answered`] and [`Attempt::Failed`], or the
+    /// text of a doubt that `attempt` does not describe fully.
+    pub response: Option<Response>,
 }
 
-impl End {
-    fn of(attempt: Attempt) -> Self {
-        Self { attempt, answer: None }
+impl Outcome {
+    fn without_response(attempt: Attempt) -> Self {
+        Self { attempt, response: None }
     }
 
-    fn doubt(doubt: Doubt) -> Self {
-        Self::of(Attempt::Unknown(doubt))
+    fn unknown(doubt: Doubt) -> Self {
+        Self::without_response(Attempt::Unknown(doubt))
     }
 }
 
-/// Sends requests to backend servers and keeps idle connections.
+/// Sends requests to backend servers and pools connections.
 #[derive(Debug)]
 pub struct Client {
     config: Config,
-    /// One agent an address, so that an address's connections can be closed.
+    /// One agent per address, so that the connections to one address can be closed.
     agents: Mutex<HashMap<SocketAddr, ureq::Agent>>,
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(config: Config) -> Self {
         Self { config, agents: Mutex::default() }
     }
 
-    /// Tries `request` at `to` until `deadline`. `idle` bounds the connections
-    /// kept open to `to` afterwards.
+    /// Tries `request` at `to` until `deadline`. At most `idle` idle connections to `to`
+    /// are kept afterwards.
     ///
-    /// A non-idempotent request gets a connection of its own: a pooled one may
-    /// have been closed by the other side, and whether the request reached it
-    /// before that can no longer be told.
+    /// A non-idempotent request uses a connection of its own: the backend server may have
+    /// closed a pooled one, and then it is unknown whether the request reached it before.
     pub fn exchange(
         &self,
         to: SocketAddr,
         request: &Request,
         deadline: Instant,
         idle: usize,
-    ) -> End {
+    ) -> Outcome {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return End::of(Attempt::NotSent);
+            return Outcome::without_response(Attempt::NotSent);
         }
-        let end = match request.claim {
-            Some(_) => self.once(to, request, left),
-            None => self.pooled(to, request, left, idle),
+        let outcome = match request.claim {
+            Some(_) => self.send_unpooled(to, request, left),
+            None => self.send_pooled(to, request, left, idle),
         };
-        if matches!(end.attempt, Attempt::Unknown(_)) {
-            // What is late or crossed on one connection may be so on others,
-            // and a connection that went silent often isn't alone.
-            self.forget(to);
+        if matches!(outcome.attempt, Attempt::Unknown(_)) {
+            // Other connections to the address may be affected as well: a connection that
+            // went silent is often not the only one.
+            self.close_idle(to);
         }
-        end
+        outcome
     }
 
     /// Closes all idle connections to `to`.
-    pub fn forget(&self, to: SocketAddr) {
+    pub fn close_idle(&self, to: SocketAddr) {
         self.agents.lock().unwrap_or_else(PoisonError::into_inner).remove(&to);
     }
 
-    /// Closes all idle connections but those to addresses that `keep` wants.
+    /// Closes all idle connections except those to addresses for which `keep` returns
+    /// true.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         let mut agents = self.agents.lock().unwrap_or_else(PoisonError::into_inner);
         agents.retain(|address, _| keep(address));
     }
 
-    fn once(&self, to: SocketAddr, request: &Request, left: Duration) -> End {
-        let probe = Arc::new(Probe::default());
+    fn send_unpooled(&self, to: SocketAddr, request: &Request, left: Duration) -> Outcome {
+        let probe = Arc::new(WriteProbe::default());
         let agent = self.agent(0, &probe);
-        match self.call(&agent, to, request, left) {
-            Ok(end) => end,
-            Err(_) if !probe.was_sent() => End::of(Attempt::NotSent),
-            Err(error) => End::doubt(doubt(&error)),
+        match self.send(&agent, to, request, left) {
+            Ok(outcome) => outcome,
+            Err(_) if !probe.was_sent() => Outcome::without_response(Attempt::NotSent),
+            Err(error) => Outcome::unknown(classify_doubt(&error)),
         }
     }
 
-    fn pooled(&self, to: SocketAddr, request: &Request, left: Duration, idle: usize) -> End {
+    fn send_pooled(
+        &self,
+        to: SocketAddr,
+        request: &Request,
+        left: Duration,
+        idle: usize,
+    ) -> Outcome {
         let agent = {
             let mut agents = self.agents.lock().unwrap_or_else(PoisonError::into_inner);
-            let new = || self.agent(idle, &Arc::new(Probe::default()));
-            agents.entry(to).or_insert_with(new).clone()
+            let new_agent = || self.agent(idle, &Arc::new(WriteProbe::default()));
+            agents.entry(to).or_insert_with(new_agent).clone()
         };
-        match self.call(&agent, to, request, left) {
-            Ok(end) => end,
-            Err(error) if is_connect(&error) => End::of(Attempt::NotSent),
-            Err(error) => End::doubt(doubt(&error)),
+        match self.send(&agent, to, request, left) {
+            Ok(outcome) => outcome,
+            Err(error) if is_connect_error(&error) => Outcome::without_response(Attempt::NotSent),
+            Err(error) => Outcome::unknown(classify_doubt(&error)),
         }
     }
 
-    fn agent(&self, idle: usize, probe: &Arc<Probe>) -> ureq::Agent {
+    fn agent(&self, idle: usize, probe: &Arc<WriteProbe>) -> ureq::Agent {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
@@ -166,96 +173,101 @@
             .max_idle_connections_per_host(idle)
             .max_idle_age(MAX_IDLE_AGE)
             .build();
-        let connector = TcpConnector::default().chain(Watcher::new(Arc::clone(probe)));
+        let connector = TcpConnector::default().chain(Recorder::new(Arc::clone(probe)));
         ureq::Agent::with_parts(config, connector, DefaultResolver::default())
     }
 
-    fn call(
+    fn send(
         &self,
         agent: &ureq::Agent,
         to: SocketAddr,
         request: &Request,
         left: Duration,
-    ) -> Result<End, ureq::Error> {
-        let mut built = http::Request::builder()
+    ) -> Result<Outcome, ureq::Error> {
+        let mut message = http::Request::builder()
             .method(request.method.clone())
             .uri(format!("http://{to}{}", request.path));
         for (name, value) in &request.headers {
-            built = built.header(name, value);
+            message = message.header(name, value);
         }
-        let built = built.body(request.body.clone()).map_err(ureq::Error::Http)?;
-        let built = agent.configure_request(built).timeout_global(Some(left)).build();
+        let message = message.body(request.body.clone()).map_err(ureq::Error::Http)?;
+        let message = agent.configure_request(message).timeout_global(Some(left)).build();
         let response = if request.body.is_empty() {
-            agent.run(built.map(|_| ()))?
+            agent.run(message.map(|_| ()))?
         } else {
-            agent.run(built)?
+            agent.run(message)?
         };
         self.read(request, response)
     }
 
-    /// Reads the answer and checks it. Dropping a response whose body was not
-    /// read closes its connection.
+    /// Reads and checks the response. Dropping a response with an unread body closes its
+    /// connection.
     fn read(
         &self,
         request: &Request,
         mut response: http::Response<ureq::Body>,
-    ) -> Result<End, ureq::Error> {
+    ) -> Result<Outcome, ureq::Error> {
         let status = response.status().as_u16();
-        let echoed = once(response.headers(), REQUEST_ID);
-        let not_run = once(response.headers(), NOT_RUN);
+        let echoed = unique_header(response.headers(), REQUEST_ID);
+        let not_run = unique_header(response.headers(), NOT_RUN);
         let is_own = echoed == Some(request.id.as_str());
         if let (503 | 421, Some(reason)) = (status, not_run)
             && (is_own || echoed.is_none())
         {
-            return Ok(End::of(Attempt::Refused(refused(reason))));
+            return Ok(Outcome::without_response(Attempt::Refused(parse_refusal(reason))));
         }
         if !is_own {
-            return Ok(End::doubt(Doubt::Mismatch));
+            return Ok(Outcome::unknown(Doubt::Mismatch));
         }
         let is_head = request.method == http::Method::HEAD;
         let has_no_body = is_head || status == 204 || status == 304;
-        let length = once(response.headers(), "content-length").and_then(|v| v.parse().ok());
+        let length =
+            unique_header(response.headers(), "content-length").and_then(|v| v.parse().ok());
         let length: usize = match length {
             Some(length) => length,
             None if has_no_body => 0,
-            // Without a length nobody can tell a whole answer from a cut one.
-            None => return Ok(End::doubt(Doubt::Truncated)),
+            // Without a length, a truncated response looks like a complete one.
+            None => return Ok(Outcome::unknown(Doubt::Truncated)),
         };
-        if length > self.config.max_answer && !has_no_body {
-            let answer = Some(Answer::too_large(self.config.max_answer));
-            return Ok(End { attempt: Attempt::Unknown(Doubt::Truncated), answer });
+        if length > self.config.max_response && !has_no_body {
+            let response = Some(Response::too_large(self.config.max_response));
+            return Ok(Outcome { attempt: Attempt::Unknown(Doubt::Truncated), response });
         }
         let mut body = Vec::new();
         if !has_no_body {
-            let limit = self.config.max_answer as u64 + 1;
+            let limit = self.config.max_response as u64 + 1;
             body = response.body_mut().with_config().limit(limit).read_to_vec()?;
             if body.len() != length {
-                return Ok(End::doubt(Doubt::Truncated));
+                return Ok(Outcome::unknown(Doubt::Truncated));
             }
         }
-        let text = response.headers().iter();
-        let text = text.filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)));
-        let text: Vec<(&str, &str)> = text.collect();
-        let headers = pass_on(&text).into_iter().filter(is_for_caller).collect();
+        let all = response.headers().iter();
+        let all = all.filter_map(|(name, value)| Some((name.as_str(), value.to_str().ok()?)));
+        let all: Vec<(&str, &str)> = all.collect();
+        let headers = end_to_end_headers(&all).into_iter().filter(is_for_caller).collect();
         let attempt = if status >= 500 { Attempt::Failed } else { Attempt::Answered };
-        Ok(End { attempt, answer: Some(Answer::whole(status, headers, body, length)) })
+        Ok(Outcome {
+            attempt,
+            response: Some(Response::from_backend(status, headers, body, length)),
+        })
     }
 }
 
-/// Headers that only this proxy may write.
+/// Whether a header of the backend server may go to the caller; some are written only by
+/// this proxy.
 fn is_for_caller((name, _): &(String, String)) -> bool {
-    let own = ["outcome", "duplicate", REQUEST_ID, IDEMPOTENCY_KEY];
-    !own.iter().any(|own| name.eq_ignore_ascii_case(own))
+    let reserved = ["outcome", "duplicate", REQUEST_ID, IDEMPOTENCY_KEY];
+    !reserved.iter().any(|header| name.eq_ignore_ascii_case(header))
 }
 
-/// The value of a header that stands exactly once.
-fn once<'a>(headers: &'a http::HeaderMap, name: &str) -> Option<&'a str> {
+/// Returns the value of a header that occurs exactly once.
+fn unique_header<'a>(headers: &'a http::HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?.to_str().ok()?;
     if values.next().is_some() { None } else { Some(first) }
 }
 
-fn refused(reason: &str) -> Refused {
+fn parse_refusal(reason: &str) -> Refused {
     match reason {
         "leaving" => Refused::Leaving,
         "not-here" => Refused::NotHere,
@@ -264,7 +276,7 @@
 }
 
 /// Whether the error can only come from opening a connection.
-fn is_connect(error: &ureq::Error) -> bool {
+fn is_connect_error(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => true,
         ureq::Error::Io(error) => error.kind() == std::io::ErrorKind::ConnectionRefused,
@@ -272,7 +284,7 @@
     }
 }
 
-fn doubt(error: &ureq::Error) -> Doubt {
+fn classify_doubt(error: &ureq::Error) -> Doubt {
     use std::io::ErrorKind::{ConnectionReset, TimedOut, UnexpectedEof};
     match error {
         ureq::Error::Timeout(_) => Doubt::Timeout,
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -1,4 +1,4 @@
-//! The actor that brings the shared records from the store into the hub.
+//! The actor that transfers the shared records from the store to the hub.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,13 +13,13 @@
 use crate::gossip;
 use crate::hub::Hub;
 use crate::inbox::Inbox;
-use crate::membership::Means;
+use crate::membership::StoreAccess;
 
-/// How long after its return peers are told at once that the store is back: longer than the
-/// longest wait of a reader.
-const RETURNING: Duration = Duration::from_secs(1);
+/// How long after an outage of the store peers are notified at once: longer than the
+/// longest backoff of a reader.
+const RECOVERY_PERIOD: Duration = Duration::from_secs(1);
 
-/// The revision of the store up to which news is complete.
+/// Returns the store revision up to which `news` is complete; 0 if the read failed.
 fn revision(news: &News) -> u64 {
     match news {
         News::Whole(range) => range.revision.0,
@@ -28,101 +28,102 @@
     }
 }
 
-/// Applies what the threads that watch the store learned.
+/// Applies the updates of the threads that watch the store.
 ///
-/// One watches all shared records, another one the drains alone. All watches that wait are
-/// answered by the same write, and whatever is written until they are asked again is heard
-/// of later. If the store goes down within that time, an accepted drain has reached no
-/// process and the VM gets requests for the whole outage. With two readers, whose calls take
-/// different times, a watch is seldom missing on all entry VMs at once.
+/// One thread watches all shared records, another one only the drain requests. One write
+/// answers all waiting watches, and a later write is seen only once they are sent again.
+/// If the store goes down in between, an accepted drain has reached no process, and its
+/// VM gets requests for the whole outage. With two readers, whose calls take different
+/// times, a watch is rarely missing on all entry VMs at once.
 ///
-/// After an outage the first process that reaches the store tells all others at once with
-/// the first news: were it alone, what is written between two of its watches would be heard
-/// by nobody.
+/// After an outage, the first process that reaches the store notifies all others with its
+/// first update. With only one process watching, a write between two of its watches would
+/// be seen by none.
 pub struct Feed {
     hub: Rc<Hub>,
     gossip: Inbox<gossip::Message>,
-    failing: bool,
-    /// Whether the reader of drains fails.
-    failing_drains: bool,
-    /// When a reader last reached the store after a failure.
-    returned: Option<Instant>,
+    is_failing: bool,
+    /// Whether the reader of drain requests fails.
+    drains_failing: bool,
+    /// When a reader last reached the store again after a failure.
+    recovered_at: Option<Instant>,
 }
 
 impl Feed {
-    /// Starts the threads that watch.
+    /// Starts the reader threads.
     pub fn init(
         cx: CX![],
         hub: Rc<Hub>,
-        means: Means,
+        access: StoreAccess,
         gossip: Inbox<gossip::Message>,
     ) -> Option<Self> {
-        let all = fwd_to!([cx], learned() as (Update));
-        let drains = fwd_to!([cx], learned_drains() as (Update));
+        let all = fwd_to!([cx], on_update() as (Update));
+        let drains = fwd_to!([cx], on_drain_update() as (Update));
         let config = sync::Config::default;
         let readers = [
-            (means.watched, config(), all),
-            (means.watched_drains, config().prefix(key::DRAINS), drains),
+            (access.watch_store, config(), all),
+            (access.drain_watch_store, config().prefix(key::DRAINS), drains),
         ];
         for (store, config, fwd) in readers {
-            let port = Port::open(cx, means.handle.clone(), fwd);
+            let port = Port::open(cx, access.handle.clone(), fwd);
             let waker = hub.waker.clone();
             if let Err(error) = sync::start(store, config, clock::seed(), waker, port) {
                 cx.fail(error);
                 return None;
             }
         }
-        let (failing, failing_drains, returned) = (false, false, None);
-        Some(Self { hub, gossip, failing, failing_drains, returned })
+        let (is_failing, drains_failing, recovered_at) = (false, false, None);
+        Some(Self { hub, gossip, is_failing, drains_failing, recovered_at })
     }
 
-    fn learned(&mut self, _: CX![], update: Update) {
-        let sent = self.time_of(update.sent);
+    fn on_update(&mut self, _: CX![], update: Update) {
+        let sent = self.to_time(update.sent);
         self.observe_gap("all", update.gap);
         let revision = revision(&update.news);
         match update.news {
             News::Whole(range) => self.hub.on_range(sent, &range),
             News::Changes(changes) => self.hub.on_changes(sent, &changes),
             News::Failed(error) => {
-                if !self.failing {
+                if !self.is_failing {
                     ::log::warn!("the platform's store does not answer: {error}");
                 }
-                self.failing = true;
+                self.is_failing = true;
                 return;
             }
             _ => return,
         }
-        if std::mem::take(&mut self.failing) {
+        if std::mem::take(&mut self.is_failing) {
             ::log::info!("the platform's store answers again");
-            self.returned = Some(Instant::now());
+            self.recovered_at = Some(Instant::now());
         }
-        self.pass_on(revision);
+        self.notify_readers(revision);
     }
 
-    fn learned_drains(&mut self, _: CX![], update: Update) {
+    fn on_drain_update(&mut self, _: CX![], update: Update) {
         self.observe_gap("drains", update.gap);
         let revision = revision(&update.news);
         match update.news {
             News::Whole(range) => self.hub.on_drains(&range.entries),
             News::Changes(changes) => self.hub.on_drain_changes(&changes),
-            // The reader of all records logs it.
+            // The reader of all records logs the error.
             _ => {
-                self.failing_drains = true;
+                self.drains_failing = true;
                 return;
             }
         }
-        if std::mem::take(&mut self.failing_drains) {
-            self.returned = Some(Instant::now());
+        if std::mem::take(&mut self.drains_failing) {
+            self.recovered_at = Some(Instant::now());
         }
-        self.pass_on(revision);
+        self.notify_readers(revision);
     }
 
-    /// Wakes the other reader, and after an outage the peers' with each newer revision.
-    fn pass_on(&self, revision: u64) {
-        let is_news = self.hub.waker.wake(revision);
-        if is_news && self.returned.is_some_and(|at| at.elapsed() < RETURNING) {
-            // Gossip that is being started anew tells them a moment later.
-            let _ = self.gossip.send(gossip::Message::Returned);
+    /// Wakes the other reader, and after an outage notifies the peers of each newer
+    /// revision.
+    fn notify_readers(&self, revision: u64) {
+        let is_newer = self.hub.waker.wake(revision);
+        if is_newer && self.recovered_at.is_some_and(|at| at.elapsed() < RECOVERY_PERIOD) {
+            // If gossip is restarting, its next round informs them.
+            let _ = self.gossip.send(gossip::Message::StoreReturned);
         }
     }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    fn time_of(&self, sent: Instant) -> Time {
+    fn to_time(&self, sent: Instant) -> Time {
         let now = self.hub.shared.clock.now();
         let ago = u64::try_from(sent.elapsed().as_millis()).unwrap_or(u64::MAX);
         Time::from_millis(now.as_millis().saturating_sub(ago))
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,4 +1,4 @@
-//! From a checked request to its answer.
+//! Forwards validated requests to runners and produces their responses.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,34 +10,34 @@
 use corianderfork_wire::peer::Verdict;
 
 use crate::cache::Cache;
-use crate::claimant::{Claimant, Claimed};
+use crate::claimant::{Claimant, Decision};
 use crate::exchange;
-use crate::gate::Want;
+use crate::gate::SlotRequest;
 use crate::request::Request;
-use crate::response::{Answer, Outcome};
+use crate::response::{Outcome, Response};
 use crate::shared::Shared;
 
-/// When to come back to a proxy that is cut off.
-const RETRY_CUT_OFF: Duration = Duration::from_secs(2);
-/// When to come back after every runner tried refused.
-const RETRY: Duration = Duration::from_secs(1);
-/// How long a grant may be used for the first try.
+/// `Retry-After` of a proxy that is cut off.
+const RETRY_AFTER_CUT_OFF: Duration = Duration::from_secs(2);
+/// `Retry-After` once every runner tried has refused.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The maximum age of a granted claim at the first try.
 ///
-/// A thread can be paused between the grant and the first byte. The longer it
-/// is, the older the view on which the runner is chosen; past this the attempt
-/// is given up, which costs one write and no promise.
-const GRANT_TERM: Duration = Duration::from_secs(3);
-/// Tries of one request in all.
+/// A thread can be paused between the grant and the first byte, and the runner is then
+/// chosen by an outdated view. An attempt past this age is abandoned, which costs one
+/// write and breaks no guarantee.
+const MAX_GRANT_AGE: Duration = Duration::from_secs(3);
+/// The maximum number of tries of one request.
 const MAX_TRIES: usize = 3;
 
 /// Limits of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// From taking the request in until its answer, at most.
+    /// The maximum time from receiving a request until its response.
     pub request_timeout: Duration,
-    /// How long a try may take while another is possible after it.
+    /// The timeout of a try after which another one is possible.
     pub try_timeout: Duration,
-    /// How long a request may wait for a slot.
+    /// The maximum time that a request waits for a slot.
     pub queue_wait: Duration,
 }
 
@@ -49,201 +49,213 @@
     cache: Cache,
 }
 
-/// One request on its way.
-struct Run<'a> {
+/// The progress of one request.
+struct Progress<'a> {
     request: &'a Request,
     class: Class,
     deadline: Instant,
     exclude: Vec<RunnerKey>,
     tries: usize,
-    /// What the caller gets if no further try can be made: set as soon as the
-    /// request may have run or a whole answer came.
-    fallback: Option<Answer>,
+    /// The response if no further try is possible: set as soon as the request may have
+    /// run or a complete response arrived.
+    fallback: Option<Response>,
 }
 
 impl Forwarder {
-    /// Forwards by what `shared` knows.
+    /// Creates a forwarder that uses the state in `shared`.
     pub fn new(config: Config, shared: Arc<Shared>, claimant: Claimant, cache: Cache) -> Self {
         Self { config, shared, claimant, cache }
     }
 
-    /// Answers `request`, which was taken in at `began`.
-    pub fn answer(&self, request: &Request, began: Instant) -> Answer {
+    /// Returns the response to `request`, which was received at `received`.
+    pub fn forward(&self, request: &Request, received: Instant) -> Response {
         let directory = self.shared.directory();
         if directory.config_revision == 0 {
-            return Answer::not_run(
+            return Response::not_run(
                 "this proxy has no configuration yet; ask another",
-                RETRY_CUT_OFF,
+                RETRY_AFTER_CUT_OFF,
             );
         }
         let Some(&class) = directory.services.get(&request.service) else {
-            return Answer::no_service(request.service.as_str());
+            return Response::unknown_service(request.service.as_str());
         };
         if !self.shared.in_touch() {
             let why = "this proxy is cut off and may act on old views; ask another";
-            return Answer::not_run(why, RETRY_CUT_OFF);
+            return Response::not_run(why, RETRY_AFTER_CUT_OFF);
         }
-        self.shared.gate.offered(&request.service);
-        let deadline = began + self.config.request_timeout;
+        self.shared.gate.record_request(&request.service);
+        let deadline = received + self.config.request_timeout;
         let exclude = Vec::new();
-        let run = Run { request, class, deadline, exclude, tries: 0, fallback: None };
+        let progress = Progress { request, class, deadline, exclude, tries: 0, fallback: None };
         match request.claim {
-            None => self.run(run),
-            Some(id) => self.once(run, id),
+            None => self.try_runners(progress),
+            Some(id) => self.run_at_most_once(progress, id),
         }
     }
 
     /// Runs a non-idempotent request at most once.
-    fn once(&self, run: Run<'_>, id: claim::Id) -> Answer {
-        let path = run.request.path.clone();
-        if let Some(answer) = self.cache.get(id, &path) {
-            return answer;
+    fn run_at_most_once(&self, progress: Progress<'_>, id: claim::Id) -> Response {
+        let path = progress.request.path.clone();
+        if let Some(response) = self.cache.get(id, &path) {
+            return response;
         }
-        // Before the claim: an attempt that is given up costs two writes.
-        if let Err(refusal) = self.shared.gate.admits(&run.request.service) {
-            return self.refused(&refusal);
+        // Checked before the claim, because an abandoned attempt costs two writes.
+        if let Err(refusal) = self.shared.gate.check_admission(&progress.request.service) {
+            return self.refused_response(&refusal);
         }
-        let asked = Instant::now();
-        let claimed = self.claimant.claim(id, run.deadline);
-        let grant = match claimed {
-            Claimed::Granted(grant) => grant,
-            Claimed::Refused(verdict, retry_after) => {
-                return self.not_granted(verdict, retry_after);
+        let claim_started = Instant::now();
+        let decision = self.claimant.claim(id, progress.deadline);
+        let grant = match decision {
+            Decision::Granted(grant) => grant,
+            Decision::Refused(verdict, retry_after) => {
+                return self.not_granted_response(verdict, retry_after);
             }
         };
         self.shared.metrics.claims.with_label_values(&["granted"]).inc();
-        // The owner forgets ids after a time, counted from their issue, and
-        // keeps a margin that is longer than any grant is used.
-        if asked.elapsed() > GRANT_TERM || !self.shared.in_touch() {
+        // The owner forgets ids a fixed time after their issue, with a margin that is
+        // longer than the maximum age of a grant.
+        if claim_started.elapsed() > MAX_GRANT_AGE || !self.shared.in_touch() {
             self.claimant.settle(id, grant.attempt, End::Abandoned);
-            return Answer::not_run("the claim came too late; ask again", RETRY);
+            return Response::not_run("the claim came too late; ask again", RETRY_AFTER);
         }
-        let answer = self.run(run);
-        match answer.outcome() {
+        let response = self.try_runners(progress);
+        match response.outcome() {
             Outcome::Answered => {
-                self.cache.put(id, &path, &answer);
+                self.cache.put(id, &path, &response);
                 self.claimant.settle(id, grant.attempt, End::Done);
             }
             Outcome::NotRun => {
                 self.claimant.settle(id, grant.attempt, End::Abandoned);
             }
-            // The id stays taken: nobody may run it again.
+            // The id stays claimed, so that no other attempt runs it.
             Outcome::Unknown => {}
         }
-        answer
+        response
     }
 
-    fn not_granted(&self, verdict: Verdict, retry_after: Duration) -> Answer {
+    fn not_granted_response(&self, verdict: Verdict, retry_after: Duration) -> Response {
         let name = verdict.as_str_name().trim_start_matches("VERDICT_").to_ascii_lowercase();
         self.shared.metrics.claims.with_label_values(&[&name]).inc();
         match verdict {
-            Verdict::Done => Answer::duplicate(true),
-            Verdict::Taken => Answer::duplicate(false),
-            Verdict::Expired => Answer::expired(),
-            Verdict::Invalid => Answer::invalid_key(),
+            Verdict::Done => Response::duplicate(true),
+            Verdict::Taken => Response::duplicate(false),
+            Verdict::Expired => Response::expired(),
+            Verdict::Invalid => Response::invalid_key(),
             _ => {
                 self.shared.metrics.refusals.with_label_values(&["claim"]).inc();
                 let why = "no claim could be made on the id now; ask again";
-                Answer::not_run(why, retry_after)
+                Response::not_run(why, retry_after)
             }
         }
     }
 
     /// Tries runners until one answers or no further try is allowed.
-    fn run(&self, mut run: Run<'_>) -> Answer {
+    fn try_runners(&self, mut progress: Progress<'_>) -> Response {
         loop {
-            let last = match self.attempt(&mut run) {
+            let last = match self.try_runner(&mut progress) {
                 Ok(last) => last,
-                Err(answer) => return answer,
+                Err(response) => return response,
             };
-            if !self.may_retry(&run, last) {
-                return match run.fallback {
-                    Some(answer) => answer,
-                    None => self.give_up(last),
+            if !self.may_retry(&progress, last) {
+                return match progress.fallback {
+                    Some(response) => response,
+                    None => self.final_response(last),
                 };
             }
-            self.shared.metrics.retries.with_label_values(&[run.request.service.as_str()]).inc();
+            self.shared
+                .metrics
+                .retries
+                .with_label_values(&[progress.request.service.as_str()])
+                .inc();
         }
     }
 
-    /// One try; gives the final answer, or the result that leaves it open.
-    fn attempt(&self, run: &mut Run<'_>) -> Result<Attempt, Answer> {
+    /// Makes one try. Returns the final response as an error, or the result after which
+    /// another try may follow.
+    fn try_runner(&self, progress: &mut Progress<'_>) -> Result<Attempt, Response> {
         let wait =
-            self.config.queue_wait.min(run.deadline.saturating_duration_since(Instant::now()));
+            self.config.queue_wait.min(progress.deadline.saturating_duration_since(Instant::now()));
         let until = self.shared.clock.now() + wait;
-        let service = &run.request.service;
-        let want = Want { service, class: run.class, exclude: &run.exclude, until };
-        let slot = match self.shared.gate.acquire(&want) {
+        let service = &progress.request.service;
+        let slot_request =
+            SlotRequest { service, class: progress.class, exclude: &progress.exclude, until };
+        let slot = match self.shared.gate.acquire(&slot_request) {
             Ok(slot) => slot,
-            Err(refusal) => return Err(self.no_slot(run, &refusal)),
+            Err(refusal) => return Err(self.no_slot_response(progress, &refusal)),
         };
-        run.tries += 1;
-        run.exclude.push(slot.ticket().runner());
-        let deadline = self.try_deadline(run);
+        progress.tries += 1;
+        progress.exclude.push(slot.ticket().runner());
+        let deadline = self.try_deadline(progress);
         let address = slot.ticket().address();
-        let end = self.shared.client.exchange(address, run.request, deadline, slot.idle);
-        let result = result_name(end.attempt);
+        let outcome = self.shared.client.exchange(address, progress.request, deadline, slot.idle);
+        let result = result_name(outcome.attempt);
         self.shared.metrics.tries.with_label_values(&[service.as_str(), result]).inc();
         ::log::debug!(
-            request_id = run.request.id.as_str(), vm = slot.ticket().vm().as_str(), result;
+            request_id = progress.request.id.as_str(), vm = slot.ticket().vm().as_str(), result;
             "tried"
         );
-        self.shared.gate.release(slot, end.attempt);
-        self.judge(run, end)
+        self.shared.gate.release(slot, outcome.attempt);
+        self.handle_outcome(progress, outcome)
     }
 
-    fn judge(&self, run: &mut Run<'_>, end: exchange::End) -> Result<Attempt, Answer> {
-        match end.attempt {
-            Attempt::Answered => Err(end.answer.unwrap_or_else(|| self.give_up(end.attempt))),
+    fn handle_outcome(
+        &self,
+        progress: &mut Progress<'_>,
+        outcome: exchange::Outcome,
+    ) -> Result<Attempt, Response> {
+        match outcome.attempt {
+            Attempt::Answered => {
+                Err(outcome.response.unwrap_or_else(|| self.final_response(outcome.attempt)))
+            }
             Attempt::Failed => {
-                // Whole and its own, so the caller may have it; a better one
-                // may come of another try.
-                run.fallback = end.answer;
-                Ok(end.attempt)
+                // The response is complete and belongs to this request, so the caller may
+                // get it if no later try returns a better one.
+                progress.fallback = outcome.response;
+                Ok(outcome.attempt)
             }
             Attempt::Unknown(doubt) => {
-                let answer = end.answer.unwrap_or_else(|| Answer::unknown(doubt));
-                run.fallback.get_or_insert(answer);
-                Ok(end.attempt)
+                let response = outcome.response.unwrap_or_else(|| Response::unknown(doubt));
+                progress.fallback.get_or_insert(response);
+                Ok(outcome.attempt)
             }
-            Attempt::Refused(_) | Attempt::NotSent => Ok(end.attempt),
+            Attempt::Refused(_) | Attempt::NotSent => Ok(outcome.attempt),
         }
     }
 
-    fn may_retry(&self, run: &Run<'_>, last: Attempt) -> bool {
-        let left = run.deadline.saturating_duration_since(Instant::now());
-        let idempotent = run.request.claim.is_none();
-        run.tries < MAX_TRIES
+    fn may_retry(&self, progress: &Progress<'_>, last: Attempt) -> bool {
+        let left = progress.deadline.saturating_duration_since(Instant::now());
+        let idempotent = progress.request.claim.is_none();
+        progress.tries < MAX_TRIES
             && !left.is_zero()
             && last.may_retry(idempotent)
             && self.shared.in_touch()
-            && self.shared.gate.retry(&run.request.service)
+            && self.shared.gate.take_retry(&progress.request.service)
     }
 
-    /// A try that another may follow leaves time for it: the connection may
+    /// A try that another may follow uses only a part of the time: its connection may
     /// have gone silent while a new one would work.
-    fn try_deadline(&self, run: &Run<'_>) -> Instant {
-        let another = run.request.claim.is_none() && run.tries < MAX_TRIES;
+    fn try_deadline(&self, progress: &Progress<'_>) -> Instant {
+        let another = progress.request.claim.is_none() && progress.tries < MAX_TRIES;
         let try_deadline = Instant::now() + self.config.try_timeout;
-        if another { try_deadline.min(run.deadline) } else { run.deadline }
+        if another { try_deadline.min(progress.deadline) } else { progress.deadline }
     }
 
-    fn no_slot(&self, run: &mut Run<'_>, refusal: &Refusal) -> Answer {
-        // An earlier try may have run: "not run" would be a lie now.
-        run.fallback.take().unwrap_or_else(|| self.refused(refusal))
+    fn no_slot_response(&self, progress: &mut Progress<'_>, refusal: &Refusal) -> Response {
+        // An earlier try may have run, so "not run" would be wrong.
+        progress.fallback.take().unwrap_or_else(|| self.refused_response(refusal))
     }
 
-    fn refused(&self, refusal: &Refusal) -> Answer {
-        self.shared.metrics.refusals.with_label_values(&[why_name(refusal.why)]).inc();
-        Answer::refused(refusal)
+    fn refused_response(&self, refusal: &Refusal) -> Response {
+        self.shared.metrics.refusals.with_label_values(&[refusal_reason(refusal.why)]).inc();
+        Response::refused(refusal)
     }
 
-    /// The answer after a last try that is known not to have run.
-    fn give_up(&self, last: Attempt) -> Answer {
-        match last.outcome(RETRY) {
-            outcome::Outcome::NotRun(refusal) => self.refused(&refusal),
-            outcome::Outcome::Unknown(doubt) => Answer::unknown(doubt),
-            outcome::Outcome::Answered => Answer::unknown(Doubt::Truncated),
+    /// Returns the response after a last try that is known not to have run.
+    fn final_response(&self, last: Attempt) -> Response {
+        match last.outcome(RETRY_AFTER) {
+            outcome::Outcome::NotRun(refusal) => self.refused_response(&refusal),
+            outcome::Outcome::Unknown(doubt) => Response::unknown(doubt),
+            outcome::Outcome::Answered => Response::unknown(Doubt::Truncated),
         }
     }
 }
@@ -258,7 +270,7 @@
     }
 }
 
-const fn why_name(why: Why) -> &'static str {
+const fn refusal_reason(why: Why) -> &'static str {
     match why {
         Why::NoRunner => "no-runner",
         Why::NoneServing => "none-serving",
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -1,7 +1,7 @@
-//! The router and the waiting queue behind one lock.
+//! The router and the queue of waiting requests behind one lock.
 //!
-//! Decisions are pure and take microseconds; the lock is never held over a
-//! call to anything outside of the process.
+//! Decisions are pure and take microseconds; the lock is never held across a call outside
+//! the process.
 
 mod inner;
 
@@ -20,20 +20,20 @@
 
 use inner::Inner;
 
-/// How long a thread waits past a request's time before it looks for itself:
-/// the sweep answers it before that.
-const GRACE: Duration = Duration::from_millis(500);
-/// When to come back to a proxy whose queue gave no sign.
-const RETRY: Duration = Duration::from_secs(1);
+/// How long a thread waits past the deadline of its request before it checks for itself.
+/// The periodic sweep normally answers it earlier.
+const WAIT_MARGIN: Duration = Duration::from_millis(500);
+/// The retry delay after a wait that ended without an answer from the queue.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Who gets a slot, and who waits. Shared by all threads.
+/// Grants slots of runners and queues requests. Shared by all threads.
 #[derive(Debug)]
 pub struct Gate {
     clock: Monotonic,
     inner: Mutex<Inner>,
 }
 
-/// A runner by names.
+/// Identifies a runner by service and VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     /// Its service.
@@ -42,51 +42,51 @@
     pub vm: Name,
 }
 
-/// A slot of a runner; give it back by [`Gate::release`].
+/// A slot of a runner; return it with [`Gate::release`].
 #[derive(Debug)]
 #[must_use = "a slot stays in use until it is given to `Gate::release`"]
 pub struct Slot {
     ticket: Ticket,
     service: Name,
-    /// Connections to the runner that may stay open and idle.
+    /// The number of idle connections to the runner that may be kept.
     pub idle: usize,
 }
 
 impl Slot {
-    /// The ticket of the router.
+    /// Returns the ticket of the router.
     pub fn ticket(&self) -> &Ticket {
         &self.ticket
     }
 }
 
-/// What a request that wants a slot says of itself.
+/// A request for a slot.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct SlotRequest<'a> {
     /// The service.
     pub service: &'a Name,
     /// Its class.
     pub class: Class,
-    /// Runners that the request was tried at.
+    /// Runners that were already tried.
     pub exclude: &'a [RunnerKey],
-    /// Until when it may wait.
+    /// The deadline for getting a slot.
     pub until: Time,
 }
 
-/// The runners' loads and the news for peers.
+/// The loads of runners and other information for peers.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    /// What the router tells.
+    /// The report of the router.
     pub report: Report,
-    /// This proxy's requests in flight, a runner each.
+    /// Requests of this proxy in flight, by runner.
     pub in_flight: BTreeMap<Key, u32>,
-    /// Requests that wait, a service each.
+    /// Waiting requests, by service.
     pub waiting: BTreeMap<Name, u32>,
-    /// VMs that said themselves that they leave.
+    /// VMs whose backend server refused requests as leaving.
     pub leaving: Vec<Name>,
 }
 
 impl Gate {
-    /// A gate of the proxy `me` whose queue holds `queue` requests.
+    /// Creates the gate of the proxy `me`; its queue holds `queue` requests.
     pub fn new(clock: Monotonic, me: Name, config: router::Config, queue: usize) -> Self {
         Self { clock, inner: Mutex::new(Inner::new(me, config, queue)) }
     }
@@ -95,160 +95,159 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gets a slot, waiting for one in the order of classes.
+    /// Acquires a slot, waiting for one in the order of classes.
     ///
     /// # Errors
     ///
-    /// Refuses at once where waiting makes no sense, and as soon as it makes
-    /// none any more.
-    pub fn acquire(&self, want: &Want<'_>) -> Result<Slot, Refusal> {
+    /// Refuses as soon as waiting has no chance of success.
+    pub fn acquire(&self, request: &SlotRequest<'_>) -> Result<Slot, Refusal> {
         let (id, receiver) = {
             let now = self.clock.now();
             let mut inner = self.lock();
-            if inner.queue.waiting(want.service) == 0 {
-                match inner.pick(now, want.service, want.exclude) {
+            if inner.queue.waiting(request.service) == 0 {
+                match inner.pick(now, request.service, request.exclude) {
                     Err(refusal) if refusal.why == Why::Busy => {}
                     result => return result,
                 }
             }
-            let waiting = inner.wait(now, want)?;
-            inner.pump(now);
-            waiting
+            let waiter = inner.enqueue(now, request)?;
+            inner.grant_free_slots(now);
+            waiter
         };
-        let left = want.until - self.clock.now();
-        match receiver.recv_timeout(left + GRACE) {
+        let left = request.until - self.clock.now();
+        match receiver.recv_timeout(left + WAIT_MARGIN) {
             Ok(result) => result,
-            Err(RecvTimeoutError::Disconnected) => Err(gave_up()),
-            Err(RecvTimeoutError::Timeout) => self.give_up(id, &receiver),
+            Err(RecvTimeoutError::Disconnected) => Err(wait_ended()),
+            Err(RecvTimeoutError::Timeout) => self.end_wait(id, &receiver),
         }
     }
 
-    /// Whether a first try would find a runner, or could wait for one.
+    /// Checks that a first try would find a runner or could wait for one.
     ///
     /// # Errors
     ///
-    /// Refuses if there is none to wait for.
-    pub fn admits(&self, service: &Name) -> Result<(), Refusal> {
+    /// Fails if there is no runner to wait for.
+    pub fn check_admission(&self, service: &Name) -> Result<(), Refusal> {
         let now = self.clock.now();
-        self.lock().admits(now, service)
+        self.lock().check_admission(now, service)
     }
 
-    /// A thread whose time is over takes its place back, unless a slot was
-    /// given to it in this moment.
-    fn give_up(
+    /// Ends the wait of a thread whose deadline has passed. Returns a slot if one was
+    /// granted in the meantime.
+    fn end_wait(
         &self,
         id: u64,
         receiver: &Receiver<Result<Slot, Refusal>>,
     ) -> Result<Slot, Refusal> {
         let mut inner = self.lock();
         if inner.waiters.remove(&id).is_some() {
-            return Err(gave_up());
+            return Err(wait_ended());
         }
-        receiver.try_recv().unwrap_or_else(|_| Err(gave_up()))
+        receiver.try_recv().unwrap_or_else(|_| Err(wait_ended()))
     }
 
-    /// Gives a slot back with the result of its try.
+    /// Returns a slot with the result of its try.
     pub fn release(&self, slot: Slot, attempt: Attempt) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.release(now, slot, attempt);
-        inner.pump(now);
+        inner.grant_free_slots(now);
     }
 
-    /// Counts a request that a caller made, of which retries may be a share.
-    pub fn offered(&self, service: &Name) {
+    /// Counts a request of a caller; the retry budget is a share of these.
+    pub fn record_request(&self, service: &Name) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.router.offered(now, service);
-        inner.budget(service).first_try(now);
+        inner.retry_budget(service).first_try(now);
     }
 
-    /// Takes one retry of `service`, if its budget has one left.
-    pub fn retry(&self, service: &Name) -> bool {
+    /// Takes one retry from the budget of `service`; returns whether one was left.
+    pub fn take_retry(&self, service: &Name) -> bool {
         let now = self.clock.now();
-        self.lock().budget(service).retry(now)
+        self.lock().retry_budget(service).retry(now)
     }
 
-    /// Refuses what waits in vain and gives free slots to what waits. To be
-    /// called a few times a second.
+    /// Refuses waiting requests that have no chance and grants free slots to the others.
+    /// Must be called a few times a second.
     pub fn tick(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
         for refused in inner.queue.sweep(now) {
             inner.refuse(refused);
         }
-        inner.pump(now);
+        inner.grant_free_slots(now);
         inner.refuse_unserved(now);
         inner.leaving.retain(|_, until| now < *until);
     }
 
-    /// Declares a service.
+    /// Adds a service or updates its limits.
     pub fn set_service(&self, service: &Name, slots: u16, connections: u16) {
         self.lock().router.set_service(service, slots, connections);
     }
 
-    /// Applies a VM's record; says whether it was news.
+    /// Applies a VM's record; returns whether it changed anything.
     pub fn set_runners(&self, record: view::Vm) -> bool {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let news = inner.router.set_runners(now, record);
-        inner.pump(now);
-        news
+        let is_new = inner.router.set_runners(now, record);
+        inner.grant_free_slots(now);
+        is_new
     }
 
-    /// Applies that a VM's record was deleted.
+    /// Removes a VM whose record was deleted.
     pub fn remove_vm(&self, vm: &Name, revision: u64) -> bool {
         let now = self.clock.now();
         self.lock().router.remove_vm(now, vm, revision)
     }
 
-    /// Applies the news of a drain; says whether it was news.
-    pub fn drain(&self, vm: &Name, epoch: u64) -> bool {
+    /// Starts a drain; returns whether it was not known yet.
+    pub fn start_drain(&self, vm: &Name, epoch: u64) -> bool {
         self.lock().router.drain(vm, epoch)
     }
 
-    /// Whether the drain may be confirmed.
+    /// Returns whether the drain may be confirmed.
     pub fn is_drained(&self, vm: &Name, epoch: u64) -> bool {
         self.lock().router.is_drained(vm, epoch)
     }
 
-    /// Notes a proxy.
-    pub fn meet(&self, member: &Name) {
+    /// Adds a proxy to the known members.
+    pub fn add_proxy(&self, member: &Name) {
         let now = self.clock.now();
         self.lock().router.meet_member(now, member);
     }
 
-    /// Forgets a proxy.
-    pub fn forget(&self, member: &Name) {
+    /// Removes a proxy from the known members.
+    pub fn remove_proxy(&self, member: &Name) {
         self.lock().router.forget_member(member);
     }
 
-    /// Applies a peer's report.
-    pub fn peer_load(&self, member: &Name, report: &Report) {
+    /// Applies the report of a peer.
+    pub fn apply_peer_report(&self, member: &Name, report: &Report) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.router.peer_load(now, member, report);
-        inner.pump(now);
+        inner.grant_free_slots(now);
     }
 
-    /// What to tell peers.
+    /// Returns the loads to report to peers.
     pub fn loads(&self) -> Loads {
         let now = self.clock.now();
         let mut inner = self.lock();
         Loads {
             report: inner.router.load(now),
-            in_flight: inner.loads.clone(),
-            waiting: inner.waiting(),
+            in_flight: inner.in_flight.clone(),
+            waiting: inner.waiting_by_service(),
             leaving: inner.leaving.keys().cloned().collect(),
         }
     }
 
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.lock().queue.len()
     }
 }
 
-fn gave_up() -> Refusal {
-    Refusal { retry_after: RETRY, why: Why::Hopeless }
+fn wait_ended() -> Refusal {
+    Refusal { retry_after: RETRY_AFTER, why: Why::Hopeless }
 }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -1,12 +1,12 @@
-//! Where other threads leave messages for an actor that may be started anew.
+//! Delivery of messages from other threads to an actor that may be restarted.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use corianderfork_runtime::core::Full;
 use corianderfork_runtime::port::Port;
 
-/// The current port of an actor. A supervisor starts a failed actor anew, with
-/// a new port; those that held on to the old one would send into the void.
+/// The current port of an actor. A supervisor restarts a failed actor with a new port;
+/// senders that kept the old port would lose their messages.
 pub struct Inbox<T>(Arc<Mutex<Option<Port<T>>>>);
 
 impl<T> Clone for Inbox<T> {
@@ -22,23 +22,23 @@
 }
 
 impl<T: Send + 'static> Inbox<T> {
-    /// The actor has started and listens at `port`.
+    /// Sets the port of the actor that has just started.
     pub fn connect(&self, port: Port<T>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(port);
     }
 
-    /// Leaves a message.
+    /// Sends a message without waiting.
     ///
     /// # Errors
     ///
-    /// Fails at once if the actor has not started or the core's queue is full;
-    /// the message is dropped.
+    /// Fails if the actor has not started or the core's queue is full; the message is
+    /// dropped.
     pub fn send(&self, message: T) -> Result<(), Full> {
         let port = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
         port.ok_or(Full)?.send(message)
     }
 
-    /// Leaves a message that must not be lost, waiting for room.
+    /// Sends a message that must not be lost, waiting for space in the queue.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/lease.rs
+++ b/crates/proxy/src/lease.rs
@@ -1,4 +1,4 @@
-//! Carries out what a lease's holder wants done, off the core's thread.
+//! Executes the actions of a lease holder on worker threads, off the core thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,52 +7,51 @@
 use corianderfork_provider::store::{Error, Expect, LeaseId, Store};
 use corianderfork_runtime::worker::{Busy, Pool};
 
-/// What a holder keeps under its lease.
+/// A store entry that a holder keeps under its lease.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct Registration {
     /// The key.
     pub key: String,
     /// The value.
     pub value: String,
-    /// The TTL to ask for.
+    /// The TTL to request.
     pub ttl: Duration,
-    /// The incarnation that is written, if an earlier incarnation's entry is
-    /// to be replaced.
+    /// The incarnation in `value`, if it may replace the entry of an earlier incarnation.
     ///
-    /// The entry of a process that was killed stays until its lease lapses.
-    /// Its successor of the same name would be unknown for as long, although
-    /// nobody else may ever write that key.
+    /// The entry of a killed process remains until its lease expires. Without a
+    /// replacement, its successor of the same name would stay unlisted until then,
+    /// although no other process writes that key.
     pub replaces_below: Option<u64>,
 }
 
-/// Carries `action` out on `pool`; `then` gets the answer on that thread.
-/// Nothing is done for [`Action::Started`] and [`Action::Stopped`].
+/// Executes `action` on `pool` and passes the answer to `then` on the worker thread. Does
+/// nothing for [`Action::Started`] and [`Action::Stopped`].
 ///
 /// # Errors
 ///
-/// Fails if the pool has no room; `then` is not called.
-pub fn carry_out(
+/// Fails if the pool is full; `then` is not called.
+pub fn execute(
     pool: &Pool,
     store: &Arc<dyn Store>,
-    kept: &Kept,
+    registration: &Registration,
     action: Action,
     then: impl FnOnce(Answer) + Send + 'static,
 ) -> Result<(), Busy> {
     if matches!(action, Action::Started { .. } | Action::Stopped) {
         return Ok(());
     }
-    let (store, kept) = (Arc::clone(store), kept.clone());
-    pool.submit(move || then(answer(&*store, &kept, action)))
+    let (store, registration) = (Arc::clone(store), registration.clone());
+    pool.submit(move || then(call_store(&*store, &registration, action)))
 }
 
-fn answer(store: &dyn Store, kept: &Kept, action: Action) -> Answer {
+fn call_store(store: &dyn Store, registration: &Registration, action: Action) -> Answer {
     match action {
-        Action::Grant => match store.grant(kept.ttl) {
+        Action::Grant => match store.grant(registration.ttl) {
             Ok(lease) => Answer::Granted { lease: lease.0 },
             Err(_) => Answer::Failed,
         },
-        Action::Put { lease } => put(store, kept, LeaseId(lease)),
-        Action::Read => match store.get(&kept.key) {
+        Action::Put { lease } => put(store, registration, LeaseId(lease)),
+        Action::Read => match store.get(&registration.key) {
             Ok(found) => Answer::Read(found.entry.map(|entry| Key {
                 lease: entry.lease.map(|lease| lease.0),
                 revision: entry.revision.0,
@@ -72,15 +71,15 @@
     }
 }
 
-fn put(store: &dyn Store, kept: &Kept, lease: LeaseId) -> Answer {
+fn put(store: &dyn Store, registration: &Registration, lease: LeaseId) -> Answer {
     let mut expect = Expect::Absent;
-    // The second time replaces an earlier incarnation's entry, by its revision.
+    // The second iteration replaces the entry of an earlier incarnation, by its revision.
     for _ in 0..2 {
-        match store.put(&kept.key, &kept.value, expect, Some(lease)) {
+        match store.put(&registration.key, &registration.value, expect, Some(lease)) {
             Ok(revision) => return Answer::PutDone { revision: revision.0 },
             Err(Error::Conflict { current: Some(entry), .. }) => {
                 let found = serde_json::from_str::<Incarnation>(&entry.value);
-                let is_earlier = kept
+                let is_earlier = registration
                     .replaces_below
                     .zip(found.ok())
                     .is_some_and(|(own, found)| found.incarnation < own);
@@ -96,7 +95,7 @@
     Answer::PutConflict
 }
 
-/// The part that all records under a lease have.
+/// The field that all records under a lease have.
 #[derive(serde::Deserialize)]
 struct Incarnation {
     incarnation: u64,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,27 +1,29 @@
-//! The proxy daemon: between callers and backend servers.
+//! The proxy daemon, which forwards requests of callers to backend servers.
 //!
-//! A proxy runs on each entry VM, behind the platform's balancer. It takes a
-//! caller's request, chooses a runner of the service, sends the request there
-//! and answers with one of three outcomes, kept apart in the header `Outcome`:
-//! the backend server's whole answer, *not run* with a time to come back, or
-//! *unknown*. How it comes to be sure of each is spread over small modules:
+//! A proxy runs on each entry VM, behind the platform's load balancer. It chooses a
+//! runner of the requested service, forwards the request and responds with one of three
+//! outcomes, which the header `Outcome` states: the complete response of the backend
+//! server, *not run* with a time after which to retry, or *unknown*. Small modules
+//! establish each of them:
 //!
-//! * [`request`] checks what a caller sent; [`response`] is what it gets.
-//! * [`exchange`] makes one try at a backend server and checks that the answer
-//!   is whole and its own; [`transport`] knows whether a byte was sent.
-//! * [`gate`] gives out slots in the order of classes, by the pure decisions of
+//! * [`request`] validates requests; [`response`] builds responses.
+//! * [`exchange`] makes one try at a backend server and checks that the response is
+//!   complete and belongs to the request; [`transport`] records whether a byte was sent.
+//! * [`gate`] grants slots in the order of classes, by the pure decisions of
 //!   `corianderfork-routing`.
-//! * [`forward`] puts these together: retries for idempotent requests, and for
-//!   the others a claim on their id before the first byte ([`claimant`]).
-//! * [`serve`] is the threads of the callers' side.
+//! * [`forward`] combines these: it retries idempotent requests, and claims the id of any
+//!   other request before the first byte is sent ([`claimant`]).
+//! * [`serve`] has the threads that serve callers.
 //!
-//! The core is one thread of actors under supervisors. They share the [`hub`]:
-//! the [`view`] of the shared records and the [`members`].
+//! The core is one thread of supervised actors. They share the [`hub`], which holds the
+//! [`view`] of the shared records and the [`members`].
 //!
-//! * [`feed`] brings records from the store; [`gossip`] exchanges reports with
-//!   peers and fetches records from them while the store is silent.
-//! * [`membership`] keeps this process listed; [`claims`] owns shards of claims.
-//! * [`pulse`] looks after waiting requests; [`stop`] ends the process without cutting anything off.
+//! * [`feed`] transfers records from the store; [`gossip`] exchanges reports with peers
+//!   and fetches records from them while the store is silent.
+//! * [`membership`] keeps this process listed in the store; [`claims`] owns shards of
+//!   claims.
+//! * [`pulse`] does periodic work; [`stop`] shuts the process down without cutting off
+//!   requests.
 //!
 //! ```
 //! use corianderfork_proxy::request::Head;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -9,7 +9,7 @@
 
 fn main() -> ExitCode {
     let args = Command::new("corianderfork-proxy")
-        .about("Stands between callers and backend servers")
+        .about("Forwards requests of callers to backend servers")
         .version(clap::crate_version!())
         .arg(
             Arg::new("settings")
@@ -23,13 +23,13 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings and end"),
+                .help("Check the settings and exit"),
         )
         .arg(
             Arg::new("log")
                 .long("log")
                 .value_name("FILTER")
-                .help("What to log, instead of the settings: a level or MODULE=LEVEL,…"),
+                .help("Log filter that overrides the settings: a level or MODULE=LEVEL,…"),
         )
         .get_matches();
     let path = args.get_one::<PathBuf>("settings").cloned().unwrap_or_default();
@@ -43,9 +43,9 @@
     }
 }
 
-fn start(path: &std::path::Path, check: bool, filter: Option<String>) -> miette::Result<()> {
+fn start(path: &std::path::Path, check_only: bool, filter: Option<String>) -> miette::Result<()> {
     let settings = Settings::read(path).map_err(|error| miette::miette!("{error}"))?;
-    if check {
+    if check_only {
         println!("the settings are in order");
         return Ok(());
     }
--- a/crates/proxy/src/members.rs
+++ b/crates/proxy/src/members.rs
@@ -1,9 +1,8 @@
-//! The other processes: where they are, and what each is known to have
-//! confirmed. Pure.
+//! The table of other processes: their addresses and what each has confirmed. Pure.
 //!
-//! Proxies and controllers are members alike: whether a process is in touch is
-//! a question of all of them. A proxy and a controller of one entry VM may
-//! have one name, so the table of members names them by role and name.
+//! Proxies and controllers are members alike, because all of them count for whether a
+//! process is in touch. A proxy and a controller on the same entry VM may share a name,
+//! so members are identified by role and name.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,41 +15,41 @@
 
 use crate::convert;
 
-/// The most bytes of a member's name, so that its role fits before it.
+/// The maximum length of a member name, which leaves space for the role in front of it.
 pub const MAX_NAME: usize = corianderfork_model::name::MAX_LEN - "controller-".len();
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Entry {
     member: Member,
     acks: Vec<peer::Ack>,
-    /// When the acks were told by the member itself, as far as known.
-    told: Time,
+    /// When the member itself last reported the acks, as far as known.
+    acked_at: Time,
     config_revision: u64,
-    /// Since when the store was seen not to list it.
-    unlisted: Option<Time>,
+    /// Since when the store no longer lists it.
+    unlisted_since: Option<Time>,
 }
 
-/// The other processes.
+/// The known members: this process and the other ones.
 #[derive(Clone, Debug)]
 pub struct Members {
     me: Member,
     table: Table,
-    rows: BTreeMap<Name, Row>,
-    forget: Duration,
+    entries: BTreeMap<Name, Entry>,
+    forget_after: Duration,
 }
 
-/// The name of a member in the table.
-fn id(member: &Member) -> Option<Name> {
+/// Returns the name of a member in the table.
+fn table_name(member: &Member) -> Option<Name> {
     Name::new(&format!("{}-{}", member.role, member.name)).ok()
 }
 
-fn known(member: &Member) -> Option<Known> {
-    Some(Known::new(id(member)?, member.incarnation))
+fn to_known(member: &Member) -> Option<Known> {
+    Some(Known::new(table_name(member)?, member.incarnation))
 }
 
 impl Members {
-    /// Knows only `me`. A member that the store no longer lists and that was
-    /// silent for `forget` is forgotten.
+    /// Creates a table that knows only `me`. A member that the store no longer lists and
+    /// that was silent for `forget_after` is removed.
     ///
     /// # Errors
     ///
@@ -58,35 +57,36 @@
     pub fn new(
         config: Config,
         me: Member,
-        forget: Duration,
+        forget_after: Duration,
     ) -> Result<Self, corianderfork_model::name::Error> {
         let name = Name::new(&format!("{}-{}", me.role, me.name))?;
         let table = Table::new(config, Known::new(name, me.incarnation));
-        Ok(Self { me, table, rows: BTreeMap::new(), forget })
+        Ok(Self { me, table, entries: BTreeMap::new(), forget_after })
     }
 
-    /// This process.
+    /// Returns this process.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Whether this process may act on its views.
+    /// Returns whether this process is in touch: it recently reached the store or a
+    /// majority of the members, so it may act on its views.
     pub fn in_touch(&self, now: Time) -> bool {
         self.table.in_touch(now)
     }
 
-    /// How many members are known, this one included.
+    /// Returns the number of known members, including this process.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Never: this process is always known.
+    /// Returns false, because this process is always known.
     pub fn is_empty(&self) -> bool {
         false
     }
 
-    /// The store listed `listed` at its `revision`, by a call sent at `sent`.
-    /// Gives the proxies that are forgotten.
+    /// Applies a list of members that the store returned at `revision` to a call sent at
+    /// `sent`. Returns the names of proxies that were removed.
     pub fn on_store<'a>(
         &mut self,
         now: Time,
@@ -94,52 +94,53 @@
         revision: u64,
         listed: impl Iterator<Item = &'a Member>,
     ) -> Vec<Name> {
-        let listed = self.list(listed);
-        for (name, row) in &mut self.rows {
+        let listed = self.record_listed(listed);
+        for (name, entry) in &mut self.entries {
             let is_listed = listed.iter().any(|known| known.name == *name);
-            row.unlisted = if is_listed { None } else { row.unlisted.or(Some(now)) };
+            entry.unlisted_since =
+                if is_listed { None } else { entry.unlisted_since.or(Some(now)) };
         }
         self.table.on_store(sent, revision, listed);
-        self.tidy(now)
+        self.remove_expired(now)
     }
 
-    /// A peer passed on what the store listed.
+    /// Applies the list of members in a snapshot from a peer.
     pub fn on_snapshot<'a>(&mut self, now: Time, listed: impl Iterator<Item = &'a Member>) {
-        let listed = self.list(listed);
+        let listed = self.record_listed(listed);
         self.table.on_snapshot(now, listed);
     }
 
-    fn list<'a>(&mut self, listed: impl Iterator<Item = &'a Member>) -> Vec<Known> {
-        let mut all = Vec::new();
+    fn record_listed<'a>(&mut self, listed: impl Iterator<Item = &'a Member>) -> Vec<Known> {
+        let mut known_members = Vec::new();
         for member in listed {
-            let Some(about) = known(member) else { continue };
-            self.learn(member);
-            all.push(about);
+            let Some(subject) = to_known(member) else { continue };
+            self.update(member);
+            known_members.push(subject);
         }
-        all
+        known_members
     }
 
-    /// The members that the store ever listed and that are not forgotten, for
+    /// Returns all members that the store has listed and that were not removed since, for
     /// a process that starts while the store is down.
     pub fn listed(&self) -> impl Iterator<Item = &Member> {
         let listed = self.table.listed().into_iter();
-        listed.filter_map(|known| self.rows.get(&known.name).map(|row| &row.member))
+        listed.filter_map(|known| self.entries.get(&known.name).map(|entry| &entry.member))
     }
 
-    /// A member reported. `sent` is when this process sent the call that it
-    /// answers; `None` if the member called by itself. Gives who it is, or
-    /// `None` if the report is of an earlier incarnation or makes no sense.
+    /// Applies the report of a member. `sent` is when this process sent the call that the
+    /// report answers; `None` if the member made the call. Returns the member, or `None`
+    /// if the report is invalid or from an earlier incarnation.
     pub fn on_report(
         &mut self,
         now: Time,
         sent: Option<Time>,
         report: &peer::Report,
     ) -> Option<Member> {
-        let from = convert::member_of(report.from.as_ref()?)?;
-        let about = self.learn(&from)?;
+        let from = convert::parse_member(report.from.as_ref()?)?;
+        let subject = self.update(&from)?;
         match sent {
-            Some(sent) => self.table.on_contact(sent, &about, report.store_revision),
-            None => self.hear(now, about, Duration::ZERO),
+            Some(sent) => self.table.on_contact(sent, &subject, report.store_revision),
+            None => self.record_contact(now, subject, Duration::ZERO),
         }
         for seen in &report.seen {
             self.on_seen(now, seen);
@@ -148,77 +149,84 @@
     }
 
     fn on_seen(&mut self, now: Time, seen: &peer::Seen) -> Option<()> {
-        let about = convert::member_of(seen.member.as_ref()?)?;
-        let about = self.learn(&about)?;
+        let subject = convert::parse_member(seen.member.as_ref()?)?;
+        let subject = self.update(&subject)?;
         let age = Duration::from_millis(seen.age_ms);
-        self.hear(now, about.clone(), age);
-        let told = Time::from_millis(now.as_millis().saturating_sub(seen.age_ms));
-        let row = self.rows.get_mut(&about.name)?;
-        row.config_revision = row.config_revision.max(seen.config_revision);
-        if row.member.incarnation == about.incarnation && told >= row.told {
-            row.told = told;
-            row.acks.clone_from(&seen.acks);
+        self.record_contact(now, subject.clone(), age);
+        let acked_at = Time::from_millis(now.as_millis().saturating_sub(seen.age_ms));
+        let entry = self.entries.get_mut(&subject.name)?;
+        entry.config_revision = entry.config_revision.max(seen.config_revision);
+        if entry.member.incarnation == subject.incarnation && acked_at >= entry.acked_at {
+            entry.acked_at = acked_at;
+            entry.acks.clone_from(&seen.acks);
         }
         Some(())
     }
 
-    fn hear(&mut self, now: Time, member: Known, age: Duration) {
+    fn record_contact(&mut self, now: Time, member: Known, age: Duration) {
         self.table.on_heard(now, [Heard { member, age }]);
     }
 
-    /// `None` for this process and for incarnations that are over.
-    fn learn(&mut self, member: &Member) -> Option<Known> {
-        let known = known(member)?;
+    /// Adds or updates a member; returns `None` for this process and for earlier
+    /// incarnations.
+    fn update(&mut self, member: &Member) -> Option<Known> {
+        let known = to_known(member)?;
         if member.role == self.me.role && member.name == self.me.name {
             return None;
         }
-        let newest = self.rows.get(&known.name).map(|row| row.member.incarnation);
+        let newest = self.entries.get(&known.name).map(|entry| entry.member.incarnation);
         if newest.is_some_and(|newest| newest > member.incarnation) {
             return None;
         }
         if newest != Some(member.incarnation) {
-            let row = Row {
+            let entry = Entry {
                 member: member.clone(),
                 acks: Vec::new(),
-                told: Time::ZERO,
+                acked_at: Time::ZERO,
                 config_revision: 0,
-                unlisted: None,
+                unlisted_since: None,
             };
-            self.rows.insert(known.name.clone(), row);
+            self.entries.insert(known.name.clone(), entry);
         }
         Some(known)
     }
 
-    /// Forgets members that are gone.
+    /// Removes members that are gone.
     ///
-    /// Entry VMs are replaced at any time. Were the old ones kept for ever,
-    /// they would in the end be the majority, and with the store down nobody
-    /// would count as in touch any more.
-    fn tidy(&mut self, now: Time) -> Vec<Name> {
-        let is_past = |at: Time| now - at > self.forget;
-        let is_silent = |name: &Name| self.table.last_contact(name.as_str()).is_none_or(is_past);
-        let gone =
-            |(name, row): &(&Name, &Row)| row.unlisted.is_some_and(is_past) && is_silent(name);
-        let gone: Vec<Name> = self.rows.iter().filter(gone).map(|(name, _)| name.clone()).collect();
+    /// Entry VMs are replaced at any time. If the old ones were kept, they would
+    /// eventually be the majority, and with the store down no process would count as in
+    /// touch.
+    fn remove_expired(&mut self, now: Time) -> Vec<Name> {
+        let is_expired = |at: Time| now - at > self.forget_after;
+        let is_silent = |name: &Name| self.table.last_contact(name.as_str()).is_none_or(is_expired);
+        let gone = |(name, entry): &(&Name, &Entry)| {
+            entry.unlisted_since.is_some_and(is_expired) && is_silent(name)
+        };
+        let gone: Vec<Name> =
+            self.entries.iter().filter(gone).map(|(name, _)| name.clone()).collect();
         for name in &gone {
             self.table.remove(name.as_str());
         }
-        let rows = gone.iter().filter_map(|name| self.rows.remove(name));
-        rows.filter(|row| row.member.role == Role::Proxy).map(|row| row.member.name).collect()
+        let entries = gone.iter().filter_map(|name| self.entries.remove(name));
+        entries
+            .filter(|entry| entry.member.role == Role::Proxy)
+            .map(|entry| entry.member.name)
+            .collect()
     }
 
-    /// Whom to call in `round`.
+    /// Returns the addresses of the members to call in `round`.
     pub fn partners(&self, round: u64) -> BTreeSet<SocketAddr> {
         let partners = self.table.partners(round);
-        partners.iter().filter_map(|name| Some(self.rows.get(name)?.member.peers)).collect()
+        partners.iter().filter_map(|name| Some(self.entries.get(name)?.member.peers)).collect()
     }
 
-    /// Where all others are called.
+    /// Returns the addresses of all other members.
     pub fn addresses(&self) -> BTreeSet<SocketAddr> {
-        self.rows.values().map(|row| row.member.peers).collect()
+        self.entries.values().map(|entry| entry.member.peers).collect()
     }
 
-    /// What to pass on: this process first, then all it heard of.
+    /// Returns what to report about members: this process first, then all members heard
+    /// of.
     pub fn seen(&self, now: Time, config_revision: u64, acks: Vec<peer::Ack>) -> Vec<peer::Seen> {
         let me = peer::Seen {
             member: Some(convert::member(&self.me)),
@@ -227,12 +235,12 @@
             config_revision,
         };
         let others = self.table.heard(now).into_iter().filter_map(|heard| {
-            let row = self.rows.get(&heard.member.name)?;
+            let entry = self.entries.get(&heard.member.name)?;
             Some(peer::Seen {
-                member: Some(convert::member(&row.member)),
+                member: Some(convert::member(&entry.member)),
                 age_ms: u64::try_from(heard.age.as_millis()).unwrap_or(u64::MAX),
-                acks: row.acks.clone(),
-                config_revision: row.config_revision,
+                acks: entry.acks.clone(),
+                config_revision: entry.config_revision,
             })
         });
         std::iter::once(me).chain(others).collect()
--- a/crates/proxy/src/membership.rs
+++ b/crates/proxy/src/membership.rs
@@ -1,4 +1,4 @@
-//! The actor that keeps this process's member record in the store.
+//! The actor that keeps the member record of this process in the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,78 +16,78 @@
 use crate::alarm::Alarm;
 use crate::hub::Hub;
 use crate::inbox::Inbox;
-use crate::lease::{Kept, carry_out};
+use crate::lease::{Registration, execute};
 
-/// The means to call the store off the core's thread.
+/// Access to the store off the core thread.
 #[derive(Clone)]
-pub struct Means {
+pub struct StoreAccess {
     /// The store.
     pub store: Arc<dyn Store>,
-    /// The store by connections of its own, for the watch.
+    /// The store on separate connections, for the watch of all records.
     ///
-    /// After connections went silent, each that is pooled costs one timeout
-    /// before a new one is opened. The watch must not wait for those of other
-    /// calls: what it would miss meanwhile is drains and configurations.
-    pub watched: Arc<dyn Store>,
-    /// The store by connections of its own, for the watch of drains.
-    pub watched_drains: Arc<dyn Store>,
-    /// Threads for calls that block.
+    /// After connections went silent, each pooled one costs a timeout before a new one is
+    /// opened. The watch must not wait for the connections of other calls, because it
+    /// would miss drains and configurations meanwhile.
+    pub watch_store: Arc<dyn Store>,
+    /// The store on separate connections, for the watch of drain requests.
+    pub drain_watch_store: Arc<dyn Store>,
+    /// Threads for blocking calls.
     pub pool: Pool,
-    /// The core.
+    /// The handle of the core.
     pub handle: Handle,
 }
 
-/// What reaches the actor from other threads.
+/// A message from another thread.
 pub enum Message {
-    /// The store answered.
+    /// The answer to a store call.
     Store(Answer),
-    /// The process is stopping: give the record up.
+    /// The process is stopping: release the record.
     Release,
 }
 
 /// Keeps the member record under a lease.
 pub struct Membership {
     hub: Rc<Hub>,
-    means: Means,
-    kept: Kept,
+    access: StoreAccess,
+    registration: Registration,
     inbox: Inbox<Message>,
     holder: Holder,
     alarm: Alarm,
 }
 
 impl Membership {
-    /// Listens at `inbox` and registers.
+    /// Starts the actor, connected to `inbox`, and registers this process.
     pub fn init(
         cx: CX![],
         hub: Rc<Hub>,
-        means: Means,
-        kept: Kept,
+        access: StoreAccess,
+        registration: Registration,
         inbox: Inbox<Message>,
     ) -> Option<Self> {
-        let fwd = fwd_to!([cx], heard() as (Message));
-        inbox.connect(Port::open(cx, means.handle.clone(), fwd));
-        let holder = Holder::new(lease::Config::new().ttl(kept.ttl), clock::seed());
-        let mut this = Self { hub, means, kept, inbox, holder, alarm: Alarm::default() };
-        this.feed(cx, Event::Tick);
+        let fwd = fwd_to!([cx], on_message() as (Message));
+        inbox.connect(Port::open(cx, access.handle.clone(), fwd));
+        let holder = Holder::new(lease::Config::new().ttl(registration.ttl), clock::seed());
+        let mut this = Self { hub, access, registration, inbox, holder, alarm: Alarm::default() };
+        this.on_event(cx, Event::Tick);
         Some(this)
     }
 
-    fn heard(&mut self, cx: CX![], message: Message) {
+    fn on_message(&mut self, cx: CX![], message: Message) {
         match message {
-            Message::Store(answer) => self.feed(cx, Event::Store(answer)),
-            Message::Release => self.feed(cx, Event::Release),
+            Message::Store(answer) => self.on_event(cx, Event::Store(answer)),
+            Message::Release => self.on_event(cx, Event::Release),
         }
     }
 
     fn wake(&mut self, cx: CX![], at: Time) {
         self.alarm.fired(at);
-        self.feed(cx, Event::Tick);
+        self.on_event(cx, Event::Tick);
     }
 
-    fn feed(&mut self, cx: CX![], event: Event) {
+    fn on_event(&mut self, cx: CX![], event: Event) {
         let now = self.hub.shared.clock.now();
         for action in self.holder.on_event(now, event) {
-            self.carry_out(cx, action);
+            self.execute(cx, action);
         }
         if let Some(at) = self.alarm.set(self.holder.wake()) {
             let delay: Duration = at - now;
@@ -95,23 +95,28 @@
         }
     }
 
-    fn carry_out(&self, cx: CX![], action: Action) {
+    fn execute(&self, cx: CX![], action: Action) {
         match action {
-            Action::Started { .. } => ::log::info!(key = self.kept.key.as_str(); "registered"),
-            Action::Stopped => ::log::warn!(key = self.kept.key.as_str(); "no longer registered"),
+            Action::Started { .. } => {
+                ::log::info!(key = self.registration.key.as_str(); "registered")
+            }
+            Action::Stopped => {
+                ::log::warn!(key = self.registration.key.as_str(); "no longer registered")
+            }
             _ => {}
         }
         let inbox = self.inbox.clone();
-        // Nobody waits for the answer to a revoke.
+        // The answer to a revoke is not needed.
         let awaited = !matches!(action, Action::Revoke { .. });
-        let then = move |answer| {
+        let on_answer = move |answer| {
             if awaited {
                 let _ = inbox.send_wait(Message::Store(answer));
             }
         };
-        let sent = carry_out(&self.means.pool, &self.means.store, &self.kept, action, then);
+        let sent =
+            execute(&self.access.pool, &self.access.store, &self.registration, action, on_answer);
         if sent.is_err() && awaited {
-            call!([cx], heard(Message::Store(Answer::Failed)));
+            call!([cx], on_message(Message::Store(Answer::Failed)));
         }
     }
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,25 +1,25 @@
-//! What the proxy counts.
+//! Metrics of the proxy.
 
 use prometheus::{HistogramVec, IntCounterVec, IntGaugeVec};
 
 use corianderfork_runtime::metrics::Metrics as Registry;
 
-/// The metrics of a proxy. Clones share the same numbers.
+/// The metrics of a proxy. Clones share the same values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
-    /// All of the process.
+    /// The registry of all metrics of the process.
     pub registry: Registry,
     /// Requests by service and outcome.
     pub requests: IntCounterVec,
-    /// The time from taking a request in until its answer, by service.
-    pub seconds: HistogramVec,
+    /// The time from receiving a request until its response, by service.
+    pub request_seconds: HistogramVec,
     /// Tries at backend servers, by service and result.
     pub tries: IntCounterVec,
-    /// Tries that were not the first of their request, by service.
+    /// Tries after the first of a request, by service.
     pub retries: IntCounterVec,
     /// Requests not run, by reason.
     pub refusals: IntCounterVec,
-    /// Verdicts on claims.
+    /// Claim requests by verdict.
     pub claims: IntCounterVec,
     /// Calls to peers, by kind and result.
     pub peer_calls: IntCounterVec,
@@ -28,26 +28,26 @@
     gauges: IntGaugeVec,
 }
 
-/// A number that goes up and down.
+/// A gauge.
 #[derive(Clone, Copy, Debug)]
 pub enum Gauge {
-    /// Requests taken in and not answered yet.
+    /// Requests received and not yet answered.
     InFlight,
     /// Requests that wait for a slot.
     Waiting,
     /// The revision of the configuration in force.
     ConfigRevision,
-    /// The store's revision up to which all records are known.
+    /// The store revision up to which all records are known.
     StoreRevision,
-    /// Members known, this one included.
+    /// Known members, including this process.
     Members,
     /// Whether this process is in touch.
     InTouch,
     /// Runners ejected for failing.
     Ejected,
-    /// Shards of claims owned.
+    /// Claim shards owned by this process.
     Shards,
-    /// Bodies given up on whose connection could not be closed.
+    /// Connections that were abandoned because their request body is too long to discard.
     Abandoned,
 }
 
@@ -74,13 +74,17 @@
 }
 
 impl Metrics {
-    /// Nothing counted yet.
+    /// Creates the metrics with all values at zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name, help, labels: &[&str]| registry.counter(name, help, labels);
         Self {
             requests: counter("requests", "Requests", &["service", "outcome"]),
-            seconds: registry.seconds("request_seconds", "Time until the answer", &["service"]),
+            request_seconds: registry.seconds(
+                "request_seconds",
+                "Time until the answer",
+                &["service"],
+            ),
             tries: counter("tries", "Tries at backend servers", &["service", "result"]),
             retries: counter("retries", "Tries after the first", &["service"]),
             refusals: counter("refusals", "Requests not run", &["reason"]),
@@ -102,17 +106,17 @@
         self.gauges.with_label_values(&[gauge.name()]).set(value);
     }
 
-    /// Counts one more.
+    /// Increments a gauge.
     pub fn add(&self, gauge: Gauge) {
         self.gauges.with_label_values(&[gauge.name()]).inc();
     }
 
-    /// Counts one less.
+    /// Decrements a gauge.
     pub fn sub(&self, gauge: Gauge) {
         self.gauges.with_label_values(&[gauge.name()]).dec();
     }
 
-    /// The value of a gauge.
+    /// Returns the value of a gauge.
     pub fn get(&self, gauge: Gauge) -> u64 {
         u64::try_from(self.gauges.with_label_values(&[gauge.name()]).get()).unwrap_or(0)
     }
--- a/crates/proxy/src/pulse.rs
+++ b/crates/proxy/src/pulse.rs
@@ -1,4 +1,4 @@
-//! The actor that looks after requests that wait, and after metrics.
+//! The actor for periodic work: it ticks the gate and updates the store metrics.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 
 use crate::hub::Hub;
 
-/// How often waiting requests are looked at.
-const PERIOD: Duration = Duration::from_millis(50);
+/// The tick interval, after which waiting requests are checked.
+const INTERVAL: Duration = Duration::from_millis(50);
 
-/// Ticks the gate.
+/// Ticks the gate and sums up the store calls.
 pub struct Pulse {
     hub: Rc<Hub>,
     stores: Vec<Arc<Counted<http::Client>>>,
 }
 
 impl Pulse {
-    /// Begins to tick.
+    /// Starts the ticks.
     pub fn init(
         cx: CX![],
         hub: Rc<Hub>,
@@ -29,19 +29,19 @@
         timer: Actor<Service>,
     ) -> Option<Self> {
         let tick = fwd_to!([cx], tick() as (Tick));
-        call!([timer], subscribe(PERIOD, tick));
+        call!([timer], subscribe(INTERVAL, tick));
         Some(Self { hub, stores })
     }
 
     fn tick(&mut self, _: CX![], _: Tick) {
         self.hub.shared.gate.tick();
-        let mut sum = Calls::default();
+        let mut total = Calls::default();
         for calls in self.stores.iter().map(|store| store.calls()) {
-            sum.reads += calls.reads;
-            sum.writes += calls.writes;
-            sum.watches += calls.watches;
-            sum.failures += calls.failures;
+            total.reads += calls.reads;
+            total.writes += calls.writes;
+            total.watches += calls.watches;
+            total.failures += calls.failures;
         }
-        self.hub.shared.metrics.registry.store_calls(sum);
+        self.hub.shared.metrics.registry.store_calls(total);
     }
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,21 +1,21 @@
-//! What a caller asked for, checked before anything is done about it.
+//! Parses and validates callers' requests before anything else is done with them.
 
 use corianderfork_coord::claim;
 use corianderfork_model::Name;
 
-/// The id of a request: echoed by the backend server.
+/// The header with the id of a request, which the backend server echoes.
 pub const REQUEST_ID: &str = "Request-Id";
-/// The id of a non-idempotent request: a UUIDv7 that each repetition carries.
+/// The header with the id of a non-idempotent request: a UUIDv7, the same in each retry.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// The longest [`REQUEST_ID`], in bytes.
+/// The maximum length of [`REQUEST_ID`], in bytes.
 pub const MAX_ID: usize = 64;
-/// The longest path with its query, in bytes.
+/// The maximum length of the path with its query, in bytes.
 pub const MAX_PATH: usize = 8 << 10;
-/// The most bytes of all headers together.
+/// The maximum size of all headers together, in bytes.
 pub const MAX_HEADERS: usize = 32 << 10;
 
-/// Headers about one connection only (RFC 9110, 7.6.1), which must not go
-/// beyond it, and those that each side writes for itself.
+/// Hop-by-hop headers (RFC 9110, 7.6.1), which are not forwarded, and headers that each
+/// side writes itself.
 const HOP_BY_HOP: [&str; 13] = [
     "connection",
     "keep-alive",
@@ -35,7 +35,7 @@
 /// A header's name and value.
 pub type Header = (String, String);
 
-/// A request's first line and headers, as they came.
+/// The request line and headers as received.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
     /// The method.
@@ -52,77 +52,77 @@
 pub struct Request {
     /// The method.
     pub method: ureq::http::Method,
-    /// The path with its query, from the first `/`.
+    /// The path with its query, starting with `/`.
     pub path: String,
-    /// The service: the first part of the path.
+    /// The service: the first segment of the path.
     pub service: Name,
-    /// The caller's id of this request.
+    /// The request id sent by the caller.
     pub id: String,
-    /// The id of a non-idempotent request.
+    /// The idempotency key; present for non-idempotent requests only.
     pub claim: Option<claim::Id>,
-    /// The headers that go to the backend server.
+    /// The headers to forward to the backend server.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// Why a request is not taken. None of these was run.
+/// Why a request was rejected. None of these requests was run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
     /// The path names no service.
     #[error("the path names no service; ask for /<service>/<path>")]
-    Path,
+    NoService,
     /// The path is too long.
     #[error("the path has {0} bytes; send at most {MAX_PATH}")]
     LongPath(usize),
     /// The headers are too long.
     #[error("the headers have {0} bytes; send at most {MAX_HEADERS}")]
     LongHeaders(usize),
-    /// The method is none that can be passed on.
+    /// The method cannot be forwarded.
     #[error("the method `{0:.20}` cannot be passed on; use one of RFC 9110 other than CONNECT")]
-    Method(String),
-    /// A header cannot be passed on.
+    UnsupportedMethod(String),
+    /// A header is not valid in HTTP.
     #[error("the header `{0:.40}` has a name or value that HTTP does not allow; send it right")]
-    Header(String),
-    /// The connection is to change its protocol.
+    InvalidHeader(String),
+    /// A request with a body asks to upgrade its connection.
     #[error("a request with a body cannot upgrade its connection; send no Connection: upgrade")]
-    Upgrade,
-    /// A header stands twice that must not.
+    UpgradeWithBody,
+    /// A header that may occur only once is repeated.
     #[error("the header {0} stands twice; send it once")]
-    Twice(&'static str),
-    /// There is no request id.
+    DuplicateHeader(&'static str),
+    /// The request id is missing.
     #[error("the header {REQUEST_ID} is missing; send 1 to {MAX_ID} of A-Z a-z 0-9 _ . -")]
-    NoId,
-    /// The request id cannot be used.
+    MissingId,
+    /// The request id is invalid.
     #[error("the header {REQUEST_ID} is not 1 to {MAX_ID} of A-Z a-z 0-9 _ . -; send another")]
-    Id,
-    /// The idempotency key cannot be used.
+    InvalidId,
+    /// The idempotency key is invalid.
     #[error("the header {IDEMPOTENCY_KEY} cannot be used: {0}")]
-    Key(claim::id::Error),
-    /// The length of the body cannot be told.
+    InvalidKey(claim::id::Error),
+    /// The length of the body is ambiguous.
     #[error("the length of the body is ambiguous; send one Content-Length, or chunks, not both")]
-    Length,
+    AmbiguousLength,
     /// The body is too long.
     #[error("the body has more than {0} bytes; send less, or in parts")]
     LongBody(usize),
-    /// The caller went away, or sent less than it said.
+    /// The caller closed the connection or sent fewer bytes than announced.
     #[error("the body ended early; send as many bytes as Content-Length says")]
     ShortBody,
-    /// Too many workers read bodies of slow callers.
+    /// Too many workers are reading bodies from slow callers.
     #[error("too many callers send bodies at once; ask again in a second")]
     Busy,
 }
 
 impl Error {
-    /// The status for the caller.
+    /// Returns the HTTP status for the caller.
     pub const fn status(&self) -> u16 {
         match self {
             Self::LongPath(_) => 414,
             Self::LongHeaders(_) => 431,
             Self::LongBody(_) => 413,
-            Self::Method(_) => 501,
-            Self::Path => 404,
+            Self::UnsupportedMethod(_) => 501,
+            Self::NoService => 404,
             Self::Busy => 503,
             _ => 400,
         }
@@ -130,62 +130,62 @@
 }
 
 impl Head {
-    /// The value of a header that may stand once.
+    /// Returns the value of a header that may occur at most once.
     ///
     /// # Errors
     ///
-    /// Fails if it stands twice: one side could take the first and the other
-    /// the second, and act for different requests.
-    pub fn once(&self, name: &'static str) -> Result<Option<&str>, Error> {
+    /// Fails if the header is repeated: proxy and backend server could each use a
+    /// different one and so act on different requests.
+    pub fn unique_header(&self, name: &'static str) -> Result<Option<&str>, Error> {
         let mut values = self.headers.iter().filter(|(key, _)| key.eq_ignore_ascii_case(name));
         let first = values.next().map(|(_, value)| value.as_str());
-        if values.next().is_some() { Err(Error::Twice(name)) } else { Ok(first) }
+        if values.next().is_some() { Err(Error::DuplicateHeader(name)) } else { Ok(first) }
     }
 
-    /// The length of the body by its header; `None` for chunks.
+    /// Returns the announced length of the body; `None` for a chunked body.
     ///
     /// # Errors
     ///
-    /// Fails if it is ambiguous: what one reader takes for the body another
-    /// would take for the next request.
+    /// Fails if the length is ambiguous: what one reader takes for the body, another
+    /// would take for the next request (request smuggling).
     pub fn length(&self) -> Result<Option<u64>, Error> {
-        let length = self.once("Content-Length")?;
-        let chunks = self.once("Transfer-Encoding")?;
-        match (length, chunks) {
-            (Some(_), Some(_)) => Err(Error::Length),
+        let length = self.unique_header("Content-Length")?;
+        let encoding = self.unique_header("Transfer-Encoding")?;
+        match (length, encoding) {
+            (Some(_), Some(_)) => Err(Error::AmbiguousLength),
             (Some(text), None) if text.bytes().all(|b| b.is_ascii_digit()) => {
-                text.parse().map(Some).map_err(|_| Error::Length)
+                text.parse().map(Some).map_err(|_| Error::AmbiguousLength)
             }
-            (Some(_), None) => Err(Error::Length),
+            (Some(_), None) => Err(Error::AmbiguousLength),
             (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(None),
-            (None, Some(_)) => Err(Error::Length),
+            (None, Some(_)) => Err(Error::AmbiguousLength),
             (None, None) => Ok(Some(0)),
         }
     }
 
-    /// Whether the caller wants its connection closed after the answer.
-    pub fn closes(&self) -> bool {
-        self.connection_says("close")
+    /// Returns whether the caller wants the connection closed after the response.
+    pub fn wants_close(&self) -> bool {
+        self.connection_has("close")
     }
 
-    fn connection_says(&self, word: &str) -> bool {
-        let says = |(name, value): &Header| {
-            name.eq_ignore_ascii_case("Connection") && value.to_ascii_lowercase().contains(word)
+    fn connection_has(&self, option: &str) -> bool {
+        let has_option = |(name, value): &Header| {
+            name.eq_ignore_ascii_case("Connection") && value.to_ascii_lowercase().contains(option)
         };
-        self.headers.iter().any(says)
+        self.headers.iter().any(has_option)
     }
 
-    /// Checks all but the body.
+    /// Validates everything except the body.
     ///
     /// # Errors
     ///
-    /// Gives the first reason why the request cannot be taken.
+    /// Returns the first reason why the request is rejected.
     ///
     /// ```
     /// use corianderfork_proxy::request::{Error, Head};
     ///
     /// let mut head = Head { method: "GET".into(), url: "/lookup/wb-1".into(), ..Head::default() };
-    /// assert_eq!(head.check().expect_err("no id"), Error::NoId);
+    /// assert_eq!(head.check().expect_err("no id"), Error::MissingId);
     /// head.headers.push(("Request-Id".into(), "r-1".into()));
     /// assert_eq!(head.check()?.service.as_str(), "lookup");
     /// # Ok::<(), Error>(())
@@ -195,17 +195,17 @@
         if size > MAX_HEADERS {
             return Err(Error::LongHeaders(size));
         }
-        let id = self.once(REQUEST_ID)?.ok_or(Error::NoId)?;
-        if !is_id(id) {
-            return Err(Error::Id);
+        let id = self.unique_header(REQUEST_ID)?.ok_or(Error::MissingId)?;
+        if !is_valid_id(id) {
+            return Err(Error::InvalidId);
         }
-        let key = self.once(IDEMPOTENCY_KEY)?;
-        let claim = key.map(str::parse).transpose().map_err(Error::Key)?;
-        if self.length()? != Some(0) && self.connection_says("upgrade") {
-            return Err(Error::Upgrade);
+        let key = self.unique_header(IDEMPOTENCY_KEY)?;
+        let claim = key.map(str::parse).transpose().map_err(Error::InvalidKey)?;
+        if self.length()? != Some(0) && self.connection_has("upgrade") {
+            return Err(Error::UpgradeWithBody);
         }
-        let headers = self.passed_on();
-        headers.iter().try_for_each(fit)?;
+        let headers = self.forwarded_headers();
+        headers.iter().try_for_each(check_header)?;
         Ok(Request {
             method: self.method()?,
             path: self.url.clone(),
@@ -218,53 +218,52 @@
     }
 
     fn method(&self) -> Result<ureq::http::Method, Error> {
-        let unfit = || Error::Method(self.method.clone());
-        let method = self.method.parse::<ureq::http::Method>().map_err(|_| unfit())?;
+        let unsupported = || Error::UnsupportedMethod(self.method.clone());
+        let method = self.method.parse::<ureq::http::Method>().map_err(|_| unsupported())?;
         let tunnel = method == ureq::http::Method::CONNECT || method == ureq::http::Method::TRACE;
-        if tunnel { Err(unfit()) } else { Ok(method) }
+        if tunnel { Err(unsupported()) } else { Ok(method) }
     }
 
     fn service(&self) -> Result<Name, Error> {
         if self.url.len() > MAX_PATH {
             return Err(Error::LongPath(self.url.len()));
         }
-        let path = self.url.strip_prefix('/').ok_or(Error::Path)?;
+        let path = self.url.strip_prefix('/').ok_or(Error::NoService)?;
         let is_uri = format!("http://0.0.0.0{}", self.url).parse::<ureq::http::Uri>().is_ok();
         if !is_uri || path.contains('#') {
-            return Err(Error::Path);
+            return Err(Error::NoService);
         }
         let first = path.split(['/', '?']).next().unwrap_or_default();
-        Name::new(first).map_err(|_| Error::Path)
+        Name::new(first).map_err(|_| Error::NoService)
     }
 
-    /// The headers for the other side.
-    fn passed_on(&self) -> Vec<Header> {
+    fn forwarded_headers(&self) -> Vec<Header> {
         let headers = self.headers.iter().map(|(name, value)| (name.as_str(), value.as_str()));
-        pass_on(&headers.collect::<Vec<_>>())
+        end_to_end_headers(&headers.collect::<Vec<_>>())
     }
 }
 
-fn fit((name, value): &Header) -> Result<(), Error> {
+fn check_header((name, value): &Header) -> Result<(), Error> {
     let is_name = ureq::http::HeaderName::try_from(name.as_str()).is_ok();
     let is_value = ureq::http::HeaderValue::from_str(value).is_ok();
-    if is_name && is_value { Ok(()) } else { Err(Error::Header(name.clone())) }
+    if is_name && is_value { Ok(()) } else { Err(Error::InvalidHeader(name.clone())) }
 }
 
-fn is_id(text: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'.' | b'-');
-    !text.is_empty() && text.len() <= MAX_ID && text.bytes().all(fits)
+fn is_valid_id(text: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'.' | b'-');
+    !text.is_empty() && text.len() <= MAX_ID && text.bytes().all(is_allowed)
 }
 
-/// Drops the headers that are about one connection only, those named by
-/// `Connection` included.
-pub fn pass_on(headers: &[(&str, &str)]) -> Vec<Header> {
+/// Returns the headers without the hop-by-hop ones, which include those named by
+/// `Connection`.
+pub fn end_to_end_headers(headers: &[(&str, &str)]) -> Vec<Header> {
     let connection = headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("connection"));
-    let words = connection.flat_map(|(_, value)| value.split(','));
-    let named: Vec<String> = words.map(|word| word.trim().to_ascii_lowercase()).collect();
+    let options = connection.flat_map(|(_, value)| value.split(','));
+    let named: Vec<String> = options.map(|option| option.trim().to_ascii_lowercase()).collect();
     let keep = |name: &str| {
         let name = name.to_ascii_lowercase();
-        let ours = name == "request-id" || name == "idempotency-key";
-        ours || !(HOP_BY_HOP.contains(&name.as_str()) || named.contains(&name))
+        let is_always_kept = name == "request-id" || name == "idempotency-key";
+        is_always_kept || !(HOP_BY_HOP.contains(&name.as_str()) || named.contains(&name))
     };
     let kept = headers.iter().filter(|(name, _)| keep(name));
     kept.map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the process together and runs it.
+//! Assembles the process and runs it.
 
 mod tree;
 
@@ -30,37 +30,37 @@
 use crate::hub::Hub;
 use crate::inbox::Inbox;
 use crate::members::Members;
-use crate::membership::Means;
+use crate::membership::StoreAccess;
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::stop::{self, Reason};
 use crate::{exchange, serve};
 
-/// Events posted to the core and not yet run.
-const QUEUE: usize = 8192;
-/// Calls to the store that wait for a thread.
+/// Capacity of the core's event queue.
+const CORE_QUEUE: usize = 8192;
+/// Capacity of the queue of store calls.
 const STORE_QUEUE: usize = 256;
-/// After how long without a report a peer's demand no longer counts: a few
-/// times what it takes until two proxies have called each other.
+/// How long the demand in a peer's last report counts: a few times the interval at which
+/// two proxies call each other.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Threads for calls to the store beside one a shard.
+/// Threads for store calls, in addition to one per shard.
 const STORE_THREADS: usize = 3;
-/// Answers kept for repetitions, and their bytes all together.
+/// The maximum number of cached responses and their maximum total size in bytes.
 const CACHE: (usize, usize) = (1024, 16 << 20);
-/// How long a member that the store no longer lists is remembered.
-const FORGET: Duration = Duration::from_secs(60);
-/// How long past its timeout a request may take to be answered.
-const SLACK: Duration = Duration::from_secs(2);
+/// How long a member that the store no longer lists is kept.
+const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// How long after its timeout a request may still be in flight.
+const RESPONSE_MARGIN: Duration = Duration::from_secs(2);
 
-/// Why the process cannot run.
+/// Why the process cannot start or has failed.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// An address cannot be bound, or the system gives no thread.
+    /// An address cannot be bound or a thread cannot be started.
     #[error("cannot start: {0}; free the address, or raise the limit of threads")]
     Io(#[from] std::io::Error),
-    /// The name leaves no room for the role.
+    /// The process name is too long.
     #[error("[process] name: {0}; write a shorter one")]
     Name(#[from] corianderfork_model::name::Error),
     /// The core ended abnormally.
@@ -68,7 +68,7 @@
     Failure(#[from] core::Failure),
 }
 
-/// The addresses at which a process listens.
+/// The addresses on which a process listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Bound {
     /// For callers.
@@ -77,34 +77,34 @@
     pub peers: SocketAddr,
 }
 
-/// Inboxes of all actors, made before the actors are.
+/// The inboxes of all actors, created before the actors.
 #[derive(Clone, Default)]
 struct Inboxes {
     gossip: Inbox<gossip::Message>,
     stop: Inbox<Reason>,
-    told: stop::Told,
+    targets: stop::Targets,
 }
 
-/// What actors are made of.
+/// What the actors need to start.
 #[derive(Clone)]
-struct Parts {
+struct Dependencies {
     settings: Rc<Settings>,
     hub: Rc<Hub>,
-    means: Means,
+    access: StoreAccess,
     peers: Peers,
     inboxes: Inboxes,
     stores: Vec<Arc<Counted<http::Client>>>,
     timer: Actor<Service>,
 }
 
-/// Runs a proxy until it is stopped; `ready` is told where it listens.
+/// Runs a proxy until it is stopped; calls `ready` with its addresses.
 ///
 /// # Errors
 ///
-/// Fails if it cannot start, or ends abnormally.
+/// Fails if the proxy cannot start or ends abnormally.
 pub fn run(settings: Settings, ready: impl FnOnce(Bound)) -> Result<(), Error> {
     let mut started = Ok(());
-    let ended = core::run(QUEUE, |stakker, handle| {
+    let ended = core::run(CORE_QUEUE, |stakker, handle| {
         started = start(stakker, handle, settings).map(ready);
         if started.is_err() {
             stakker.shutdown(stakker::StopCause::Stopped);
@@ -117,12 +117,12 @@
 fn start(stakker: &mut Stakker, handle: Handle, settings: Settings) -> Result<Bound, Error> {
     let clock = Monotonic::start();
     let mut inboxes = Inboxes::default();
-    inboxes.told.shards = (0..key::CLAIM_SHARDS).map(|_| claims::Inboxes::default()).collect();
+    inboxes.targets.shards = (0..key::CLAIM_SHARDS).map(|_| claims::Inboxes::default()).collect();
 
-    let handler = Handler::new(inboxes.gossip.clone(), inboxes.told.shards.clone());
+    let handler = Handler::new(inboxes.gossip.clone(), inboxes.targets.shards.clone());
     let (peers, peers_bound) = peers::start(settings.process.peers, Arc::new(handler))?;
 
-    let shared = Arc::new(shared(&settings, clock));
+    let shared = Arc::new(new_shared(&settings, clock));
     let mut me = Member {
         name: settings.process.name.clone(),
         role: Role::Proxy,
@@ -135,7 +135,7 @@
         me.clone(),
         peers.clone(),
         Arc::clone(&shared),
-        inboxes.told.shards.iter().map(|shard| shard.claims.clone()).collect(),
+        inboxes.targets.shards.iter().map(|shard| shard.claims.clone()).collect(),
         settings.claim_timeout,
     );
     let limits = forward::Config {
@@ -145,62 +145,63 @@
     };
     let cache = Cache::new(CACHE.0, CACHE.1);
     let forwarder = Forwarder::new(limits, Arc::clone(&shared), claimant, cache);
-    let front =
+    let serve_config =
         serve::Config { worker_threads: settings.worker_threads, max_body: settings.max_body };
-    let failed = inboxes.stop.clone();
-    let fail = Arc::new(move |why| {
-        let _ = failed.send_wait(Reason::Failed(why));
+    let stop_inbox = inboxes.stop.clone();
+    let on_failure = Arc::new(move |cause| {
+        let _ = stop_inbox.send_wait(Reason::Failed(cause));
     });
-    let callers = serve::start(settings.callers, front, Arc::clone(&shared), forwarder, fail)?;
+    let callers =
+        serve::start(settings.callers, serve_config, Arc::clone(&shared), forwarder, on_failure)?;
     me.callers = Some(callers);
 
-    let [store, watched, watched_drains] = std::array::from_fn(|_| store(&settings));
+    let [store, watch_store, drain_watch_store] = std::array::from_fn(|_| new_store(&settings));
     let threads = key::CLAIM_SHARDS as usize + STORE_THREADS;
     let pool = Pool::start("store", threads, STORE_QUEUE)?;
-    let means = Means {
+    let access = StoreAccess {
         store: store.clone(),
-        watched: watched.clone(),
-        watched_drains: watched_drains.clone(),
+        watch_store: watch_store.clone(),
+        drain_watch_store: drain_watch_store.clone(),
         pool,
         handle: handle.clone(),
     };
     let config = member::Config::new()
         .isolation_limit(settings.isolation_limit)
         .fan_out(settings.gossip_fan_out);
-    let hub = Hub::new(Arc::clone(&shared), Members::new(config, me, FORGET)?);
+    let hub = Hub::new(Arc::clone(&shared), Members::new(config, me, FORGET_AFTER)?);
     let timer = actor!(stakker, Service::init(clock), ret_shutdown!(stakker));
-    let parts = Parts {
+    let dependencies = Dependencies {
         settings: Rc::new(settings),
         hub,
-        means,
-        stores: vec![store, watched, watched_drains],
+        access,
+        stores: vec![store, watch_store, drain_watch_store],
         peers,
         inboxes: inboxes.clone(),
         timer: timer.clone(),
     };
-    let root = tree::supervise(stakker, &parts, clock);
-    stakker.anymap_set(Kept(Rc::new([timer.anon(), root])));
+    let root = tree::supervise(stakker, &dependencies, clock);
+    stakker.anymap_set(Roots(Rc::new([timer.anon(), root])));
     signal::on_stop(move || {
         let _ = inboxes.stop.send_wait(Reason::Asked);
     })?;
     Ok(Bound { callers, peers: peers_bound })
 }
 
-/// Keeps the actors at the top alive as long as the core.
+/// Keeps the root actors alive as long as the core.
 #[derive(Clone)]
-struct Kept(#[allow(dead_code)] Rc<[ActorOwnAnon; 2]>);
+struct Roots(#[allow(dead_code)] Rc<[ActorOwnAnon; 2]>);
 
-fn shared(settings: &Settings, clock: Monotonic) -> Shared {
+fn new_shared(settings: &Settings, clock: Monotonic) -> Shared {
     let config = router::Config::default().seed(clock::seed()).peer_timeout(PEER_TIMEOUT);
     let name = settings.process.name.clone();
     let gate = Gate::new(clock, name, config, settings.queue);
     let calls = exchange::Config::default()
         .connect_timeout(settings.connect_timeout)
-        .max_answer(settings.max_answer);
+        .max_response(settings.max_response);
     Shared::new(clock, gate, exchange::Client::new(calls), Metrics::new())
 }
 
-fn store(settings: &Settings) -> Arc<Counted<http::Client>> {
+fn new_store(settings: &Settings) -> Arc<Counted<http::Client>> {
     let caller = format!("proxy-{}", settings.process.name);
     let config = http::Config::new(settings.process.platform).caller(&caller);
     Arc::new(Counted::new(http::Client::new(config)))
--- a/crates/proxy/src/run/tree.rs
+++ b/crates/proxy/src/run/tree.rs
@@ -1,5 +1,5 @@
-//! The supervisor tree: the root, and under it one actor a task, the shards of
-//! claims under a supervisor of their own.
+//! The supervisor tree: a root with one actor per task; the claim shards have a
+//! supervisor of their own.
 
 use corianderfork_provider::key;
 use corianderfork_provider::record::{Holder, Role};
@@ -7,7 +7,7 @@
 use corianderfork_runtime::supervisor::{Config as Restarts, Start, Supervisor};
 use stakker::{ActorOwnAnon, Cx, Ret, Stakker, StopCause, actor, call, ret_shutdown};
 
-use super::{Parts, SLACK};
+use super::{Dependencies, RESPONSE_MARGIN};
 use crate::claims::{self, Shard};
 use crate::feed::Feed;
 use crate::gossip::{self, Gossip};
@@ -16,76 +16,91 @@
 use crate::pulse::Pulse;
 use crate::stop::{self, Stop};
 
-/// Starts the tree.
-pub(super) fn supervise(stakker: &mut Stakker, parts: &Parts, clock: Monotonic) -> ActorOwnAnon {
+/// Starts the tree and returns its root.
+pub(super) fn supervise(
+    stakker: &mut Stakker,
+    dependencies: &Dependencies,
+    clock: Monotonic,
+) -> ActorOwnAnon {
     let root = actor!(
         stakker,
         Supervisor::init("root", clock, Restarts::default()),
         ret_shutdown!(stakker)
     );
-    let p = parts.clone();
+    let deps = dependencies.clone();
     let pulse: Start = Box::new(move |cx, ended| {
-        let own = actor!(cx, Pulse::init(p.hub.clone(), p.stores.clone(), p.timer.clone()), ended);
+        let own = actor!(
+            cx,
+            Pulse::init(deps.hub.clone(), deps.stores.clone(), deps.timer.clone()),
+            ended
+        );
         own.anon()
     });
     call!([root], add("pulse", pulse));
-    let p = parts.clone();
+    let deps = dependencies.clone();
     let feed: Start = Box::new(move |cx, ended| {
-        let gossip = p.inboxes.gossip.clone();
-        let own = actor!(cx, Feed::init(p.hub.clone(), p.means.clone(), gossip), ended);
+        let gossip = deps.inboxes.gossip.clone();
+        let own = actor!(cx, Feed::init(deps.hub.clone(), deps.access.clone(), gossip), ended);
         own.anon()
     });
     call!([root], add("feed", feed));
-    let p = parts.clone();
-    let gossip: Start = Box::new(move |cx, ended| start_gossip(cx, &p, ended));
+    let deps = dependencies.clone();
+    let gossip: Start = Box::new(move |cx, ended| start_gossip(cx, &deps, ended));
     call!([root], add("gossip", gossip));
-    let p = parts.clone();
-    let membership: Start = Box::new(move |cx, ended| start_membership(cx, &p, ended));
+    let deps = dependencies.clone();
+    let membership: Start = Box::new(move |cx, ended| start_membership(cx, &deps, ended));
     call!([root], add("membership", membership));
-    let p = parts.clone();
-    let claims: Start = Box::new(move |cx, ended| start_claims(cx, &p, clock, ended));
+    let deps = dependencies.clone();
+    let claims: Start = Box::new(move |cx, ended| start_claims(cx, &deps, clock, ended));
     call!([root], add("claims", claims));
-    let p = parts.clone();
-    let stop: Start = Box::new(move |cx, ended| start_stop(cx, &p, ended));
+    let deps = dependencies.clone();
+    let stop: Start = Box::new(move |cx, ended| start_stop(cx, &deps, ended));
     call!([root], add("stop", stop));
     root.anon()
 }
 
 type Context<'a, 'b> = &'a mut Cx<'b, Supervisor>;
 
-fn start_gossip(cx: Context<'_, '_>, p: &Parts, ended: Ret<StopCause>) -> ActorOwnAnon {
-    let config =
-        gossip::Config { interval: p.settings.gossip_interval, seeds: p.settings.seeds.clone() };
-    let inbox = p.inboxes.gossip.clone();
-    let core = (p.means.handle.clone(), p.timer.clone());
-    let (hub, peers) = (p.hub.clone(), p.peers.clone());
+fn start_gossip(cx: Context<'_, '_>, deps: &Dependencies, ended: Ret<StopCause>) -> ActorOwnAnon {
+    let config = gossip::Config {
+        interval: deps.settings.gossip_interval,
+        seeds: deps.settings.seeds.clone(),
+    };
+    let inbox = deps.inboxes.gossip.clone();
+    let core = (deps.access.handle.clone(), deps.timer.clone());
+    let (hub, peers) = (deps.hub.clone(), deps.peers.clone());
     actor!(cx, Gossip::init(hub, config, peers, inbox, core), ended).anon()
 }
 
-fn start_membership(cx: Context<'_, '_>, p: &Parts, ended: Ret<StopCause>) -> ActorOwnAnon {
-    let me = p.hub.me();
-    let kept = lease::Kept {
+fn start_membership(
+    cx: Context<'_, '_>,
+    deps: &Dependencies,
+    ended: Ret<StopCause>,
+) -> ActorOwnAnon {
+    let me = deps.hub.me();
+    let registration = lease::Registration {
         key: key::member(Role::Proxy, &me.name),
         value: json(&me),
-        ttl: p.settings.member_lease,
+        ttl: deps.settings.member_lease,
         replaces_below: Some(me.incarnation),
     };
-    let inbox = p.inboxes.told.membership.clone();
-    actor!(cx, Membership::init(p.hub.clone(), p.means.clone(), kept, inbox), ended).anon()
+    let inbox = deps.inboxes.targets.membership.clone();
+    actor!(cx, Membership::init(deps.hub.clone(), deps.access.clone(), registration, inbox), ended)
+        .anon()
 }
 
 fn start_claims(
     cx: Context<'_, '_>,
-    p: &Parts,
+    deps: &Dependencies,
     clock: Monotonic,
     ended: Ret<StopCause>,
 ) -> ActorOwnAnon {
     let supervisor = actor!(cx, Supervisor::init("claims", clock, Restarts::default()), ended);
-    for (index, inboxes) in (0..).zip(&p.inboxes.told.shards) {
-        let (p, inboxes) = (p.clone(), inboxes.clone());
+    for (index, inboxes) in (0..).zip(&deps.inboxes.targets.shards) {
+        let (deps, inboxes) = (deps.clone(), inboxes.clone());
         let start: Start = Box::new(move |cx, ended| {
             let shard = (index, inboxes.clone());
-            start_shard(cx, &p, shard, ended)
+            start_shard(cx, &deps, shard, ended)
         });
         call!([supervisor], add("shard", start));
     }
@@ -94,28 +109,30 @@
 
 fn start_shard(
     cx: Context<'_, '_>,
-    p: &Parts,
+    deps: &Dependencies,
     shard: (u32, claims::Inboxes),
     ended: Ret<StopCause>,
 ) -> ActorOwnAnon {
-    let me = p.hub.me();
+    let me = deps.hub.me();
     let holder = Holder { name: me.name, incarnation: me.incarnation, peers: me.peers };
-    let kept = lease::Kept {
+    let registration = lease::Registration {
         key: key::claim_owner(shard.0),
         value: json(&holder),
-        ttl: p.settings.claim_lease,
+        ttl: deps.settings.claim_lease,
         replaces_below: None,
     };
-    let (hub, means, timer) = (p.hub.clone(), p.means.clone(), p.timer.clone());
-    actor!(cx, Shard::init(hub, means, kept, shard, timer), ended).anon()
+    let (hub, access, timer) = (deps.hub.clone(), deps.access.clone(), deps.timer.clone());
+    actor!(cx, Shard::init(hub, access, registration, shard, timer), ended).anon()
 }
 
-fn start_stop(cx: Context<'_, '_>, p: &Parts, ended: Ret<StopCause>) -> ActorOwnAnon {
-    let config =
-        stop::Config { grace: p.settings.stop_grace, limit: p.settings.request_timeout + SLACK };
-    let (told, inbox) = (p.inboxes.told.clone(), p.inboxes.stop.clone());
-    let core = (p.means.handle.clone(), p.timer.clone());
-    actor!(cx, Stop::init(p.hub.clone(), config, told, inbox, core), ended).anon()
+fn start_stop(cx: Context<'_, '_>, deps: &Dependencies, ended: Ret<StopCause>) -> ActorOwnAnon {
+    let config = stop::Config {
+        grace: deps.settings.stop_grace,
+        limit: deps.settings.request_timeout + RESPONSE_MARGIN,
+    };
+    let (targets, inbox) = (deps.inboxes.targets.clone(), deps.inboxes.stop.clone());
+    let core = (deps.access.handle.clone(), deps.timer.clone());
+    actor!(cx, Stop::init(deps.hub.clone(), config, targets, inbox, core), ended).anon()
 }
 
 fn json(record: &impl serde::Serialize) -> String {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,10 +1,10 @@
-//! Callers' side: takes requests in, answers them, on a fixed number of threads.
+//! The callers' side: receives and answers requests on a fixed number of threads.
 //!
-//! tiny_http reads the requests of each connection on a thread of that
-//! connection and puts them into one queue. One thread takes them out at once:
-//! it answers the paths of the balancer itself, so that readiness is told also
-//! while every worker is busy, and hands the rest to the workers' bounded
-//! queue. What does not fit there is refused in the same moment.
+//! tiny_http reads the requests of each connection on a separate thread and puts them
+//! into one queue. The dispatcher thread takes them out immediately: it answers the
+//! balancer's paths itself, so that readiness is reported even while all workers are
+//! busy, and passes the rest to the bounded queue of the workers. A request that does not
+//! fit there is refused at once.
 
 mod body;
 mod responder;
@@ -23,139 +23,149 @@
 use crate::forward::Forwarder;
 use crate::metrics::Gauge;
 use crate::request::Head;
-use crate::response::Answer;
+use crate::response::Response;
 use crate::shared::{InFlight, Shared};
-use responder::{Body, Replier};
+use responder::{Body, Responder};
 
-/// Requests handed to the workers and not begun yet, in all.
-const BACKLOG: usize = 64;
-/// When to come back to a proxy whose workers are all busy.
-const RETRY: Duration = Duration::from_secs(1);
-/// How long a caller may take to read a part of its answer.
+/// Capacity of the queue between the dispatcher and the workers.
+const WORKER_QUEUE: usize = 64;
+/// `Retry-After` while all workers are busy.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The timeout of a write to a caller that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Limits of the callers' side.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Requests worked on at once.
+    /// The number of worker threads.
     pub worker_threads: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body: usize,
 }
 
-/// What is done once callers can no longer be served.
-pub type Fail = Arc<dyn Fn(String) + Send + Sync>;
+/// Called with the cause when callers can no longer be served.
+pub type OnFailure = Arc<dyn Fn(String) + Send + Sync>;
 
 struct Job {
     request: tiny_http::Request,
     head: Head,
-    began: Instant,
+    received: Instant,
     in_flight: InFlight,
 }
 
-struct Front {
+struct Frontend {
     config: Config,
     shared: Arc<Shared>,
     forwarder: Forwarder,
     ready: Ready,
-    /// Workers that read a body of a caller that may be slow.
-    readers: AtomicUsize,
-    replier: Replier,
-    fail: Fail,
+    /// The number of workers that are reading a request body.
+    body_readers: AtomicUsize,
+    responder: Responder,
+    on_failure: OnFailure,
 }
 
-/// Binds `listen`, starts the threads and gives the address.
+/// Binds `listen`, starts the threads and returns the bound address.
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be bound or the system gives no thread.
+/// Fails if the address cannot be bound or a thread cannot be started.
 pub fn start(
     listen: SocketAddr,
     config: Config,
     shared: Arc<Shared>,
     forwarder: Forwarder,
-    fail: Fail,
+    on_failure: OnFailure,
 ) -> std::io::Result<SocketAddr> {
-    let listener = tuned(TcpListener::bind(listen)?)?;
+    let listener = configure_listener(TcpListener::bind(listen)?)?;
     let bound = listener.local_addr()?;
     let server = Server::from_listener(listener, None).map_err(std::io::Error::other)?;
-    let for_ready = Arc::clone(&shared);
-    let ready: Ready = Arc::new(move || for_ready.not_ready());
-    let replier = Replier::start(Arc::clone(&shared), config.max_body, Arc::clone(&fail))?;
-    let readers = AtomicUsize::new(0);
-    let front = Arc::new(Front { config, shared, forwarder, ready, readers, replier, fail });
-    let (sender, receiver) = sync_channel(BACKLOG);
+    let readiness = Arc::clone(&shared);
+    let ready: Ready = Arc::new(move || readiness.unready_reason());
+    let responder =
+        Responder::start(Arc::clone(&shared), config.max_body, Arc::clone(&on_failure))?;
+    let body_readers = AtomicUsize::new(0);
+    let frontend = Arc::new(Frontend {
+        config,
+        shared,
+        forwarder,
+        ready,
+        body_readers,
+        responder,
+        on_failure,
+    });
+    let (sender, receiver) = sync_channel(WORKER_QUEUE);
     let receiver = Arc::new(Mutex::new(receiver));
     for index in 0..config.worker_threads {
-        let (front, receiver) = (Arc::clone(&front), Arc::clone(&receiver));
+        let (frontend, receiver) = (Arc::clone(&frontend), Arc::clone(&receiver));
         let name = format!("worker-{index}");
-        std::thread::Builder::new().name(name).spawn(move || front.work(&receiver))?;
+        std::thread::Builder::new().name(name).spawn(move || frontend.work(&receiver))?;
     }
     std::thread::Builder::new()
         .name("callers".to_owned())
-        .spawn(move || front.dispatch(&server, &sender))?;
+        .spawn(move || frontend.dispatch(&server, &sender))?;
     Ok(bound)
 }
 
-/// Sets what accepted sockets inherit from the listener: tiny_http sets
-/// neither. Without a write timeout a caller that stops reading holds a worker
-/// for good; without `nodelay` the end of an answer waits for the caller's
-/// delayed acknowledgement.
-fn tuned(listener: TcpListener) -> std::io::Result<TcpListener> {
+/// Sets options that accepted sockets inherit from the listener, because tiny_http sets
+/// neither. Without a write timeout, a caller that stops reading blocks a worker for
+/// ever; without `nodelay`, the end of a response waits for the delayed acknowledgement
+/// of the caller.
+fn configure_listener(listener: TcpListener) -> std::io::Result<TcpListener> {
     let socket = TcpStream::from(OwnedFd::from(listener));
     socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
     socket.set_nodelay(true)?;
     Ok(TcpListener::from(OwnedFd::from(socket)))
 }
 
-impl Front {
-    fn dispatch(&self, server: &Server, workers: &SyncSender<Job>) {
+impl Frontend {
+    fn dispatch(&self, server: &Server, queue: &SyncSender<Job>) {
         loop {
             match server.recv() {
-                Ok(request) => self.take_in(request, workers),
+                Ok(request) => self.accept(request, queue),
                 Err(error) => {
-                    // tiny_http accepts nothing more after one error.
-                    (self.fail)(format!("callers can no longer connect: {error}"));
+                    // tiny_http accepts no more connections after an error.
+                    (self.on_failure)(format!("callers can no longer connect: {error}"));
                     return;
                 }
             }
         }
     }
 
-    fn take_in(&self, request: tiny_http::Request, workers: &SyncSender<Job>) {
-        let began = Instant::now();
-        let head = head(&request);
+    fn accept(&self, request: tiny_http::Request, queue: &SyncSender<Job>) {
+        let received = Instant::now();
+        let head = read_head(&request);
         if let Some(page) = self.page(&head) {
-            self.replier.reply(request, &head, &page, Body::Unread);
+            self.responder.respond(request, &head, &page, Body::Unread);
             return;
         }
-        if self.shared.is_closed() {
-            let answer = Answer::not_run("this proxy is stopping; ask another", RETRY);
-            self.replier.reply(request, &head, &answer, Body::Unread);
+        if self.shared.is_refusing_new() {
+            let response = Response::not_run("this proxy is stopping; ask another", RETRY_AFTER);
+            self.responder.respond(request, &head, &response, Body::Unread);
             return;
         }
-        let in_flight = self.shared.enter();
-        match workers.try_send(Job { request, head, began, in_flight }) {
+        let in_flight = self.shared.track_in_flight();
+        match queue.try_send(Job { request, head, received, in_flight }) {
             Ok(()) => {}
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => {
                 self.shared.metrics.refusals.with_label_values(&["workers"]).inc();
-                let answer = Answer::not_run("every worker is busy; wait, or use another", RETRY);
-                self.replier.reply(job.request, &job.head, &answer, Body::Unread);
+                let response =
+                    Response::not_run("every worker is busy; wait, or use another", RETRY_AFTER);
+                self.responder.respond(job.request, &job.head, &response, Body::Unread);
             }
         }
     }
 
-    /// A page for the balancer or an operator.
-    fn page(&self, head: &Head) -> Option<Answer> {
+    /// Returns a page for the balancer or an operator, if the path names one.
+    fn page(&self, head: &Head) -> Option<Response> {
         let path = head.url.split('?').next().unwrap_or_default();
         if path == admin::METRICS {
-            self.gauges();
+            self.update_gauges();
         }
         let (status, text) = admin::answer(path, &self.shared.metrics.registry, &self.ready)?;
-        Some(Answer::page(status, text))
+        Some(Response::page(status, text))
     }
 
-    fn gauges(&self) {
+    fn update_gauges(&self) {
         let metrics = &self.shared.metrics;
         metrics.set(Gauge::InFlight, self.shared.in_flight() as u64);
         metrics.set(Gauge::Waiting, self.shared.gate.waiting() as u64);
@@ -163,7 +173,7 @@
     }
 }
 
-fn head(request: &tiny_http::Request) -> Head {
+fn read_head(request: &tiny_http::Request) -> Head {
     let header =
         |h: &tiny_http::Header| (h.field.as_str().as_str().to_owned(), h.value.as_str().to_owned());
     Head {
--- a/crates/proxy/src/serve/body.rs
+++ b/crates/proxy/src/serve/body.rs
@@ -1,12 +1,12 @@
-//! Reads a request's body, within its limit and its share of the workers.
+//! Reads request bodies within a size limit and a limit on the workers that do so.
 
 use std::io::Read;
 use std::sync::atomic::Ordering;
 
-use super::Front;
+use super::Frontend;
 use crate::request::{Error, Head, Request};
 
-impl Front {
+impl Frontend {
     pub(super) fn read_body(
         &self,
         request: &mut tiny_http::Request,
@@ -21,7 +21,7 @@
         if length == Some(0) {
             return Ok(checked);
         }
-        checked.body = self.read_bounded(request, max)?;
+        checked.body = self.read_limited(request, max)?;
         if checked.body.len() > max {
             return Err(Error::LongBody(max));
         }
@@ -31,19 +31,19 @@
         Ok(checked)
     }
 
-    /// A caller that sends slowly holds a worker for as long, since tiny_http
-    /// has no read timeout; half of the workers stay free for requests that
-    /// are here already.
-    fn read_bounded(&self, request: &mut tiny_http::Request, max: usize) -> Result<Vec<u8>, Error> {
-        let readers = self.readers.fetch_add(1, Ordering::SeqCst);
-        let result = if readers > self.config.worker_threads / 2 {
+    /// tiny_http has no read timeout, so a caller that sends slowly occupies a worker. At
+    /// most about half of the workers read bodies; the others stay free for requests that
+    /// have arrived completely.
+    fn read_limited(&self, request: &mut tiny_http::Request, max: usize) -> Result<Vec<u8>, Error> {
+        let others = self.body_readers.fetch_add(1, Ordering::SeqCst);
+        let result = if others > self.config.worker_threads / 2 {
             Err(Error::Busy)
         } else {
             let mut body = Vec::new();
             let read = request.as_reader().take(max as u64 + 1).read_to_end(&mut body);
             read.map(|_| body).map_err(|_| Error::ShortBody)
         };
-        self.readers.fetch_sub(1, Ordering::SeqCst);
+        self.body_readers.fetch_sub(1, Ordering::SeqCst);
         result
     }
 }
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the process is told at its start.
+//! Settings of a proxy process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,68 +9,70 @@
 
 /// The section of the proxy's own keys.
 const PROXY: &str = "proxy";
-/// Memory: the largest body of a request that may be allowed.
+/// Bounds memory: the highest allowed `max_body_bytes`.
 const MAX_BODY: u64 = 16 << 20;
-/// Memory: the largest answer that may be allowed.
-const MAX_ANSWER: u64 = 64 << 20;
+/// Bounds memory: the highest allowed `max_answer_bytes`.
+const MAX_RESPONSE: u64 = 64 << 20;
 
-/// The settings of a proxy. `docs/SETTINGS.md` has the keys with their units.
+/// The settings of a proxy. `docs/SETTINGS.md` lists the keys with their units.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub struct Settings {
-    /// What every daemon is told.
+    /// The settings that all daemons have.
     pub process: Process,
-    /// Where callers reach the proxy.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Peers to ask for configuration and records while the store is down.
+    /// Peers from which to fetch configuration and records while the store is down.
     pub seeds: Vec<SocketAddr>,
-    /// Requests worked on at once, those that wait for a slot included.
+    /// The number of worker threads, which handle one request each, including requests
+    /// that wait for a slot.
     pub worker_threads: usize,
-    /// Requests that may wait for a slot.
+    /// The maximum number of requests that wait for a slot.
     pub queue: usize,
-    /// How long a request may wait for a slot.
+    /// The maximum time that a request waits for a slot.
     pub queue_wait: Duration,
-    /// From taking a request in until its answer, at most.
+    /// The maximum time from receiving a request until its response.
     pub request_timeout: Duration,
-    /// How long a try may take while another one is possible after it.
+    /// The timeout of a try after which another one is possible.
     pub try_timeout: Duration,
-    /// How long a connection to a backend server may take to open.
+    /// The timeout for connecting to a backend server.
     pub connect_timeout: Duration,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// The largest answer held, in bytes.
-    pub max_answer: usize,
-    /// How long the proxy answers on after it has failed its readiness.
+    /// The maximum size of a backend server's response, in bytes.
+    pub max_response: usize,
+    /// How long the proxy still serves requests after its readiness check fails on a
+    /// stop.
     pub stop_grace: Duration,
-    /// The lease of a shard's owner.
+    /// The lease TTL of a claim shard owner.
     pub claim_lease: Duration,
-    /// How long a request waits for its claim.
+    /// The maximum time that a request waits for its claim.
     pub claim_timeout: Duration,
-    /// The lease of the member record.
+    /// The lease TTL of the member record.
     pub member_lease: Duration,
-    /// How long the proxy goes on without the store and without its peers.
+    /// How long the proxy continues without contact to the store or its peers.
     pub isolation_limit: Duration,
-    /// The time between two rounds of gossip.
+    /// The interval between two gossip rounds.
     pub gossip_interval: Duration,
-    /// How many peers are told in a round.
+    /// The number of peers called in each gossip round.
     pub gossip_fan_out: usize,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`.
+    /// Reads and validates the file at `path`.
     ///
     /// # Errors
     ///
-    /// Fails with all mistakes at once.
+    /// Fails if the settings are invalid; the error lists all problems.
     pub fn read(path: &Path) -> Result<Self, Error> {
         Self::check(File::read(path)?)
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates settings from `text`.
     ///
     /// # Errors
     ///
-    /// Fails with all mistakes at once.
+    /// Fails if the settings are invalid; the error lists all problems.
     ///
     /// ```
     /// use corianderfork_proxy::settings::Settings;
@@ -95,8 +97,8 @@
 
     fn check(mut file: File) -> Result<Self, Error> {
         let process = file.process();
-        let mut millis = |key: &str, default: u64, least: u64, most: u64| {
-            file.millis(PROXY, key, Duration::from_millis(default), least..=most)
+        let mut millis = |key: &str, default: u64, min: u64, max: u64| {
+            file.millis(PROXY, key, Duration::from_millis(default), min..=max)
         };
         let queue_wait = millis("queue_wait_ms", 2_000, 0, 30_000);
         let request_timeout = millis("request_timeout_ms", 10_000, 100, 30_000);
@@ -108,13 +110,13 @@
         let member_lease = millis("member_lease_ms", 9_000, 500, 60_000);
         let isolation_limit = millis("isolation_limit_ms", 10_000, 2_000, 60_000);
         let gossip_interval = millis("gossip_interval_ms", 250, 20, 2_000);
-        let mut number = |key: &str, default: u64, least: u64, most: u64| {
-            usize::try_from(file.number(PROXY, key, default, least..=most)).unwrap_or(usize::MAX)
+        let mut number = |key: &str, default: u64, min: u64, max: u64| {
+            usize::try_from(file.number(PROXY, key, default, min..=max)).unwrap_or(usize::MAX)
         };
         let worker_threads = number("worker_threads", 256, 2, 4_096);
         let queue = number("queue", 128, 1, 4_095);
         let max_body = number("max_body_bytes", 1 << 20, 0, MAX_BODY);
-        let max_answer = number("max_answer_bytes", 8 << 20, 1, MAX_ANSWER);
+        let max_response = number("max_answer_bytes", 8 << 20, 1, MAX_RESPONSE);
         let gossip_fan_out = number("gossip_fan_out", 2, 1, 64);
         let callers = file.address(PROXY, "callers");
         let seeds = file.or(PROXY, "seeds", Addresses::default()).0;
@@ -137,7 +139,7 @@
             try_timeout,
             connect_timeout,
             max_body,
-            max_answer,
+            max_response,
             stop_grace,
             claim_lease,
             claim_timeout,
@@ -149,7 +151,7 @@
     }
 }
 
-/// Addresses with commas between them.
+/// A comma-separated list of addresses.
 #[derive(Clone, Debug, Default)]
 struct Addresses(Vec<SocketAddr>);
 
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the core tells the threads of the data path.
+//! State shared by the core and the threads of the data path.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -14,42 +14,42 @@
 use crate::gate::Gate;
 use crate::metrics::Metrics;
 
-/// How long the core's word that this process is in touch holds. A process
-/// that was paused wakes with all its threads at once; the word of the core
-/// from before the pause must not count until the core has looked again.
-pub const WORD: Duration = Duration::from_secs(1);
+/// How long a report of the core that this process is in touch stays valid. A paused
+/// process resumes with all its threads at once, and a report from before the pause must
+/// not count until the core has checked again.
+pub const IN_TOUCH_TTL: Duration = Duration::from_secs(1);
 
-/// What the configuration and the records say, for the data path.
+/// The part of the configuration and the records that the data path needs.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     /// The class of each service.
     pub services: HashMap<Name, Class>,
-    /// The owner of each shard of claims that has one.
+    /// The owners of claim shards; shards without an owner are missing.
     pub owners: HashMap<u32, Holder>,
     /// The revision of the configuration; 0 before the first.
     pub config_revision: u64,
 }
 
-/// Shared by the core, the data path and the handler of peers' messages.
+/// State shared by the core, the data path and the handler of peers' requests.
 #[derive(Debug)]
 pub struct Shared {
-    /// The clock of all decisions.
+    /// The clock used for all decisions.
     pub clock: Monotonic,
-    /// Who gets a slot.
+    /// The gate, which grants slots of runners.
     pub gate: Gate,
-    /// Calls to backend servers.
+    /// The client for backend servers.
     pub client: Client,
-    /// Counts of what happened.
+    /// The metrics.
     pub metrics: Metrics,
     directory: RwLock<Arc<Directory>>,
     in_touch_until: AtomicU64,
     stopping: AtomicBool,
-    closed: AtomicBool,
+    refusing_new: AtomicBool,
     in_flight: AtomicUsize,
 }
 
 impl Shared {
-    /// Nothing is known yet.
+    /// Creates the state with an empty directory.
     pub fn new(clock: Monotonic, gate: Gate, client: Client, metrics: Metrics) -> Self {
         Self {
             clock,
@@ -59,65 +59,67 @@
             directory: RwLock::default(),
             in_touch_until: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
-            closed: AtomicBool::new(false),
+            refusing_new: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
         }
     }
 
-    /// What is known now.
+    /// Returns the current directory.
     pub fn directory(&self) -> Arc<Directory> {
         Arc::clone(&self.directory.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Replaces what is known.
+    /// Replaces the directory.
     pub fn publish(&self, directory: Directory) {
-        let mut place = self.directory.write().unwrap_or_else(PoisonError::into_inner);
-        *place = Arc::new(directory);
+        let mut current = self.directory.write().unwrap_or_else(PoisonError::into_inner);
+        *current = Arc::new(directory);
     }
 
-    /// The core says that this process is in touch for [`WORD`] from `now` on.
+    /// Records that this process is in touch for [`IN_TOUCH_TTL`] from `now` on.
     pub fn set_in_touch(&self, now: Time) {
-        self.in_touch_until.store((now + WORD).as_millis(), Ordering::SeqCst);
+        self.in_touch_until.store((now + IN_TOUCH_TTL).as_millis(), Ordering::SeqCst);
     }
 
-    /// Whether this process may act on its views.
+    /// Returns whether this process is in touch with the store or a majority of the
+    /// members, so that it may act on its views.
     pub fn in_touch(&self) -> bool {
         self.clock.now().as_millis() < self.in_touch_until.load(Ordering::SeqCst)
     }
 
-    /// The process is stopping: it fails its readiness and answers on.
-    pub fn stop(&self) {
+    /// Marks the process as stopping: its readiness check fails, but it still serves
+    /// requests.
+    pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the process is stopping.
+    /// Returns whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// No new request is taken any more.
-    pub fn close(&self) {
-        self.closed.store(true, Ordering::SeqCst);
+    /// Refuses new requests from now on.
+    pub fn refuse_new(&self) {
+        self.refusing_new.store(true, Ordering::SeqCst);
     }
 
-    /// Whether no new request is taken any more.
-    pub fn is_closed(&self) -> bool {
-        self.closed.load(Ordering::SeqCst)
+    /// Returns whether new requests are refused.
+    pub fn is_refusing_new(&self) -> bool {
+        self.refusing_new.load(Ordering::SeqCst)
     }
 
-    /// Requests taken in and not answered yet.
+    /// Returns the number of requests received and not yet answered.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn track_in_flight(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight(Arc::clone(self))
     }
 
-    /// Why the process is not ready, or `None` if it is.
-    pub fn not_ready(&self) -> Option<String> {
+    /// Returns why the process is not ready, or `None` if it is.
+    pub fn unready_reason(&self) -> Option<String> {
         if self.is_stopping() {
             return Some("stopping; use another entry VM".to_owned());
         }
@@ -133,7 +135,7 @@
     }
 }
 
-/// A request in flight.
+/// Guard that counts a request as in flight.
 #[derive(Debug)]
 pub struct InFlight(Arc<Shared>);
 
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -1,27 +1,27 @@
-//! Whose turn it is to take a shard that has no owner. Pure.
+//! Decides when this process may try to take over a shard without an owner. Pure.
 
 use std::time::Duration;
 
 use corianderfork_coord::backoff::spread;
 use corianderfork_provider::record::{Member, Role};
 
-/// How long the first in order lets the shard be: at the start of a fleet the
-/// others need a moment to be listed, and the first process would take all.
-const FIRST: Duration = Duration::from_millis(500);
-/// How much longer each further one waits.
-const STEP: Duration = Duration::from_millis(750);
-/// From which place on all wait alike.
-const LAST: u32 = 8;
+/// The delay of the first process. When a fleet starts, the others need a moment to be
+/// listed; otherwise the first process would take all shards.
+const MIN_DELAY: Duration = Duration::from_millis(500);
+/// The additional delay of each further process.
+const DELAY_STEP: Duration = Duration::from_millis(750);
+/// The rank from which on all delays are the same.
+const MAX_RANK: u32 = 8;
 
-/// How long after the shard was seen without an owner `me` may try to take it,
-/// or `None` while `me` is not listed itself.
+/// Returns how long after a shard was first seen without an owner `me` may try to take
+/// it, or `None` while `me` itself is not listed.
 ///
-/// Every proxy orders the listed ones by a hash of shard and name, the same
-/// everywhere, so that shards spread without anybody assigning them. It only
-/// keeps tries apart: the store's compare-and-swap decides.
+/// All proxies compute the same order of the listed proxies, by a hash of shard and name,
+/// so the shards spread without a coordinator. The delay only keeps attempts apart; the
+/// compare-and-swap of the store decides.
 ///
 /// ```
-/// use corianderfork_proxy::takeover::turn;
+/// use corianderfork_proxy::takeover;
 /// # use corianderfork_provider::record::{Member, Role};
 /// # use corianderfork_model::Name;
 /// # let proxy = |name: &str| Member {
@@ -30,30 +30,30 @@
 /// #     peers: "127.0.0.1:1".parse().expect("an address"), callers: None,
 /// # };
 /// let members = [proxy("e1"), proxy("e2"), proxy("e3")];
-/// let mut turns: Vec<_> = members.iter().map(|me| turn(0, me, members.iter())).collect();
-/// turns.dedup();
-/// assert_eq!(turns.len(), 3); // one after the other
-/// assert_eq!(turn(0, &proxy("e4"), members.iter()), None);
+/// let mut delays: Vec<_> = members.iter().map(|me| takeover::delay(0, me, members.iter())).collect();
+/// delays.dedup();
+/// assert_eq!(delays.len(), 3); // one after another
+/// assert_eq!(takeover::delay(0, &proxy("e4"), members.iter()), None);
 /// ```
-pub fn turn<'a>(
+pub fn delay<'a>(
     shard: u32,
     me: &Member,
     listed: impl Iterator<Item = &'a Member>,
 ) -> Option<Duration> {
-    let own = weight(shard, me);
-    let mut before = 0;
+    let own_hash = rank_hash(shard, me);
+    let mut rank = 0;
     let mut is_listed = false;
     for member in listed.filter(|member| member.role == Role::Proxy) {
         if member.name == me.name {
             is_listed = member.incarnation == me.incarnation;
-        } else if (weight(shard, member), &member.name) > (own, &me.name) {
-            before += 1;
+        } else if (rank_hash(shard, member), &member.name) > (own_hash, &me.name) {
+            rank += 1;
         }
     }
-    is_listed.then(|| FIRST + STEP * before.min(LAST))
+    is_listed.then(|| MIN_DELAY + DELAY_STEP * rank.min(MAX_RANK))
 }
 
-fn weight(shard: u32, member: &Member) -> Duration {
+fn rank_hash(shard: u32, member: &Member) -> Duration {
     const PRIME: u64 = 0x0100_0000_01b3;
     let hash =
         member.name.as_str().bytes().fold(u64::from(shard) ^ 0xcbf2_9ce4_8422_2325, |h, b| {
--- a/crates/proxy/src/transport.rs
+++ b/crates/proxy/src/transport.rs
@@ -1,9 +1,9 @@
-//! Connections that tell whether anything was sent on them.
+//! A transport that records whether anything was sent on a connection.
 //!
-//! "Not run" may be said of a request only if no byte of it left. A library's
-//! error kinds don't tell: the same "host unreachable" comes from opening a
-//! connection and from one that had the request on it already. So the
-//! connection itself notes the first write.
+//! A request may be reported as "not run" only if no byte of it was sent. The error kinds
+//! of the HTTP library do not show this: "host unreachable" can come from opening a
+//! connection and also from one that already carried the request. So the transport itself
+//! records the first write.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,64 +11,64 @@
 use ureq::Error;
 use ureq::unversioned::transport::{Buffers, ConnectionDetails, Connector, NextTimeout, Transport};
 
-/// Whether a byte may have left.
+/// Records whether a byte may have been sent.
 #[derive(Debug, Default)]
-pub struct Probe {
+pub struct WriteProbe {
     sent: AtomicBool,
 }
 
-impl Probe {
-    /// Whether a byte may have left.
+impl WriteProbe {
+    /// Returns whether a byte may have been sent.
     pub fn was_sent(&self) -> bool {
         self.sent.load(Ordering::SeqCst)
     }
 }
 
-/// Makes the connections of the connector before it in a chain tell a probe.
+/// A connector that wraps the connections of the previous connector in the chain.
 #[derive(Debug)]
-pub struct Watcher {
-    probe: Arc<Probe>,
+pub struct Recorder {
+    probe: Arc<WriteProbe>,
 }
 
-impl Watcher {
-    /// A link of a chain whose connections tell `probe`.
-    pub fn new(probe: Arc<Probe>) -> Self {
+impl Recorder {
+    /// Creates a connector whose connections record writes in `probe`.
+    pub fn new(probe: Arc<WriteProbe>) -> Self {
         Self { probe }
     }
 }
 
-impl<T: Transport> Connector<T> for Watcher {
-    type Out = Watched<T>;
+impl<T: Transport> Connector<T> for Recorder {
+    type Out = RecordedTransport<T>;
 
     fn connect(
         &self,
         _: &ConnectionDetails,
         chained: Option<T>,
     ) -> Result<Option<Self::Out>, Error> {
-        Ok(chained.map(|inner| Watched { inner, probe: Arc::clone(&self.probe) }))
+        Ok(chained.map(|inner| RecordedTransport { inner, probe: Arc::clone(&self.probe) }))
     }
 }
 
-/// A connection that notes the first write.
+/// A connection that records the first write.
 #[derive(Debug)]
-pub struct Watched<T> {
+pub struct RecordedTransport<T> {
     inner: T,
-    probe: Arc<Probe>,
+    probe: Arc<WriteProbe>,
 }
 
-impl<T: Transport> Transport for Watched<T> {
+impl<T: Transport> Transport for RecordedTransport<T> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.inner.buffers()
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        // A process that was paused between choosing the runner and this line
-        // wakes with its time over. Were it to write all the same, work would
-        // reach a VM that a controller released meanwhile.
+        // A process that was paused after it chose the runner resumes with its deadline
+        // expired. If it still wrote, the request could reach a VM that a controller has
+        // released in the meantime.
         if timeout.after.is_zero() {
             return Err(Error::Timeout(timeout.reason));
         }
-        // Noted before the write: a write that fails may have sent a part.
+        // Set before the write: a failed write may have sent a part.
         self.probe.sent.store(true, Ordering::SeqCst);
         self.inner.transmit_output(amount, timeout)
     }
