--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -1,7 +1,7 @@
-//! What this process knows of the shared records. Pure: no I/O, no clock.
+//! The view of the shared records. Pure: no I/O, no clock.
 //!
-//! News comes from the store and from peers, in any order. Of each record the
-//! newest revision wins, so that a late message cannot bring back what is over.
+//! Records come from the store and from peers, in any order. For each record the newest
+//! revision wins, so that a late message cannot undo a newer one.
 
 mod drain;
 mod snapshot;
@@ -18,18 +18,18 @@
 use corianderfork_routing::view;
 
 use crate::shared::Directory;
-use drain::Wish;
+use drain::DrainRequest;
 
-/// A configuration in force.
+/// The configuration in force.
 #[derive(Clone, Debug)]
-pub struct Applied {
+pub struct ActiveConfig {
     /// The INI text.
     pub text: Arc<str>,
-    /// What it describes.
+    /// The parsed configuration.
     pub parsed: Arc<Parsed>,
 }
 
-/// What has to be done about news.
+/// An effect of changed records that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum Effect {
@@ -38,29 +38,29 @@
     /// A VM's record changed.
     Vm(view::Vm),
     /// A VM's record was deleted, as of this revision.
-    VmGone(Name, u64),
-    /// An operator wants a VM drained, or no longer.
-    Wish {
+    VmRemoved(Name, u64),
+    /// An operator requested the drain of a VM or withdrew the request.
+    DrainRequest {
         /// The VM.
         vm: Name,
-        /// The revision of the wish or of its end.
+        /// The revision at which the request was made or withdrawn.
         revision: u64,
-        /// Whether the wish holds.
-        holds: bool,
+        /// Whether the request is active.
+        active: bool,
     },
     /// Members or owners changed.
     Directory,
-    /// A record could not be understood; what was known of it stays.
+    /// A record could not be parsed; the previous one stays in effect.
     Malformed {
         /// The key.
         key: String,
-        /// Why, and what to do.
+        /// The cause and the remedy.
         why: String,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Row {
+struct StoredVm {
     value: String,
     vm: Vm,
 }
@@ -68,14 +68,14 @@
 /// The shared records as this process knows them.
 #[derive(Debug, Default)]
 pub struct View {
-    config: Register<Applied>,
-    /// The newest configuration that was refused.
-    refused: u64,
-    vms: BTreeMap<Name, Register<Option<Row>>>,
+    config: Register<ActiveConfig>,
+    /// The revision of the newest configuration that was rejected.
+    rejected_config: u64,
+    vms: BTreeMap<Name, Register<Option<StoredVm>>>,
     members: BTreeMap<String, (u64, Member, String)>,
     owners: HashMap<u32, Holder>,
-    wishes: BTreeMap<Name, Wish>,
-    synced: u64,
+    drain_requests: BTreeMap<Name, DrainRequest>,
+    synced_revision: u64,
 }
 
 impl View {
@@ -83,20 +83,20 @@
     pub fn on_range(&mut self, range: &Range) -> Vec<Effect> {
         let mut effects = Vec::new();
         let revision = range.revision.0;
-        if revision >= self.synced {
-            self.drop_missing(range, &mut effects);
+        if revision >= self.synced_revision {
+            self.remove_missing(range, &mut effects);
         }
         for entry in &range.entries {
-            self.put(entry, &mut effects);
+            self.apply_entry(entry, &mut effects);
         }
-        self.synced = self.synced.max(revision);
+        self.synced_revision = self.synced_revision.max(revision);
         effects
     }
 
-    /// Applies changes that a watch saw.
+    /// Applies changes from a watch.
     pub fn on_changes(&mut self, changes: &Changes) -> Vec<Effect> {
         let effects = self.apply_changes(changes);
-        self.synced = self.synced.max(changes.revision.0);
+        self.synced_revision = self.synced_revision.max(changes.revision.0);
         effects
     }
 
@@ -104,20 +104,20 @@
         let mut effects = Vec::new();
         for change in &changes.changes {
             match &change.entry {
-                Some(entry) => self.put(entry, &mut effects),
+                Some(entry) => self.apply_entry(entry, &mut effects),
                 None => self.delete(&change.key, change.revision.0, &mut effects),
             }
         }
         effects
     }
 
-    fn drop_missing(&mut self, range: &Range, effects: &mut Vec<Effect>) {
+    fn remove_missing(&mut self, range: &Range, effects: &mut Vec<Effect>) {
         let has = |key: &str| range.entries.iter().any(|entry| entry.key == key);
         let vms: Vec<Name> = self.vms.keys().filter(|vm| !has(&key::vm(vm))).cloned().collect();
         for vm in vms {
-            self.vm_gone(vm, range.revision.0, effects);
+            self.remove_vm(vm, range.revision.0, effects);
         }
-        self.drop_wishes(range.revision.0, has, effects);
+        self.remove_missing_drains(range.revision.0, has, effects);
         let before = (self.members.len(), self.owners.len());
         self.members.retain(|key, _| has(key));
         self.owners.retain(|shard, _| has(&key::claim_owner(*shard)));
@@ -126,11 +126,11 @@
         }
     }
 
-    fn put(&mut self, entry: &Entry, effects: &mut Vec<Effect>) {
-        self.record(&entry.key, &entry.value, entry.revision.0, effects);
+    fn apply_entry(&mut self, entry: &Entry, effects: &mut Vec<Effect>) {
+        self.apply_record(&entry.key, &entry.value, entry.revision.0, effects);
     }
 
-    fn record(&mut self, key: &str, value: &str, revision: u64, effects: &mut Vec<Effect>) {
+    fn apply_record(&mut self, key: &str, value: &str, revision: u64, effects: &mut Vec<Effect>) {
         let result = if key == key::CONFIG {
             serde_json::from_str::<Config>(value)
                 .map(|config| self.offer_config(revision, &config.text, effects))
@@ -138,7 +138,7 @@
             serde_json::from_str(value)
                 .map(|record| self.offer_vm(vm, record, value, revision, effects))
         } else if let Some(vm) = key.strip_prefix(key::DRAINS).and_then(|vm| Name::new(vm).ok()) {
-            self.offer_wish(vm, Some(value.to_owned()), revision, effects);
+            self.offer_drain(vm, Some(value.to_owned()), revision, effects);
             Ok(())
         } else if key.starts_with(key::MEMBERS) {
             serde_json::from_str(value).map(|member| {
@@ -161,19 +161,19 @@
     }
 
     fn offer_config(&mut self, revision: u64, text: &str, effects: &mut Vec<Effect>) {
-        if revision <= self.config.revision().max(self.refused) {
+        if revision <= self.config.revision().max(self.rejected_config) {
             return;
         }
         match corianderfork_config::parse(text) {
             Ok(parsed) => {
-                let applied = Applied { text: text.into(), parsed: Arc::new(parsed) };
-                if self.config.offer(revision, applied) == Offer::Applied {
+                let active = ActiveConfig { text: text.into(), parsed: Arc::new(parsed) };
+                if self.config.offer(revision, active) == Offer::Applied {
                     effects.push(Effect::Config);
                 }
             }
-            Err(mistakes) => {
-                self.refused = revision;
-                let first = mistakes.first().map_or_else(String::new, ToString::to_string);
+            Err(problems) => {
+                self.rejected_config = revision;
+                let first = problems.first().map_or_else(String::new, ToString::to_string);
                 let why = format!("{first}; the configuration before it stays in force");
                 effects.push(Effect::Malformed { key: key::CONFIG.to_owned(), why });
             }
@@ -190,18 +190,18 @@
     ) {
         let Ok(name) = Name::new(vm) else { return };
         let register = self.vms.entry(name.clone()).or_default();
-        let row = Row { value: value.to_owned(), vm: record };
-        let routed = routed(&name, &row.vm, revision, self.wishes.get(&name));
-        if register.offer(revision, Some(row)) == Offer::Applied {
-            effects.push(Effect::Vm(routed));
+        let stored = StoredVm { value: value.to_owned(), vm: record };
+        let router_vm = router_vm(&name, &stored.vm, revision, self.drain_requests.get(&name));
+        if register.offer(revision, Some(stored)) == Offer::Applied {
+            effects.push(Effect::Vm(router_vm));
         }
     }
 
-    fn vm_gone(&mut self, name: Name, revision: u64, effects: &mut Vec<Effect>) {
+    fn remove_vm(&mut self, name: Name, revision: u64, effects: &mut Vec<Effect>) {
         let Some(register) = self.vms.get_mut(&name) else { return };
         let known = matches!(register.get(), Some(Some(_)));
         if register.offer(revision, None) == Offer::Applied && known {
-            effects.push(Effect::VmGone(name, revision));
+            effects.push(Effect::VmRemoved(name, revision));
         }
     }
 
@@ -222,9 +222,9 @@
 
     fn delete(&mut self, key: &str, revision: u64, effects: &mut Vec<Effect>) {
         if let Some(vm) = key.strip_prefix(key::VMS).and_then(|vm| Name::new(vm).ok()) {
-            self.vm_gone(vm, revision, effects);
+            self.remove_vm(vm, revision, effects);
         } else if let Some(vm) = key.strip_prefix(key::DRAINS).and_then(|vm| Name::new(vm).ok()) {
-            self.offer_wish(vm, None, revision, effects);
+            self.offer_drain(vm, None, revision, effects);
         } else if self.members.get(key).is_some_and(|(known, ..)| *known < revision) {
             self.members.remove(key);
             effects.push(Effect::Directory);
@@ -236,60 +236,62 @@
         }
     }
 
-    /// The fleet, once there is a configuration.
+    /// Returns the fleet; `None` before the first configuration.
     pub fn fleet(&self) -> Option<&Fleet> {
-        self.config.get().map(|applied| &applied.parsed.fleet)
+        self.config.get().map(|config| &config.parsed.fleet)
     }
 
-    /// The revision of the configuration in force; 0 before the first.
+    /// Returns the revision of the configuration in force; 0 before the first.
     pub fn config_revision(&self) -> u64 {
         self.config.revision()
     }
 
-    /// The store's revision up to which all records are known.
+    /// Returns the store revision up to which all records are known.
     pub fn store_revision(&self) -> u64 {
-        self.synced
+        self.synced_revision
     }
 
-    /// The members that the store lists.
+    /// Returns the members that the store lists.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|(_, member, _)| member)
     }
 
-    /// The owner of `shard`.
+    /// Returns the owner of `shard`.
     pub fn owner(&self, shard: u32) -> Option<&Holder> {
         self.owners.get(&shard)
     }
 
-    /// The VMs that take no work, with the epoch of their drain.
+    /// Returns the VMs that take no work, with the epoch of their drain.
     pub fn leaving(&self) -> impl Iterator<Item = (&Name, u64)> {
-        self.rows()
+        self.vm_records()
             .filter(|(_, vm)| !vm.phase.takes_work() && vm.epoch > 0)
             .map(|(n, vm)| (n, vm.epoch))
     }
 
-    /// The revision of a VM's record; 0 if there is none.
+    /// Returns the revision of a VM's record; 0 if there is none.
     pub fn revision(&self, vm: &Name) -> u64 {
-        self.vms.get(vm).map_or(0, |row| row.revision())
+        self.vms.get(vm).map_or(0, |stored| stored.revision())
     }
 
-    /// Where runners of VMs that serve listen.
-    pub fn serving(&self) -> impl Iterator<Item = std::net::SocketAddr> {
-        let serving = self.rows().filter(|(_, vm)| vm.phase.takes_work());
+    /// Returns the addresses of the runners on serving VMs.
+    pub fn serving_addresses(&self) -> impl Iterator<Item = std::net::SocketAddr> {
+        let serving = self.vm_records().filter(|(_, vm)| vm.phase.takes_work());
         serving.flat_map(|(_, vm)| vm.runners.iter().map(|runner| runner.address))
     }
 
-    /// Whether a VM serves and lists a copy of a service.
-    pub fn lists(&self, vm: &Name, service: &Name) -> bool {
-        let Some(Some(row)) = self.vms.get(vm).and_then(|row| row.get()) else { return false };
-        row.vm.phase.takes_work() && row.vm.runners.iter().any(|r| r.service == *service)
+    /// Returns whether a VM serves and lists a copy of a service.
+    pub fn serves(&self, vm: &Name, service: &Name) -> bool {
+        let Some(Some(stored)) = self.vms.get(vm).and_then(|stored| stored.get()) else {
+            return false;
+        };
+        stored.vm.phase.takes_work() && stored.vm.runners.iter().any(|r| r.service == *service)
     }
 
-    fn rows(&self) -> impl Iterator<Item = (&Name, &Vm)> {
-        self.vms.iter().filter_map(|(name, row)| Some((name, &row.get()?.as_ref()?.vm)))
+    fn vm_records(&self) -> impl Iterator<Item = (&Name, &Vm)> {
+        self.vms.iter().filter_map(|(name, stored)| Some((name, &stored.get()?.as_ref()?.vm)))
     }
 
-    /// What the data path has to know.
+    /// Returns the directory for the data path.
     pub fn directory(&self) -> Directory {
         let services = self.fleet().map_or_else(HashMap::new, |fleet| {
             fleet.services().map(|(_, service)| (service.name.clone(), service.class)).collect()
@@ -299,16 +301,21 @@
     }
 }
 
-/// A record as the router takes it.
+/// Converts a record for the router.
 ///
-/// The newer of record and wish gives the revision: the router takes a VM's
-/// state only from news that is newer than what it has.
-fn routed(name: &Name, record: &Vm, revision: u64, wish: Option<&Wish>) -> view::Vm {
-    let wished = wish.map_or(0, |wish| wish.revision);
-    let is_wished_away = wish.is_some_and(|wish| wish.value.is_some());
-    let vm = view::Vm::new(name.clone(), revision.max(wished))
+/// Uses the newer revision of the record and the drain request, because the router
+/// applies a VM only if its revision is newer than the known one.
+fn router_vm(
+    name: &Name,
+    record: &Vm,
+    revision: u64,
+    drain_request: Option<&DrainRequest>,
+) -> view::Vm {
+    let drain_revision = drain_request.map_or(0, |drain_request| drain_request.revision);
+    let drain_requested = drain_request.is_some_and(|drain_request| drain_request.value.is_some());
+    let vm = view::Vm::new(name.clone(), revision.max(drain_revision))
         .epoch(record.epoch)
-        .serving(record.phase.takes_work() && !is_wished_away);
+        .serving(record.phase.takes_work() && !drain_requested);
     record.runners.iter().fold(vm, |vm, runner| {
         // The record lists only runners that are able to serve.
         vm.runner(view::Runner::new(runner.service.clone(), runner.address, true))
--- a/crates/proxy/src/view/drain.rs
+++ b/crates/proxy/src/view/drain.rs
@@ -1,117 +1,120 @@
-//! Operators' wishes that VMs be drained.
+//! Operators' drain requests.
 
 use corianderfork_model::Name;
 use corianderfork_provider::key;
 use corianderfork_provider::store::{Changes, Entry};
 use corianderfork_wire::peer;
 
-use super::{Effect, View, routed};
+use super::{Effect, View, router_vm};
 
-/// An operator's wish that a VM be drained, as last heard of.
+/// The newest known drain request of an operator for a VM.
 ///
-/// Without it a drain that was accepted just before the store went down (or the
-/// controller died) would reach no proxy: the VM's record still says that it
-/// serves, and the VM gets requests for the whole outage. The wish itself is
-/// heeded, so that only one process has to have heard of it.
+/// Without it, a drain accepted just before the store went down (or the controller died)
+/// would reach no proxy: the record of the VM still says that it serves, and the VM gets
+/// requests for the whole outage. Proxies act on the request itself, so that only one
+/// process needs to have seen it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Wish {
-    /// The revision of the wish or of its end.
+pub(super) struct DrainRequest {
+    /// The revision at which the request was made or withdrawn.
     pub(super) revision: u64,
-    /// The record, while the wish holds.
+    /// The record, while the request is active.
     pub(super) value: Option<String>,
 }
 
 impl View {
-    /// The wishes that hold and that no VM's record shows yet, to be told to
-    /// peers. The others are told of as leaving, with the epoch of their drain.
-    pub fn wishes(&self) -> Vec<peer::Record> {
-        let unseen = self.held().filter(|(vm, ..)| self.takes_work(vm));
-        unseen.map(record).collect()
+    /// Returns the active drain requests that no VM record reflects yet, for peers. The
+    /// others are reported as leaving VMs, with the epoch of their drain.
+    pub fn pending_drains(&self) -> Vec<peer::Record> {
+        let pending = self.active_drains().filter(|(vm, ..)| self.takes_work(vm));
+        pending.map(record).collect()
     }
 
-    /// Applies wishes that a peer told of.
+    /// Applies drain requests reported by a peer.
     ///
-    /// A process that is cut off from the store hears of a drain in time only
-    /// here: it asks for all records only once the store has been silent for
-    /// some seconds, and requests would reach the VM for as long.
+    /// For a process that is cut off from the store, this is the only quick way to learn
+    /// of a drain: it requests a snapshot only after the store has been silent for some
+    /// seconds, and requests would reach the VM until then.
     ///
-    /// What is not newer than what this process read is over: it would have
-    /// been in that read, and a peer that lags still tells of it.
-    pub fn on_wishes(&mut self, wishes: &[peer::Record]) -> Vec<Effect> {
+    /// A request that is not newer than the last read of this process has been withdrawn:
+    /// that read would have included it, and the peer lags behind.
+    pub fn on_peer_drains(&mut self, drains: &[peer::Record]) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let synced = self.synced;
-        for wish in wishes.iter().filter(|wish| wish.revision > synced) {
-            let vm = wish.key.strip_prefix(key::DRAINS).and_then(|vm| Name::new(vm).ok());
+        let synced = self.synced_revision;
+        for request in drains.iter().filter(|request| request.revision > synced) {
+            let vm = request.key.strip_prefix(key::DRAINS).and_then(|vm| Name::new(vm).ok());
             let Some(vm) = vm else { continue };
-            self.offer_wish(vm, Some(wish.value.clone()), wish.revision, &mut effects);
+            self.offer_drain(vm, Some(request.value.clone()), request.revision, &mut effects);
         }
         effects
     }
 
-    /// Applies a read of all operators' drains. One that isn't newer than what this process
-    /// read of all records is over, or known; those that are gone are left to such a read.
+    /// Applies a read of all operators' drain requests. A request that is not newer than
+    /// the last read of all records is withdrawn or already known; withdrawn ones are
+    /// left to such a read.
     pub fn on_drains(&mut self, drains: &[Entry]) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let synced = self.synced;
+        let synced = self.synced_revision;
         for entry in drains.iter().filter(|entry| entry.revision.0 > synced) {
-            self.put(entry, &mut effects);
+            self.apply_entry(entry, &mut effects);
         }
         effects
     }
 
-    /// Applies changes of operators' drains. Up to where all records are known stays as it
-    /// is: others may have changed meanwhile.
+    /// Applies changes of operators' drain requests. The synced revision does not change,
+    /// because other records may have changed as well.
     pub fn on_drain_changes(&mut self, changes: &Changes) -> Vec<Effect> {
         self.apply_changes(changes)
     }
 
-    pub(super) fn drop_wishes(
+    pub(super) fn remove_missing_drains(
         &mut self,
         revision: u64,
-        has: impl Fn(&str) -> bool,
+        is_present: impl Fn(&str) -> bool,
         effects: &mut Vec<Effect>,
     ) {
-        let over = self.held().filter(|(vm, ..)| !has(&key::drain(vm)));
-        let over: Vec<Name> = over.map(|(vm, ..)| vm.clone()).collect();
-        for vm in over {
-            self.offer_wish(vm, None, revision, effects);
+        let withdrawn = self.active_drains().filter(|(vm, ..)| !is_present(&key::drain(vm)));
+        let withdrawn: Vec<Name> = withdrawn.map(|(vm, ..)| vm.clone()).collect();
+        for vm in withdrawn {
+            self.offer_drain(vm, None, revision, effects);
         }
     }
 
-    pub(super) fn offer_wish(
+    pub(super) fn offer_drain(
         &mut self,
         vm: Name,
         value: Option<String>,
         revision: u64,
         effects: &mut Vec<Effect>,
     ) {
-        let wish = self.wishes.entry(vm.clone()).or_default();
-        if revision <= wish.revision {
+        let request = self.drain_requests.entry(vm.clone()).or_default();
+        if revision <= request.revision {
             return;
         }
-        let holds = value.is_some();
-        if holds || wish.value.is_some() {
-            effects.push(Effect::Wish { vm: vm.clone(), revision, holds });
+        let active = value.is_some();
+        if active || request.value.is_some() {
+            effects.push(Effect::DrainRequest { vm: vm.clone(), revision, active });
         }
-        *wish = Wish { revision, value };
+        *request = DrainRequest { revision, value };
         let Some(register) = self.vms.get(&vm) else { return };
-        let Some(Some(row)) = register.get() else { return };
-        effects.push(Effect::Vm(routed(&vm, &row.vm, register.revision(), Some(wish))));
+        let Some(Some(stored)) = register.get() else { return };
+        effects.push(Effect::Vm(router_vm(&vm, &stored.vm, register.revision(), Some(request))));
     }
 
-    /// The wishes that hold, as a peer is sent them.
-    pub(super) fn wish_records(&self) -> impl Iterator<Item = peer::Record> {
-        self.held().map(record)
+    /// Returns the active drain requests in their wire form.
+    pub(super) fn drain_records(&self) -> impl Iterator<Item = peer::Record> {
+        self.active_drains().map(record)
     }
 
-    fn held(&self) -> impl Iterator<Item = (&Name, u64, &String)> {
-        let wishes = self.wishes.iter();
-        wishes.filter_map(|(vm, wish)| Some((vm, wish.revision, wish.value.as_ref()?)))
+    fn active_drains(&self) -> impl Iterator<Item = (&Name, u64, &String)> {
+        let requests = self.drain_requests.iter();
+        requests.filter_map(|(vm, request)| Some((vm, request.revision, request.value.as_ref()?)))
     }
 
     fn takes_work(&self, vm: &Name) -> bool {
-        let Some(Some(row)) = self.vms.get(vm).and_then(|row| row.get()) else { return false };
-        row.vm.phase.takes_work()
+        let Some(Some(stored)) = self.vms.get(vm).and_then(|stored| stored.get()) else {
+            return false;
+        };
+        stored.vm.phase.takes_work()
     }
 }
 
--- a/crates/proxy/src/view/snapshot.rs
+++ b/crates/proxy/src/view/snapshot.rs
@@ -1,4 +1,4 @@
-//! The records as peers send them to each other.
+//! Snapshots of the records, which peers send to each other.
 
 use corianderfork_model::Name;
 use corianderfork_provider::key;
@@ -7,48 +7,48 @@
 use super::{Effect, View};
 
 impl View {
-    /// Applies what a peer sent.
+    /// Applies a snapshot from a peer.
     pub fn on_snapshot(&mut self, snapshot: &peer::SnapshotReply) -> Vec<Effect> {
         let mut effects = Vec::new();
         if !snapshot.config.is_empty() {
             self.offer_config(snapshot.config_revision, &snapshot.config, &mut effects);
         }
-        if snapshot.store_revision <= self.synced {
+        if snapshot.store_revision <= self.synced_revision {
             return effects;
         }
-        let known: Vec<Name> = self.vms.keys().cloned().collect();
-        let sent = |name: &Name| snapshot.vms.iter().any(|record| record.key == key::vm(name));
-        for name in known.into_iter().filter(|name| !sent(name)) {
-            self.vm_gone(name, snapshot.store_revision, &mut effects);
+        let known_vms: Vec<Name> = self.vms.keys().cloned().collect();
+        let is_sent = |name: &Name| snapshot.vms.iter().any(|record| record.key == key::vm(name));
+        for name in known_vms.into_iter().filter(|name| !is_sent(name)) {
+            self.remove_vm(name, snapshot.store_revision, &mut effects);
         }
-        let listed = |key: &str| snapshot.members.iter().any(|record| record.key == key);
-        self.drop_wishes(snapshot.store_revision, listed, &mut effects);
+        let is_listed = |key: &str| snapshot.members.iter().any(|record| record.key == key);
+        self.remove_missing_drains(snapshot.store_revision, is_listed, &mut effects);
         for record in snapshot.vms.iter().chain(&snapshot.members) {
-            self.record(&record.key, &record.value, record.revision, &mut effects);
+            self.apply_record(&record.key, &record.value, record.revision, &mut effects);
         }
-        self.synced = snapshot.store_revision;
+        self.synced_revision = snapshot.store_revision;
         effects
     }
 
-    /// What a peer asks for that knows less.
+    /// Returns the records that are newer than those of the requesting peer.
     pub fn snapshot(&self, request: &peer::SnapshotRequest) -> peer::SnapshotReply {
         let mut reply = peer::SnapshotReply {
             config_revision: self.config.revision(),
-            store_revision: self.synced,
+            store_revision: self.synced_revision,
             ..peer::SnapshotReply::default()
         };
         if request.config_revision < reply.config_revision
-            && let Some(applied) = self.config.get()
+            && let Some(config) = self.config.get()
         {
-            reply.config = applied.text.to_string();
+            reply.config = config.text.to_string();
         }
         if request.store_revision < reply.store_revision {
             reply.vms = self
                 .vms
                 .iter()
-                .filter_map(|(name, row)| {
-                    let value = row.get()?.as_ref()?.value.clone();
-                    Some(peer::Record { key: key::vm(name), value, revision: row.revision() })
+                .filter_map(|(name, stored)| {
+                    let value = stored.get()?.as_ref()?.value.clone();
+                    Some(peer::Record { key: key::vm(name), value, revision: stored.revision() })
                 })
                 .collect();
             reply.members = self
@@ -60,8 +60,8 @@
                     revision: *revision,
                 })
                 .collect();
-            // What is missing here counts as over.
-            reply.members.extend(self.wish_records());
+            // A drain request missing here counts as withdrawn.
+            reply.members.extend(self.drain_records());
         }
         reply
     }
--- a/crates/proxy/tests/exchange.rs
+++ b/crates/proxy/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! One try at a backend server that behaves in every way it can.
+//! Tries at a backend server that misbehaves in every way it can.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use corianderfork_proxy::exchange::{Client, Config, End};
+use corianderfork_proxy::exchange::{Client, Config, Outcome};
 use corianderfork_proxy::request::{Head, Request};
 use corianderfork_routing::outcome::{Attempt, Doubt, Refused};
-use support::{Act, GENEROUS, Saw, answer, server};
+use support::{Action, Event, LONG_TIMEOUT, response, server};
 
 const KEY: (&str, &str) = ("Idempotency-Key", "017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
 const OWN: (&str, &str) = ("Request-Id", "r-1");
@@ -31,142 +31,138 @@
     request("POST", &[KEY], "move")
 }
 
-fn send(client: &Client, to: SocketAddr, request: &Request) -> End {
-    client.exchange(to, request, Instant::now() + GENEROUS, 4)
+fn send(client: &Client, to: SocketAddr, request: &Request) -> Outcome {
+    client.exchange(to, request, Instant::now() + LONG_TIMEOUT, 4)
 }
 
 fn client() -> Client {
-    Client::new(Config::default().max_answer(1000))
+    Client::new(Config::default().max_response(1000))
 }
 
-fn requests(seen: &[Saw]) -> usize {
-    seen.iter().filter(|saw| matches!(saw, Saw::Request { .. })).count()
+fn requests(events: &[Event]) -> usize {
+    events.iter().filter(|event| matches!(event, Event::Request { .. })).count()
 }
 
 #[test]
-fn exchange_redirect_is_not_followed() {
-    // Symptom: a transfer runs at a server that nobody chose, or twice.
-    // Sequence: the backend server answers a POST with 307 and a Location;
-    // the client library sends the body there.
-    // Cause: HTTP clients follow redirects unless told not to.
+fn exchange_redirect_not_followed() {
+    // A redirect must not be followed. The backend server answers a POST with 307 and a
+    // Location; HTTP clients follow redirects by default and would send the body to
+    // another server, or run the transfer twice.
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     elsewhere.set_nonblocking(true).unwrap();
     let location = format!("http://{}/transfer", elsewhere.local_addr().unwrap());
-    let text = answer("307 Temporary Redirect", &[OWN, ("Location", &location)], "");
-    let (to, seen) = server(vec![Act::Say(text.clone()), Act::Say(text)]);
+    let text = response("307 Temporary Redirect", &[OWN, ("Location", &location)], "");
+    let (to, events) = server(vec![Action::Reply(text.clone()), Action::Reply(text)]);
     for request in [transfer(), lookup()] {
-        let end = send(&client(), to, &request);
-        assert_eq!(end.attempt, Attempt::Answered);
-        assert_eq!(end.answer.unwrap().status(), 307);
+        let outcome = send(&client(), to, &request);
+        assert_eq!(outcome.attempt, Attempt::Answered);
+        assert_eq!(outcome.response.unwrap().status(), 307);
     }
-    assert!(elsewhere.accept().is_err(), "somebody came to the redirect's target");
-    drop(seen);
+    assert!(elsewhere.accept().is_err(), "the redirect was followed");
+    drop(events);
 }
 
 #[test]
-fn exchange_transfer_gets_a_connection_of_its_own() {
-    // Symptom: a transfer is answered "unknown" although the server never saw
-    // it, or the library sends it twice.
-    // Sequence: a lookup leaves its connection in the pool; the server closes
-    // it; the transfer is written to it and gets a reset.
-    // Cause: a pooled connection may be dead, and a byte written to it can no
-    // longer be accounted for.
-    let ok = answer("200 OK", &[OWN], "done");
-    let (to, seen) = server(vec![Act::Say(ok.clone()), Act::Say(ok)]);
+fn exchange_transfer_uses_new_connection() {
+    // A transfer must not use a pooled connection. The server may have closed it, and
+    // after a reset it is unknown whether the transfer ran; the library may even send it
+    // twice.
+    let ok = response("200 OK", &[OWN], "done");
+    let (to, events) = server(vec![Action::Reply(ok.clone()), Action::Reply(ok)]);
     let client = client();
     assert_eq!(send(&client, to, &lookup()).attempt, Attempt::Answered);
     assert_eq!(send(&client, to, &transfer()).attempt, Attempt::Answered);
-    let seen: Vec<Saw> = seen.try_iter().collect();
-    assert_eq!(seen.iter().filter(|saw| **saw == Saw::Connection).count(), 2, "{seen:?}");
-    assert_eq!(requests(&seen), 2);
+    let events: Vec<Event> = events.try_iter().collect();
+    assert_eq!(events.iter().filter(|event| **event == Event::Connection).count(), 2, "{events:?}");
+    assert_eq!(requests(&events), 2);
 }
 
 #[test]
-fn exchange_cut_after_the_request_is_sent_once() {
-    // Symptom: one transfer runs twice.
-    // Sequence: the server reads the request and closes without an answer; the
-    // library takes the connection for stale and sends the request again.
-    // Cause: a resend after a byte has left.
+fn exchange_closed_without_response_sends_once() {
+    // A request must not be sent again after a byte of it was sent. The server reads the
+    // request and closes without a response; the library takes the connection for stale
+    // and resends, so the transfer runs twice.
     for request in [transfer(), lookup()] {
-        let ok = answer("200 OK", &[OWN], "first");
-        let acts = vec![Act::Say(ok.clone()), Act::SayAndClose(String::new()), Act::Say(ok)];
-        let (to, seen) = server(acts);
+        let ok = response("200 OK", &[OWN], "first");
+        let actions = vec![
+            Action::Reply(ok.clone()),
+            Action::ReplyAndClose(String::new()),
+            Action::Reply(ok),
+        ];
+        let (to, events) = server(actions);
         let client = client();
         // Leaves a connection in the pool.
         assert_eq!(send(&client, to, &lookup()).attempt, Attempt::Answered);
-        let end = send(&client, to, &request);
-        assert!(matches!(end.attempt, Attempt::Unknown(_)), "{end:?}");
-        assert_eq!(requests(&seen.try_iter().collect::<Vec<_>>()), 2);
+        let outcome = send(&client, to, &request);
+        assert!(matches!(outcome.attempt, Attempt::Unknown(_)), "{outcome:?}");
+        assert_eq!(requests(&events.try_iter().collect::<Vec<_>>()), 2);
     }
 }
 
 #[test]
-fn exchange_wrong_answers_are_unknown_and_close_the_connection() {
-    // Symptom: a caller gets another's answer, or half of its own.
-    // Sequence: the server sends an answer with another id, without one, cut
-    // short, without a length, too long, or none in time; the next request on
-    // the connection gets what is left of it.
-    // Cause: the answer is passed on unchecked, and the connection is pooled.
-    let other = answer("200 OK", &[("Request-Id", "r-2")], "other's");
-    let empty = answer("200 OK", &[("Request-Id", "r-2")], "");
-    let none = answer("200 OK", &[], "whose?");
-    let twice = answer("200 OK", &[OWN, ("Request-Id", "r-2")], "both's");
+fn exchange_wrong_response_is_unknown_and_closes_connection() {
+    // A response with another id, without an id, truncated, without a length, too long or
+    // too late must not reach the caller, and its connection must not be reused: the next
+    // request would get the rest of it.
+    let other = response("200 OK", &[("Request-Id", "r-2")], "other's");
+    let empty = response("200 OK", &[("Request-Id", "r-2")], "");
+    let none = response("200 OK", &[], "whose?");
+    let twice = response("200 OK", &[OWN, ("Request-Id", "r-2")], "both's");
     let cut = "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nContent-Length: 9\r\n\r\nhal".to_owned();
     let endless = "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\n\r\nuntil it closes".to_owned();
-    let long = answer("200 OK", &[OWN], &"x".repeat(1001));
+    let long = response("200 OK", &[OWN], &"x".repeat(1001));
     let cases = [
-        (Act::Say(other), Doubt::Mismatch),
-        (Act::Say(empty), Doubt::Mismatch),
-        (Act::Say(none), Doubt::Mismatch),
-        (Act::Say(twice), Doubt::Mismatch),
-        (Act::SayAndClose(cut.clone()), Doubt::Truncated),
-        (Act::SayAndClose(endless), Doubt::Truncated),
-        (Act::Say(long), Doubt::Truncated),
-        (Act::Hang(cut), Doubt::Timeout),
-        (Act::Hang(String::new()), Doubt::Timeout),
+        (Action::Reply(other), Doubt::Mismatch),
+        (Action::Reply(empty), Doubt::Mismatch),
+        (Action::Reply(none), Doubt::Mismatch),
+        (Action::Reply(twice), Doubt::Mismatch),
+        (Action::ReplyAndClose(cut.clone()), Doubt::Truncated),
+        (Action::ReplyAndClose(endless), Doubt::Truncated),
+        (Action::Reply(long), Doubt::Truncated),
+        (Action::Hang(cut), Doubt::Timeout),
+        (Action::Hang(String::new()), Doubt::Timeout),
     ];
-    for (act, doubt) in cases {
+    for (action, doubt) in cases {
         for request in [lookup(), transfer()] {
-            let again = match &act {
-                Act::Say(text) => Act::Say(text.clone()),
-                Act::SayAndClose(text) => Act::SayAndClose(text.clone()),
-                Act::Hang(text) => Act::Hang(text.clone()),
+            let copy = match &action {
+                Action::Reply(text) => Action::Reply(text.clone()),
+                Action::ReplyAndClose(text) => Action::ReplyAndClose(text.clone()),
+                Action::Hang(text) => Action::Hang(text.clone()),
             };
-            let (to, seen) = server(vec![again]);
+            let (to, events) = server(vec![copy]);
             let client = client();
-            let soon = if doubt == Doubt::Timeout { Duration::from_millis(300) } else { GENEROUS };
-            let end = client.exchange(to, &request, Instant::now() + soon, 4);
-            assert_eq!(end.attempt, Attempt::Unknown(doubt));
-            let mut saw = seen.recv_timeout(GENEROUS).unwrap();
-            while saw != Saw::Closed {
-                saw = seen.recv_timeout(GENEROUS).expect("the connection is closed");
+            let timeout =
+                if doubt == Doubt::Timeout { Duration::from_millis(300) } else { LONG_TIMEOUT };
+            let outcome = client.exchange(to, &request, Instant::now() + timeout, 4);
+            assert_eq!(outcome.attempt, Attempt::Unknown(doubt));
+            let mut event = events.recv_timeout(LONG_TIMEOUT).unwrap();
+            while event != Event::Closed {
+                event = events.recv_timeout(LONG_TIMEOUT).expect("the connection is closed");
             }
         }
     }
 }
 
 #[test]
-fn exchange_not_sent_only_if_no_byte_left() {
-    // Symptom: a caller is told "not run", sends the transfer again, and it
-    // runs twice.
-    // Sequence: nobody listens, or somebody accepts and closes at once.
-    // Cause: both look like a failed connection to a library's caller.
+fn exchange_not_sent_requires_that_no_byte_left() {
+    // A closed port and a server that accepts and closes at once both look like a failed
+    // connection. Only the first may be reported as "not run": otherwise the caller
+    // retries and the transfer runs twice.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (to, _seen) = server(vec![]);
     for request in [lookup(), transfer()] {
         assert_eq!(send(&client(), closed, &request).attempt, Attempt::NotSent);
-        let end = send(&client(), to, &request);
-        assert!(matches!(end.attempt, Attempt::Unknown(_)), "{end:?}");
-        let over = client().exchange(to, &request, Instant::now(), 4);
-        assert_eq!(over.attempt, Attempt::NotSent);
+        let outcome = send(&client(), to, &request);
+        assert!(matches!(outcome.attempt, Attempt::Unknown(_)), "{outcome:?}");
+        let expired = client().exchange(to, &request, Instant::now(), 4);
+        assert_eq!(expired.attempt, Attempt::NotSent);
     }
 }
 
 #[test]
-fn exchange_refusal_needs_the_promise() {
-    // Symptom: a caller is told "not run" of a request that ran.
-    // Sequence: the backend server fails with 503 after it ran the request.
-    // Cause: a status is taken for the promise that only `Not-Run` makes.
+fn exchange_refusal_requires_not_run_header() {
+    // A status of 503 is no proof that nothing ran, because a backend server can fail
+    // after it ran the request. Only the header `Not-Run` guarantees it.
     let cases = [
         ("503 Busy", vec![("Not-Run", "busy")], Attempt::Refused(Refused::Busy)),
         ("503 Busy", vec![OWN, ("Not-Run", "leaving")], Attempt::Refused(Refused::Leaving)),
@@ -182,24 +178,24 @@
         ("404 No", vec![OWN], Attempt::Answered),
     ];
     for (status, headers, attempt) in cases {
-        let (to, _seen) = server(vec![Act::Say(answer(status, &headers, "text"))]);
+        let (to, _seen) = server(vec![Action::Reply(response(status, &headers, "text"))]);
         assert_eq!(send(&client(), to, &transfer()).attempt, attempt, "{status} {headers:?}");
     }
 }
 
 #[test]
-fn exchange_passes_on_what_is_for_the_other_end() {
+fn exchange_forwards_end_to_end_headers() {
     let own = [OWN, ("Connection", "x-hop"), ("X-Hop", "1"), ("X-End", "2"), ("Outcome", "lie")];
-    let (to, seen) = server(vec![Act::Say(answer("200 OK", &own, "all"))]);
+    let (to, events) = server(vec![Action::Reply(response("200 OK", &own, "all"))]);
     let headers =
         [KEY, ("Connection", "x-hop"), ("X-Hop", "1"), ("X-End", "2"), ("Host", "h"), ("TE", "x")];
-    let end = send(&client(), to, &request("POST", &headers, "body"));
+    let outcome = send(&client(), to, &request("POST", &headers, "body"));
     let mut out = Vec::new();
-    end.answer.unwrap().write(&mut out, false, false).unwrap();
+    outcome.response.unwrap().write(&mut out, false, false).unwrap();
     let out = String::from_utf8(out).unwrap().to_ascii_lowercase();
     assert!(out.contains("x-end: 2") && out.ends_with("\r\n\r\nall"), "{out}");
     assert!(!out.contains("x-hop") && !out.contains("lie"), "{out}");
-    let Some(Saw::Request { head, body }) = seen.iter().nth(1) else { panic!("no request") };
+    let Some(Event::Request { head, body }) = events.iter().nth(1) else { panic!("no request") };
     let head = head.to_ascii_lowercase();
     assert!(head.starts_with("post /transfer/wb-1?x=1 http/1.1\r\n"), "{head}");
     assert!(head.contains("x-end: 2") && head.contains("request-id: r-1"), "{head}");
@@ -209,14 +205,14 @@
 }
 
 #[test]
-fn exchange_bodies_of_any_method() {
+fn exchange_sends_body_with_any_method() {
     for method in ["GET", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "HEAD"] {
         for body in ["", "some"] {
             let text = if method == "HEAD" { "" } else { "all" };
-            let (to, seen) = server(vec![Act::Say(answer("200 OK", &[OWN], text))]);
-            let end = send(&client(), to, &request(method, &[], body));
-            assert_eq!(end.attempt, Attempt::Answered, "{method} with `{body}`");
-            let Some(Saw::Request { body: got, .. }) = seen.iter().nth(1) else { panic!() };
+            let (to, events) = server(vec![Action::Reply(response("200 OK", &[OWN], text))]);
+            let outcome = send(&client(), to, &request(method, &[], body));
+            assert_eq!(outcome.attempt, Attempt::Answered, "{method} with `{body}`");
+            let Some(Event::Request { body: got, .. }) = events.iter().nth(1) else { panic!() };
             assert_eq!(got, body, "{method}");
         }
     }
--- a/crates/proxy/tests/gate.rs
+++ b/crates/proxy/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Slots, the waiting queue, and who is refused at once.
+//! Slots, the queue of waiting requests, and immediate refusals.
 #![allow(clippy::unwrap_used)]
 
 use std::sync::Arc;
@@ -7,45 +7,45 @@
 
 use corianderfork_model::Name;
 use corianderfork_model::service::Class;
-use corianderfork_proxy::gate::{Gate, Slot, Want};
+use corianderfork_proxy::gate::{Gate, Slot, SlotRequest};
 use corianderfork_routing::limits::Fixed;
 use corianderfork_routing::outcome::{Attempt, Refusal, Refused, Why};
 use corianderfork_routing::router::Config;
 use corianderfork_routing::view::{Runner, Vm};
 use corianderfork_runtime::clock::Monotonic;
 
-const LONG: Duration = Duration::from_secs(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn name(text: &str) -> Name {
     Name::new(text).unwrap()
 }
 
-/// One runner with one slot, ticked as in the process.
+/// A gate with one runner and one slot, ticked as in the process.
 fn gate(queue: usize) -> (Arc<Gate>, Monotonic) {
     let clock = Monotonic::start();
     let config = Config::default().policy(Box::new(Fixed));
     let gate = Arc::new(Gate::new(clock, name("e1"), config, queue));
     gate.set_service(&name("transfer"), 1, 8);
     serve(&gate, 1);
-    let ticked = Arc::downgrade(&gate);
+    let weak = Arc::downgrade(&gate);
     thread::spawn(move || {
-        while let Some(gate) = ticked.upgrade() {
+        while let Some(gate) = weak.upgrade() {
             gate.tick();
             drop(gate);
             thread::sleep(Duration::from_millis(5));
         }
     });
-    // A new share rests for a while.
-    let slot = acquire(&gate, &clock, LONG).expect("the share is used in the end");
+    // A new share cannot be used for a while.
+    let slot = acquire(&gate, &clock, LONG_TIMEOUT).expect("a slot of the new share");
     gate.release(slot, Attempt::Answered);
     (gate, clock)
 }
 
-/// Waits until a request waits.
+/// Waits until a request is in the queue.
 fn until_waiting(gate: &Gate, clock: &Monotonic) {
-    let deadline = clock.now() + LONG;
+    let deadline = clock.now() + LONG_TIMEOUT;
     while gate.waiting() == 0 {
-        assert!(clock.now() < deadline, "nothing waits");
+        assert!(clock.now() < deadline, "no request is waiting");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -55,21 +55,21 @@
     gate.set_runners(Vm::new(name("v01"), revision).serving(true).runner(runner));
 }
 
-fn want<'a>(service: &'a Name, clock: &Monotonic, wait: Duration) -> Want<'a> {
-    Want { service, class: Class::Normal, exclude: &[], until: clock.now() + wait }
+fn slot_request<'a>(service: &'a Name, clock: &Monotonic, wait: Duration) -> SlotRequest<'a> {
+    SlotRequest { service, class: Class::Normal, exclude: &[], until: clock.now() + wait }
 }
 
 fn acquire(gate: &Gate, clock: &Monotonic, wait: Duration) -> Result<Slot, Refusal> {
-    gate.acquire(&want(&name("transfer"), clock, wait))
+    gate.acquire(&slot_request(&name("transfer"), clock, wait))
 }
 
 #[test]
-fn acquire_waits_for_a_slot() {
+fn acquire_waits_for_slot() {
     let (gate, clock) = gate(4);
-    let slot = acquire(&gate, &clock, LONG).unwrap();
+    let slot = acquire(&gate, &clock, LONG_TIMEOUT).unwrap();
     let waiting = {
         let gate = Arc::clone(&gate);
-        thread::spawn(move || acquire(&gate, &clock, LONG))
+        thread::spawn(move || acquire(&gate, &clock, LONG_TIMEOUT))
     };
     until_waiting(&gate, &clock);
     assert_eq!(gate.loads().waiting.get("transfer"), Some(&1));
@@ -81,59 +81,56 @@
 }
 
 #[test]
-fn acquire_full_queue_is_refused_at_once() {
-    // Symptom: a caller learns only at its deadline that nothing was done.
-    // Sequence: all slots and the queue are full.
-    // Cause: refusals are held until the deadline.
+fn acquire_with_full_queue_is_refused_at_once() {
+    // With all slots and the queue full, a request must be refused at once and not at its
+    // deadline.
     let (gate, clock) = gate(1);
-    let slot = acquire(&gate, &clock, LONG).unwrap();
+    let slot = acquire(&gate, &clock, LONG_TIMEOUT).unwrap();
     let waiting = {
         let gate = Arc::clone(&gate);
-        thread::spawn(move || acquire(&gate, &clock, LONG))
+        thread::spawn(move || acquire(&gate, &clock, LONG_TIMEOUT))
     };
     until_waiting(&gate, &clock);
     let before = clock.now();
-    let refusal = acquire(&gate, &clock, LONG).unwrap_err();
-    assert!(clock.now() - before < LONG / 2);
+    let refusal = acquire(&gate, &clock, LONG_TIMEOUT).unwrap_err();
+    assert!(clock.now() - before < LONG_TIMEOUT / 2);
     assert!(matches!(refusal.why, Why::QueueFull | Why::Hopeless), "{refusal}");
     gate.release(slot, Attempt::Answered);
     gate.release(waiting.join().unwrap().unwrap(), Attempt::Answered);
 }
 
 #[test]
-fn acquire_gives_up_when_its_time_is_over() {
-    // Symptom: a slot is in use for good, though nothing runs.
-    // Sequence: a request gives up waiting in the moment a slot is given to it.
-    // Cause: the slot goes to a thread that is no longer there.
+fn acquire_after_deadline_leaks_no_slot() {
+    // A slot granted to a request at the moment its wait ends must not leak.
     let (gate, clock) = gate(4);
-    let slot = acquire(&gate, &clock, LONG).unwrap();
+    let slot = acquire(&gate, &clock, LONG_TIMEOUT).unwrap();
     let refusal = acquire(&gate, &clock, Duration::from_millis(50)).unwrap_err();
     assert_eq!(refusal.why, Why::Hopeless);
     gate.release(slot, Attempt::Answered);
-    let slot = acquire(&gate, &clock, LONG).expect("the slot is free again");
+    let slot = acquire(&gate, &clock, LONG_TIMEOUT).expect("the slot is free again");
     gate.release(slot, Attempt::Answered);
 }
 
 #[test]
-fn drain_is_confirmed_after_the_last_slot() {
+fn drain_is_confirmed_after_last_slot() {
     let (gate, clock) = gate(4);
-    let slot = acquire(&gate, &clock, LONG).unwrap();
+    let slot = acquire(&gate, &clock, LONG_TIMEOUT).unwrap();
     let waiting = {
         let gate = Arc::clone(&gate);
-        thread::spawn(move || acquire(&gate, &clock, LONG))
+        thread::spawn(move || acquire(&gate, &clock, LONG_TIMEOUT))
     };
     until_waiting(&gate, &clock);
-    assert!(gate.drain(&name("v01"), 1));
+    assert!(gate.start_drain(&name("v01"), 1));
     assert!(!gate.is_drained(&name("v01"), 1));
-    // What waits is refused in the moment it waits in vain.
+    // Waiting requests are refused as soon as no runner serves them.
     let refusal = waiting.join().unwrap().unwrap_err();
     assert_eq!(refusal.why, Why::NoneServing);
-    let refusal = acquire(&gate, &clock, LONG).unwrap_err();
+    let refusal = acquire(&gate, &clock, LONG_TIMEOUT).unwrap_err();
     assert_eq!(refusal.why, Why::NoneServing);
     gate.release(slot, Attempt::Refused(Refused::Leaving));
     assert!(gate.is_drained(&name("v01"), 1) && !gate.is_drained(&name("v01"), 2));
     assert_eq!(gate.loads().leaving, [name("v01")]);
-    // A record of before the drain admits nothing.
+    // A record from before the drain does not start the VM serving again.
     serve(&gate, 2);
-    assert!(acquire(&gate, &clock, LONG).is_err());
+    assert!(acquire(&gate, &clock, LONG_TIMEOUT).is_err());
 }
--- a/crates/proxy/tests/members.rs
+++ b/crates/proxy/tests/members.rs
@@ -1,4 +1,4 @@
-//! Who is there, and what is passed on about them.
+//! The table of members and what is reported about them.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use corianderfork_proxy::members::Members;
 use corianderfork_wire::peer;
 
-const FORGET: Duration = Duration::from_secs(60);
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
 fn member(name: &str, incarnation: u64) -> Member {
     Member {
@@ -38,51 +38,49 @@
 }
 
 fn members() -> Members {
-    Members::new(Config::new(), member("e1", 1), FORGET).unwrap()
+    Members::new(Config::new(), member("e1", 1), FORGET_AFTER).unwrap()
 }
 
 #[test]
-fn acks_are_passed_on_for_their_incarnation_only() {
-    // Symptom: a VM is rebooted with a request in flight.
-    // Sequence: a proxy confirms a drain and is replaced; the new process has
-    // not heard of the drain, and sends work; the old one's word is passed on.
-    // Cause: confirmations are kept by name.
+fn acks_belong_to_one_incarnation() {
+    // The acks of a proxy must not be reported for its successor of the same name: the
+    // new process does not know of the drain and may send work, and the VM would be
+    // rebooted with a request in flight.
     let mut members = members();
     members.on_report(at(0), None, &report(&member("e2", 5), &[("v01", 3)]));
-    let passed = |members: &Members| members.seen(at(1), 0, Vec::new())[1].acks.len();
-    assert_eq!(passed(&members), 1);
+    let reported_acks = |members: &Members| members.seen(at(1), 0, Vec::new())[1].acks.len();
+    assert_eq!(reported_acks(&members), 1);
     members.on_report(at(1), None, &report(&member("e2", 6), &[]));
-    assert_eq!(passed(&members), 0);
+    assert_eq!(reported_acks(&members), 0);
     let old = members.on_report(at(1), None, &report(&member("e2", 5), &[("v01", 3)]));
-    assert_eq!((old, passed(&members)), (None, 0));
+    assert_eq!((old, reported_acks(&members)), (None, 0));
 }
 
 #[test]
-fn members_gone_are_forgotten_only_while_the_store_is_read() {
-    // Symptom: with the store down, no proxy counts as in touch any more.
-    // Sequence: entry VMs are replaced one by one; the old ones stay known and
-    // are in the end the majority.
-    // Cause: nobody is ever forgotten.
+fn members_gone_are_removed_only_while_store_is_read() {
+    // Members that are gone must be removed eventually. Entry VMs are replaced one by
+    // one; if the old ones stayed, they would become the majority, and with the store
+    // down no proxy would count as in touch.
     let mut members = members();
     let (own, other) = (member("e1", 1), member("e2", 1));
     assert!(members.on_store(at(0), at(0), 1, [&own, &other].into_iter()).is_empty());
-    // No longer listed, but it may be cut off from the store only.
+    // It is no longer listed, but it may only be cut off from the store.
     assert!(members.on_store(at(30), at(30), 2, [&own].into_iter()).is_empty());
     assert_eq!(members.len(), 2);
     assert!(members.on_store(at(61), at(61), 3, [&own].into_iter()).is_empty());
-    let gone = members.on_store(at(91), at(91), 4, [&own].into_iter());
-    assert_eq!(gone, [other.name]);
+    let removed = members.on_store(at(91), at(91), 4, [&own].into_iter());
+    assert_eq!(removed, [other.name]);
     assert!(members.in_touch(at(100)));
     assert_eq!(members.len(), 1);
 }
 
 #[test]
-fn in_touch_needs_the_store_or_answers_of_most() {
+fn in_touch_requires_store_or_majority() {
     let mut members = members();
     let listed = [member("e1", 1), member("e2", 1), member("e3", 1)];
     members.on_store(at(0), at(0), 1, listed.iter());
     assert!(members.in_touch(at(10)) && !members.in_touch(at(11)));
-    // Somebody else's call says nothing about this process's own calls.
+    // A call made by another member does not prove that this process can reach it.
     members.on_report(at(20), None, &report(&listed[1], &[]));
     assert!(!members.in_touch(at(20)));
     members.on_report(at(21), Some(at(20)), &report(&listed[1], &[]));
@@ -90,7 +88,7 @@
 }
 
 #[test]
-fn report_demands_survive_the_message() {
+fn report_demands_round_trip() {
     let loads = corianderfork_proxy::gate::Loads {
         report: corianderfork_routing::Report {
             demands: vec![corianderfork_routing::report::Demand {
@@ -107,9 +105,9 @@
         demands: convert::demands(&loads),
         ..peer::Report::default()
     };
-    let got = convert::report(&sent, &[]);
-    assert_eq!(got.demands, loads.report.demands);
-    // One that knows services only finds the waiting ones, once.
+    let received = convert::report(&sent, &[]);
+    assert_eq!(received.demands, loads.report.demands);
+    // A receiver that sums by service counts the waiting requests once.
     let of_service = sent.loads.iter().filter(|load| load.service == "transfer");
     assert_eq!(of_service.map(|load| load.in_flight + load.waiting).sum::<u32>(), 2);
 }
--- a/crates/proxy/tests/request.rs
+++ b/crates/proxy/tests/request.rs
@@ -1,7 +1,7 @@
-//! What callers may send.
+//! Validation of callers' requests.
 
 use corianderfork_proxy::request::{Head, MAX_HEADERS, MAX_PATH};
-use corianderfork_proxy::response::{Answer, Outcome};
+use corianderfork_proxy::response::{Outcome, Response};
 
 const ID: (&str, &str) = ("Request-Id", "r-1");
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn check_bad_input_is_not_run_and_names_the_remedy() {
+fn check_bad_input_is_not_run_and_names_remedy() {
     let long_path = format!("/lookup/{}", "x".repeat(MAX_PATH));
     let long_value = "x".repeat(MAX_HEADERS);
     let long_id = "x".repeat(65);
@@ -62,8 +62,8 @@
     for (head, status, remedy) in cases {
         let error = head.check().expect_err(&format!("{} {}", head.method, head.url));
         assert!(error.to_string().contains(remedy), "`{error}` has no `{remedy}`");
-        let answer = Answer::bad(&error);
-        assert_eq!((answer.status(), answer.outcome()), (status, Outcome::NotRun), "{error}");
+        let response = Response::bad_request(&error);
+        assert_eq!((response.status(), response.outcome()), (status, Outcome::NotRun), "{error}");
     }
 }
 
@@ -71,11 +71,11 @@
 fn check_good_input() {
     let key = ("Idempotency-Key", "017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
     let headers = [("request-ID", "A.b_c-9"), key, ("Content-Length", "3")];
-    let request = head("POST", "/transfer/wb-1?to=%20x", &headers).check().expect("fits");
+    let request = head("POST", "/transfer/wb-1?to=%20x", &headers).check().expect("valid request");
     assert_eq!(request.service.as_str(), "transfer");
     assert_eq!(request.path, "/transfer/wb-1?to=%20x");
     assert!(request.claim.is_some());
-    let bare = head("GET", "/lookup?x", &[ID]).check().expect("fits");
+    let bare = head("GET", "/lookup?x", &[ID]).check().expect("valid request");
     assert_eq!(bare.service.as_str(), "lookup");
     assert!(bare.claim.is_none());
 }
--- a/crates/proxy/tests/support/fleet.rs
+++ b/crates/proxy/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A platform and backend servers in this process, proxies as others.
+//! A platform and backend servers in this process, and proxies as child processes.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -13,10 +13,10 @@
 use corianderfork_standins::spawn::Process;
 use corianderfork_standins::{platform, runner};
 
-use super::{GENEROUS, raw};
+use super::{LONG_TIMEOUT, send_raw};
 
-/// Bounds the load of polling.
-const POLL: Duration = Duration::from_millis(5);
+/// The interval between polls, which bounds their load.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 pub const CONFIG: &str = "\
 [fleet]
@@ -57,7 +57,7 @@
 }
 
 impl Fleet {
-    /// A platform, and runners of `transfer` on `vms`; nothing in the store.
+    /// Starts a platform with an empty store, and runners of `transfer` on `vms`.
     pub fn start(test: &str, vms: &[&str]) -> Self {
         let platform = platform::start(listener(), platform::Config::default()).unwrap();
         let host = Host::new(runner::Config { warm_ms: 0, ..runner::Config::default() });
@@ -106,33 +106,33 @@
         self.put(&key::vm(&vm.parse().unwrap()), &record);
     }
 
-    /// A configuration in the store and all VMs serving.
+    /// Stores a configuration and marks all VMs as serving.
     pub fn serve(&self) {
         self.configure();
         self.runners.iter().for_each(|(vm, _)| self.vm(vm, Phase::Serving, 0));
     }
 
-    /// A proxy that nobody reaches, as far as the store says.
-    pub fn list_stranger(&self, name: &str) {
+    /// Stores the record of a proxy that is unreachable.
+    pub fn add_unreachable_proxy(&self, name: &str) {
         let name: corianderfork_model::Name = name.parse().unwrap();
         let peers = listener().local_addr().unwrap();
         let (role, data_centre) = (Role::Proxy, "kolkata".parse().unwrap());
         let key = key::member(role, &name);
-        let stranger = Member { name, role, incarnation: 1, data_centre, peers, callers: None };
-        self.put(&key, &stranger);
+        let member = Member { name, role, incarnation: 1, data_centre, peers, callers: None };
+        self.put(&key, &member);
     }
 
-    pub fn proxy(&self, name: &str, more: &str) -> Proxy {
-        self.proxy_by(name, more, &[])
+    pub fn proxy(&self, name: &str, extra_settings: &str) -> Proxy {
+        self.proxy_with_env(name, extra_settings, &[])
     }
 
-    /// Starts a proxy with `more` keys and `variables` in its environment.
-    pub fn proxy_by(&self, name: &str, more: &str, variables: &[&str]) -> Proxy {
+    /// Starts a proxy with additional settings and environment variables.
+    pub fn proxy_with_env(&self, name: &str, extra_settings: &str, variables: &[&str]) -> Proxy {
         let settings = self.folder.join(format!("{name}.ini"));
         let text = format!(
             "[process]\nname = {name}\ndata_centre = kolkata\nplatform = {}\n\
              peers = 127.0.0.1:0\n[proxy]\ncallers = 127.0.0.1:0\nworker_threads = 8\nqueue = 4\n\
-             {more}\n",
+             {extra_settings}\n",
             self.platform
         );
         std::fs::write(&settings, text).unwrap();
@@ -153,20 +153,20 @@
         post(self.platform, "/_fault", json);
     }
 
-    /// Requests that the backend server on `vm` has taken and not run to their
-    /// end.
+    /// Returns the number of requests that the backend server on `vm` has accepted and
+    /// not completed.
     pub fn in_flight(&self, vm: &str) -> u64 {
-        let text = raw(self.admin, b"GET /_runners HTTP/1.1\r\nConnection: close\r\n\r\n");
+        let text = send_raw(self.admin, b"GET /_runners HTTP/1.1\r\nConnection: close\r\n\r\n");
         let (_, body) = text.split_once("\r\n\r\n").unwrap();
-        let shown: serde_json::Value = serde_json::from_str(body).unwrap();
-        let runners = shown["runners"].as_array().unwrap().iter();
-        let here = runners.filter(|runner| runner["vm"] == vm);
-        here.map(|runner| runner["in_flight"].as_u64().unwrap()).sum()
+        let body_json: serde_json::Value = serde_json::from_str(body).unwrap();
+        let runners = body_json["runners"].as_array().unwrap().iter();
+        let on_vm = runners.filter(|runner| runner["vm"] == vm);
+        on_vm.map(|runner| runner["in_flight"].as_u64().unwrap()).sum()
     }
 
-    /// How often the key was run.
+    /// Returns how often the key was run.
     pub fn runs(&self, id: &str) -> usize {
-        let text = raw(self.admin, b"GET /_runs HTTP/1.1\r\nConnection: close\r\n\r\n");
+        let text = send_raw(self.admin, b"GET /_runs HTTP/1.1\r\nConnection: close\r\n\r\n");
         text.matches(&format!("\"{id}\"")).count()
     }
 }
@@ -174,8 +174,8 @@
 fn post(to: SocketAddr, path: &str, json: &str) {
     let length = json.len();
     let head = format!("POST {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: {length}\r\n");
-    let answer = raw(to, format!("{head}\r\n{json}").as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = send_raw(to, format!("{head}\r\n{json}").as_bytes());
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 pub struct Proxy {
@@ -187,7 +187,7 @@
 impl Proxy {
     pub fn get(&self, path: &str) -> String {
         let text = format!("GET {path} HTTP/1.1\r\nRequest-Id: r-1\r\nConnection: close\r\n\r\n");
-        raw(self.callers, text.as_bytes())
+        send_raw(self.callers, text.as_bytes())
     }
 
     pub fn transfer(&self, id: &str, key: &str) -> String {
@@ -195,17 +195,17 @@
             "POST /transfer/wb-1 HTTP/1.1\r\nRequest-Id: {id}\r\nIdempotency-Key: {key}\r\n\
              Connection: close\r\nContent-Length: 4\r\n\r\nmove"
         );
-        raw(self.callers, text.as_bytes())
+        send_raw(self.callers, text.as_bytes())
     }
 
-    /// Transfers until the claim could be made.
+    /// Retries the transfer until it gets a claim.
     pub fn transfer_soon(&self, id: &str, key: &str) -> String {
-        let mut answer = String::new();
+        let mut response = String::new();
         until(|| {
-            answer = self.transfer(id, key);
-            !answer.contains("Outcome: not-run")
+            response = self.transfer(id, key);
+            !response.contains("Outcome: not-run")
         });
-        answer
+        response
     }
 
     pub fn is_ready(&self) -> bool {
@@ -217,13 +217,12 @@
     }
 }
 
-/// Waits for `done`.
+/// Polls until `done` returns true.
 pub fn until(mut done: impl FnMut() -> bool) {
-    let deadline = Instant::now() + GENEROUS;
+    let deadline = Instant::now() + LONG_TIMEOUT;
     while !done() {
-        assert!(Instant::now() < deadline, "it took too long");
-        // Polls: what it waits for comes when it comes.
-        std::thread::sleep(POLL);
+        assert!(Instant::now() < deadline, "timed out waiting for a condition");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted backend servers, raw callers, and proxies as processes.
+//! Scripted backend servers, raw callers and proxy processes.
 #![allow(dead_code, clippy::unwrap_used, missing_docs)]
 
 pub mod fleet;
@@ -12,55 +12,62 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longer than anything here takes.
-pub const GENEROUS: Duration = Duration::from_secs(20);
+/// Longer than any step of a test takes.
+pub const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a scripted server does with one request.
-pub enum Act {
-    /// Writes this and keeps the connection open.
-    Say(String),
-    /// Writes this and closes.
-    SayAndClose(String),
-    /// Writes this, then nothing, the connection left open.
+pub enum Action {
+    /// Writes the text and keeps the connection open.
+    Reply(String),
+    /// Writes the text and closes the connection.
+    ReplyAndClose(String),
+    /// Writes the text and then nothing more; the connection stays open.
     Hang(String),
 }
 
-/// What a scripted server saw.
+/// What a scripted server received.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Saw {
+pub enum Event {
     Connection,
     Request {
         head: String,
         body: String,
     },
-    /// The other side closed the connection.
+    /// The connection was closed.
     Closed,
 }
 
-/// Serves each connection on a thread of its own, each request by the next act.
-pub fn server(acts: Vec<Act>) -> (SocketAddr, Receiver<Saw>) {
+/// Starts a server that handles each connection on its own thread and each request with
+/// the next action.
+pub fn server(actions: Vec<Action>) -> (SocketAddr, Receiver<Event>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (saw, seen) = channel();
-    let acts = Arc::new(Mutex::new(VecDeque::from(acts)));
+    let (events, received) = channel();
+    let actions = Arc::new(Mutex::new(VecDeque::from(actions)));
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (saw, acts) = (saw.clone(), Arc::clone(&acts));
-            thread::spawn(move || converse(&stream.unwrap(), &saw, &acts));
+            let (events, actions) = (events.clone(), Arc::clone(&actions));
+            thread::spawn(move || serve_connection(&stream.unwrap(), &events, &actions));
         }
     });
-    (address, seen)
+    (address, received)
 }
 
-fn converse(mut stream: &TcpStream, saw: &Sender<Saw>, acts: &Mutex<VecDeque<Act>>) {
-    let _ = saw.send(Saw::Connection);
+fn serve_connection(
+    mut stream: &TcpStream,
+    events: &Sender<Event>,
+    actions: &Mutex<VecDeque<Action>>,
+) {
+    let _ = events.send(Event::Connection);
     let mut reader = BufReader::new(stream);
     while let Some((head, body)) = read_request(&mut reader) {
-        let _ = saw.send(Saw::Request { head, body });
-        let act = acts.lock().unwrap().pop_front();
-        match act {
-            Some(Act::Say(text) | Act::Hang(text)) => stream.write_all(text.as_bytes()).unwrap(),
-            Some(Act::SayAndClose(text)) => {
+        let _ = events.send(Event::Request { head, body });
+        let action = actions.lock().unwrap().pop_front();
+        match action {
+            Some(Action::Reply(text) | Action::Hang(text)) => {
+                stream.write_all(text.as_bytes()).unwrap()
+            }
+            Some(Action::ReplyAndClose(text)) => {
                 stream.write_all(text.as_bytes()).unwrap();
                 break;
             }
@@ -68,7 +75,7 @@
         }
     }
     let _ = stream.shutdown(std::net::Shutdown::Both);
-    let _ = saw.send(Saw::Closed);
+    let _ = events.send(Event::Closed);
 }
 
 fn read_request(reader: &mut impl BufRead) -> Option<(String, String)> {
@@ -92,8 +99,8 @@
     Some((head, String::from_utf8(body).unwrap()))
 }
 
-/// A whole answer.
-pub fn answer(status: &str, headers: &[(&str, &str)], body: &str) -> String {
+/// Returns a complete response.
+pub fn response(status: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("HTTP/1.1 {status}\r\n");
     for (name, value) in headers {
         text += &format!("{name}: {value}\r\n");
@@ -102,9 +109,9 @@
 }
 
 /// Sends `text` on a new connection and reads until the other side closes.
-pub fn raw(to: SocketAddr, text: &[u8]) -> String {
+pub fn send_raw(to: SocketAddr, text: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).unwrap();
-    stream.set_read_timeout(Some(GENEROUS)).unwrap();
+    stream.set_read_timeout(Some(LONG_TIMEOUT)).unwrap();
     stream.write_all(text).unwrap();
     let mut out = Vec::new();
     let _ = stream.read_to_end(&mut out);
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -1,4 +1,4 @@
-//! Records from the store and from peers, in any order.
+//! The view, fed with records from the store and from peers in any order.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -52,11 +52,9 @@
 }
 
 #[test]
-fn config_older_never_comes_back() {
-    // Symptom: an accepted configuration is undone by nobody.
-    // Sequence: a newer one came from a peer; then the read of a store that
-    // answered late, and a peer that was cut off, bring the older one.
-    // Cause: the message heard last wins.
+fn config_older_is_ignored() {
+    // An older configuration must not replace a newer one. It can arrive later, from a
+    // slow read of the store or from a peer that was cut off.
     let mut view = View::default();
     let newer = CONFIG.replace("licences = 2", "licences = 3");
     let snapshot =
@@ -75,7 +73,7 @@
 }
 
 #[test]
-fn config_malformed_leaves_the_one_before_in_force() {
+fn config_malformed_keeps_previous_in_force() {
     let mut view = View::default();
     view.on_range(&range(vec![config(CONFIG, 1)], 1));
     for (text, revision) in [("[fleet", 2), ("[service.x]\npool = none\n", 3)] {
@@ -89,23 +87,21 @@
 }
 
 #[test]
-fn vm_older_record_does_not_undo_a_drain() {
-    // Symptom: a draining VM gets new work.
-    // Sequence: the drain comes by the watch, then a read that was sent before
-    // it, or a peer that had not heard of it.
-    // Cause: the record heard last wins.
+fn vm_older_record_does_not_undo_drain() {
+    // A draining VM must get no new work. After the watch reported the drain, an older
+    // record can arrive from a read sent before it, or from a peer that lags.
     let mut view = View::default();
     view.on_range(&range(vec![vm(Phase::Serving, 0, 3)], 3));
-    assert_eq!(view.serving().count(), 1);
+    assert_eq!(view.serving_addresses().count(), 1);
     view.on_changes(&changes(vec![vm(Phase::Draining, 1, 7)], 7));
     assert!(view.on_range(&range(vec![vm(Phase::Serving, 0, 3)], 6)).is_empty());
-    assert_eq!(view.serving().count(), 0);
+    assert_eq!(view.serving_addresses().count(), 0);
     assert_eq!(view.leaving().map(|(_, epoch)| epoch).collect::<Vec<_>>(), [1]);
     assert_eq!(view.store_revision(), 7);
 }
 
 #[test]
-fn snapshot_brings_all_to_a_new_process() {
+fn snapshot_contains_all_records() {
     let mut known = View::default();
     let holder = Holder {
         name: "e1".parse().unwrap(),
@@ -122,12 +118,12 @@
     let request = peer::SnapshotRequest { config_revision: 1, store_revision: 5 };
     let nothing = known.snapshot(&request);
     assert!(nothing.config.is_empty() && nothing.vms.is_empty());
-    // A record that is gone in the store is gone here as well.
+    // A record that is missing in a later read is removed.
     let effects = new.on_range(&range(vec![config(CONFIG, 1)], 8));
-    assert!(matches!(effects[..], [Effect::VmGone(_, 8)]), "{effects:?}");
+    assert!(matches!(effects[..], [Effect::VmRemoved(_, 8)]), "{effects:?}");
 }
 
-fn wish(revision: u64) -> Entry {
+fn drain_request(revision: u64) -> Entry {
     entry("shared/drain/v01", r#"{"by":"asha","reason":"fan"}"#.to_owned(), revision)
 }
 
@@ -138,7 +134,7 @@
     })
 }
 
-fn routed(revision: u64, serving: bool) -> corianderfork_routing::view::Vm {
+fn router_vm(revision: u64, serving: bool) -> corianderfork_routing::view::Vm {
     corianderfork_routing::view::Vm::new("v01".parse().unwrap(), revision)
         .epoch(0)
         .serving(serving)
@@ -150,89 +146,83 @@
 }
 
 #[test]
-fn drain_wished_while_no_controller_answers() {
-    // Symptom: a VM whose drain was accepted gets requests for the whole
-    // outage of the store.
-    // Sequence: the wish is written; the store goes down before a controller
-    // has changed the VM's record; the wish ends later.
-    // Cause: proxies follow VM records alone.
+fn drain_request_without_controller_stops_serving() {
+    // A VM whose drain was accepted must get no requests, even if the store goes down
+    // before a controller has changed the record of the VM. Withdrawing the request ends
+    // the drain.
     let mut view = View::default();
     view.on_range(&range(vec![vm(Phase::Serving, 0, 4)], 4));
-    let effects = view.on_changes(&changes(vec![wish(7)], 7));
-    assert_eq!(last_vm(&effects), Some(routed(7, false)));
+    let effects = view.on_changes(&changes(vec![drain_request(7)], 7));
+    assert_eq!(last_vm(&effects), Some(router_vm(7, false)));
     let end = Change { key: "shared/drain/v01".to_owned(), revision: Revision(9), entry: None };
     let effects = view.on_changes(&Changes { revision: Revision(9), changes: vec![end] });
-    assert_eq!(last_vm(&effects), Some(routed(9, true)));
+    assert_eq!(last_vm(&effects), Some(router_vm(9, true)));
 }
 
 #[test]
-fn drain_wished_reaches_a_proxy_that_is_cut_off_by_its_peers() {
-    // Symptom: one proxy alone still sends to a drained VM.
-    // Sequence: it is cut off from the store; the drain is accepted; a peer
-    // sends what it knows.
-    // Cause: peers pass on VM records, and the controller has not written yet.
+fn drain_request_in_snapshot_reaches_cut_off_proxy() {
+    // A proxy that is cut off from the store must learn of a drain request from the
+    // snapshot of a peer; the record of the VM does not show the drain yet.
     let (mut cut_off, mut peer) = (View::default(), View::default());
     let start = range(vec![vm(Phase::Serving, 0, 4)], 4);
     cut_off.on_range(&start);
     peer.on_range(&start);
-    peer.on_changes(&changes(vec![wish(7)], 7));
-    let asked = peer::SnapshotRequest { store_revision: 4, ..Default::default() };
-    let effects = cut_off.on_snapshot(&peer.snapshot(&asked));
-    assert_eq!(last_vm(&effects), Some(routed(7, false)));
+    peer.on_changes(&changes(vec![drain_request(7)], 7));
+    let snapshot_request = peer::SnapshotRequest { store_revision: 4, ..Default::default() };
+    let effects = cut_off.on_snapshot(&peer.snapshot(&snapshot_request));
+    assert_eq!(last_vm(&effects), Some(router_vm(7, false)));
 }
 
 #[test]
-fn drain_wished_reaches_a_proxy_that_is_cut_off_by_a_report() {
-    // Symptom: one proxy alone sends to a drained VM for some seconds.
-    // Sequence: it is cut off from the store; the drain is accepted; peers tell
-    // what they know, before the controller has written the VM's record.
-    // Cause: reports tell of VM records alone, and all records are asked for
-    // only once the store has been silent for some seconds.
+fn drain_request_in_report_reaches_cut_off_proxy() {
+    // A proxy that is cut off from the store must learn of a drain request from the
+    // report of a peer: it requests a snapshot only after the store has been silent for
+    // some seconds.
     let (mut cut_off, mut peer) = (View::default(), View::default());
     let start = range(vec![vm(Phase::Serving, 0, 4)], 4);
     cut_off.on_range(&start);
     peer.on_range(&start);
-    peer.on_changes(&changes(vec![wish(7)], 7));
-    let effects = cut_off.on_wishes(&peer.wishes());
-    assert_eq!(last_vm(&effects), Some(routed(7, false)));
-    assert_eq!(cut_off.on_wishes(&peer.wishes()), [], "told again");
-    assert_eq!(cut_off.wishes(), peer.wishes(), "passed on");
-    // The record says it now, with an epoch.
+    peer.on_changes(&changes(vec![drain_request(7)], 7));
+    let effects = cut_off.on_peer_drains(&peer.pending_drains());
+    assert_eq!(last_vm(&effects), Some(router_vm(7, false)));
+    assert_eq!(cut_off.on_peer_drains(&peer.pending_drains()), [], "reported twice");
+    assert_eq!(cut_off.pending_drains(), peer.pending_drains(), "forwarded");
+    // The record now shows the drain, with an epoch.
     peer.on_changes(&changes(vec![vm(Phase::Draining, 1, 8)], 8));
-    assert_eq!(peer.wishes(), []);
+    assert_eq!(peer.pending_drains(), []);
 }
 
-// Guards against records that are never read, since a watch of drains passed them by.
+// A watch of drain requests must not advance the synced revision, or records that changed
+// meanwhile would never be read.
 #[test]
-fn drain_changes_leave_the_revision_of_all_records() {
+fn drain_changes_keep_store_revision() {
     let mut view = View::default();
     view.on_range(&range(vec![vm(Phase::Serving, 0, 4)], 4));
-    let effects = view.on_drain_changes(&changes(vec![wish(7)], 7));
-    assert_eq!(last_vm(&effects), Some(routed(7, false)));
+    let effects = view.on_drain_changes(&changes(vec![drain_request(7)], 7));
+    assert_eq!(last_vm(&effects), Some(router_vm(7, false)));
     assert_eq!(view.store_revision(), 4);
-    assert_eq!(view.on_changes(&changes(vec![wish(7)], 7)), [], "told again");
+    assert_eq!(view.on_changes(&changes(vec![drain_request(7)], 7)), [], "reported twice");
 }
 
-// Guards against a VM that gets nothing, for a drain that was taken back before all records
-// were read.
+// A drain request withdrawn before the last read of all records must not take effect
+// again, or the VM would get no requests.
 #[test]
-fn drains_read_before_all_records() {
+fn drains_older_than_last_read_are_ignored() {
     let mut view = View::default();
     view.on_range(&range(vec![vm(Phase::Serving, 0, 4)], 9));
-    assert_eq!(view.on_drains(&[wish(7)]), []);
-    assert_eq!(last_vm(&view.on_drains(&[wish(11)])), Some(routed(11, false)));
+    assert_eq!(view.on_drains(&[drain_request(7)]), []);
+    assert_eq!(last_vm(&view.on_drains(&[drain_request(11)])), Some(router_vm(11, false)));
 }
 
 #[test]
-fn drain_taken_back_is_not_brought_back_by_a_peer_that_lags() {
-    // Symptom: a VM that serves again gets nothing from one proxy, for good.
-    // Sequence: a proxy starts after a drain was taken back; a peer that is cut
-    // off still tells of the wish.
-    // Cause: a wish that is not known is taken for a new one.
+fn drain_withdrawn_is_not_restored_by_lagging_peer() {
+    // A withdrawn drain request, reported by a peer that is cut off, must not be taken
+    // for a new one by a proxy that started later; the VM would get no requests from it
+    // for ever.
     let (mut new, mut lagging) = (View::default(), View::default());
     lagging.on_range(&range(vec![vm(Phase::Serving, 0, 4)], 4));
-    lagging.on_changes(&changes(vec![wish(7)], 7));
+    lagging.on_changes(&changes(vec![drain_request(7)], 7));
     new.on_range(&range(vec![vm(Phase::Serving, 0, 4)], 9));
-    assert_eq!(new.on_wishes(&lagging.wishes()), []);
-    assert_eq!(new.wishes(), []);
+    assert_eq!(new.on_peer_drains(&lagging.pending_drains()), []);
+    assert_eq!(new.pending_drains(), []);
 }
