--- a/crates/proxy/src/claimant.rs
+++ b/crates/proxy/src/claimant.rs
@@ -15,18 +15,18 @@
 use crate::inbox::Inbox;
 use crate::shared::Shared;
 
-/// The minimum time left for an attempt to be worthwhile.
+/// The minimum remaining time for a claim request to be worthwhile.
 const MIN_WAIT: Duration = Duration::from_millis(20);
-/// The share of the timeout available to the first attempt.
+/// The share of the remaining time that the first claim request may take.
 const FIRST_WAIT_SHARE: f32 = 0.6;
 /// The timeout of a settlement; no thread waits for it.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The default retry delay if the owner gives none.
+/// The delay before a retry if the owner gives none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A claim request to a shard, from this process or a peer.
 pub struct Request {
-    /// The request.
+    /// The id to claim.
     pub id: Id,
     /// The attempt that wants to run the request.
     pub attempt: Attempt,
@@ -40,7 +40,7 @@
     Claim(Request),
     /// Reports the end of an attempt.
     Settle {
-        /// The request.
+        /// The claimed id.
         id: Id,
         /// The attempt.
         attempt: Attempt,
@@ -62,7 +62,8 @@
 pub enum Decision {
     /// The attempt may send the request.
     Granted(Grant),
-    /// The attempt must not send the request and has not run it.
+    /// The attempt must not send the request, and has not run it. Holds the verdict and
+    /// the delay before a retry.
     Refused(Verdict, Duration),
 }
 
@@ -102,19 +103,20 @@
         let mut last_reply = peer::ClaimReply::default();
         let mut last_owner: Option<Holder> = None;
         let mut unanswered = false;
-        // A request without a reply may be repeated for the same attempt: the connection
-        // may have gone silent, or the shard has a new owner.
+        // A claim request without a reply may be repeated for the same attempt: the
+        // connection may have gone silent, or the shard has a new owner.
         for _ in 0..2 {
-            let left = deadline.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let Some(owner) = self.shared.directory().owners.get(&self.shard(id)).cloned() else {
                 break;
             };
             let denied =
                 last_reply.verdict() == Verdict::NotOwner && last_owner.as_ref() == Some(&owner);
-            if left < MIN_WAIT || denied {
+            if remaining < MIN_WAIT || denied {
                 break;
             }
-            let wait = if last_owner.is_none() { left.mul_f32(FIRST_WAIT_SHARE) } else { left };
+            let wait =
+                if last_owner.is_none() { remaining.mul_f32(FIRST_WAIT_SHARE) } else { remaining };
             last_reply = self.request_claim(&owner, id, attempt, wait);
             last_owner = Some(owner);
             match last_reply.verdict() {
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -155,7 +155,7 @@
                 }
             }
             Message::Journal(token, answer) => {
-                // Ignore answers to an earlier machine.
+                // An answer to an earlier machine does not apply to this one.
                 if self.machine.as_ref().is_some_and(|(current, _)| *current == token) {
                     self.feed_claim(cx, Event::Store(answer));
                 }
@@ -182,11 +182,11 @@
             after!(at - now, [cx], wake_lease(at));
         }
         for action in actions {
-            self.execute_lease(cx, action);
+            self.execute_lease_action(cx, action);
         }
     }
 
-    fn execute_lease(&mut self, cx: CX![], action: lease::Action) {
+    fn execute_lease_action(&mut self, cx: CX![], action: lease::Action) {
         match action {
             lease::Action::Started { token } => return self.start_takeover(cx, token),
             lease::Action::Stopped => return self.drop_machine(),
@@ -200,9 +200,9 @@
                 let _ = inbox.send_wait(Message::Lease(holder, answer));
             }
         };
-        let sent =
+        let submitted =
             execute(&self.access.pool, &self.access.store, &self.registration, action, on_answer);
-        if sent.is_err() && awaited {
+        if submitted.is_err() && awaited {
             call!([cx], on_message(Message::Lease(holder, lease::Answer::Failed)));
         }
     }
@@ -217,7 +217,7 @@
     }
 
     /// Ends ownership and refuses all pending claim requests. A claim that was written
-    /// nevertheless stays taken, which runs nothing twice.
+    /// nevertheless stays taken, so it is never run twice.
     fn drop_machine(&mut self) {
         if self.machine.take().is_some() {
             ::log::info!(shard = self.shard; "lost ownership of a claim shard");
@@ -234,7 +234,7 @@
     }
 
     fn feed_claim(&mut self, cx: CX![], event: Event) {
-        // This machine uses Unix time, because ids contain it.
+        // The state machine uses Unix time, because ids contain it.
         let now = Time::from_millis(clock::unix_millis());
         let Some((token, machine)) = &mut self.machine else { return };
         let token = *token;
@@ -247,11 +247,11 @@
             after!(at - now, [cx], wake_claim(at));
         }
         for action in actions {
-            self.execute_claim(cx, token, action);
+            self.execute_claim_action(cx, token, action);
         }
     }
 
-    fn execute_claim(&mut self, cx: CX![], token: Token, action: Action) {
+    fn execute_claim_action(&mut self, cx: CX![], token: Token, action: Action) {
         match action {
             Action::Reply { key, verdict } => {
                 if let Some(reply) = self.pending_replies.remove(&key) {
@@ -268,7 +268,7 @@
     }
 
     fn call_store(&self, cx: CX![], token: Token, action: Action) {
-        let Some(failed) = journal::failure(&action) else { return };
+        let Some(failure) = journal::failed_answer(&action) else { return };
         let (store, shard) = (Arc::clone(&self.access.store), self.shard);
         let inbox = self.inboxes.own.clone();
         let job = move || {
@@ -277,7 +277,7 @@
             }
         };
         if self.access.pool.submit(job).is_err() {
-            call!([cx], on_message(Message::Journal(token, failed)));
+            call!([cx], on_message(Message::Journal(token, failure)));
         }
     }
 }
--- a/crates/proxy/src/claims/journal.rs
+++ b/crates/proxy/src/claims/journal.rs
@@ -6,7 +6,7 @@
 
 /// Returns the answer that reports `action` as failed without a call; `None` if it needs
 /// no call.
-pub(super) fn failure(action: &Action) -> Option<Answer> {
+pub(super) fn failed_answer(action: &Action) -> Option<Answer> {
     match action {
         Action::Put { segment, .. } => Some(Answer::PutUnavailable { segment: *segment }),
         Action::Read { segment } => Some(Answer::ReadFailed { segment: *segment }),
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -101,17 +101,17 @@
         deadline: Instant,
         idle: usize,
     ) -> Outcome {
-        let left = deadline.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Outcome::without_response(Attempt::NotSent);
         }
         let outcome = match request.claim {
-            Some(_) => self.send_unpooled(to, request, left),
-            None => self.send_pooled(to, request, left, idle),
+            Some(_) => self.send_unpooled(to, request, remaining),
+            None => self.send_pooled(to, request, remaining, idle),
         };
         if matches!(outcome.attempt, Attempt::Unknown(_)) {
-            // Other connections to the address may be affected as well: a connection that
-            // went silent is often not the only one.
+            // Other connections to the address may also carry late or mismatched
+            // responses, and a connection that went silent is often not the only one.
             self.close_idle(to);
         }
         outcome
@@ -129,10 +129,10 @@
         agents.retain(|address, _| keep(address));
     }
 
-    fn send_unpooled(&self, to: SocketAddr, request: &Request, left: Duration) -> Outcome {
+    fn send_unpooled(&self, to: SocketAddr, request: &Request, remaining: Duration) -> Outcome {
         let probe = Arc::new(WriteProbe::default());
         let agent = self.agent(0, &probe);
-        match self.send(&agent, to, request, left) {
+        match self.send(&agent, to, request, remaining) {
             Ok(outcome) => outcome,
             Err(_) if !probe.was_sent() => Outcome::without_response(Attempt::NotSent),
             Err(error) => Outcome::unknown(classify_doubt(&error)),
@@ -143,7 +143,7 @@
         &self,
         to: SocketAddr,
         request: &Request,
-        left: Duration,
+        remaining: Duration,
         idle: usize,
     ) -> Outcome {
         let agent = {
@@ -151,7 +151,7 @@
             let new_agent = || self.agent(idle, &Arc::new(WriteProbe::default()));
             agents.entry(to).or_insert_with(new_agent).clone()
         };
-        match self.send(&agent, to, request, left) {
+        match self.send(&agent, to, request, remaining) {
             Ok(outcome) => outcome,
             Err(error) if is_connect_error(&error) => Outcome::without_response(Attempt::NotSent),
             Err(error) => Outcome::unknown(classify_doubt(&error)),
@@ -182,7 +182,7 @@
         agent: &ureq::Agent,
         to: SocketAddr,
         request: &Request,
-        left: Duration,
+        remaining: Duration,
     ) -> Result<Outcome, ureq::Error> {
         let mut message = http::Request::builder()
             .method(request.method.clone())
@@ -191,7 +191,7 @@
             message = message.header(name, value);
         }
         let message = message.body(request.body.clone()).map_err(ureq::Error::Http)?;
-        let message = agent.configure_request(message).timeout_global(Some(left)).build();
+        let message = agent.configure_request(message).timeout_global(Some(remaining)).build();
         let response = if request.body.is_empty() {
             agent.run(message.map(|_| ()))?
         } else {
--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -15,8 +15,8 @@
 use crate::inbox::Inbox;
 use crate::membership::StoreAccess;
 
-/// How long after an outage of the store peers are notified at once: longer than the
-/// longest backoff of a reader.
+/// How long after the store is reachable again peers are notified of newer revisions at
+/// once: longer than the longest backoff of a reader.
 const RECOVERY_PERIOD: Duration = Duration::from_secs(1);
 
 /// Returns the store revision up to which `news` is complete; 0 if the read failed.
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -223,10 +223,10 @@
     }
 
     fn may_retry(&self, progress: &Progress<'_>, last: Attempt) -> bool {
-        let left = progress.deadline.saturating_duration_since(Instant::now());
+        let remaining = progress.deadline.saturating_duration_since(Instant::now());
         let idempotent = progress.request.claim.is_none();
         progress.tries < MAX_TRIES
-            && !left.is_zero()
+            && !remaining.is_zero()
             && last.may_retry(idempotent)
             && self.shared.in_touch()
             && self.shared.gate.take_retry(&progress.request.service)
@@ -235,9 +235,9 @@
     /// A try that another may follow uses only a part of the time: its connection may
     /// have gone silent while a new one would work.
     fn try_deadline(&self, progress: &Progress<'_>) -> Instant {
-        let another = progress.request.claim.is_none() && progress.tries < MAX_TRIES;
+        let may_try_again = progress.request.claim.is_none() && progress.tries < MAX_TRIES;
         let try_deadline = Instant::now() + self.config.try_timeout;
-        if another { try_deadline.min(progress.deadline) } else { progress.deadline }
+        if may_try_again { try_deadline.min(progress.deadline) } else { progress.deadline }
     }
 
     fn no_slot_response(&self, progress: &mut Progress<'_>, refusal: &Refusal) -> Response {
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -146,7 +146,7 @@
         receiver.try_recv().unwrap_or_else(|_| Err(wait_ended()))
     }
 
-    /// Returns a slot with the result of its try.
+    /// Gives a slot back with the result of its try.
     pub fn release(&self, slot: Slot, attempt: Attempt) {
         let now = self.clock.now();
         let mut inner = self.lock();
--- a/crates/proxy/src/hub.rs
+++ b/crates/proxy/src/hub.rs
@@ -128,7 +128,7 @@
     /// Updates for the data path whether this process is in touch.
     pub fn refresh_in_touch(&self, now: Time) {
         let members = self.members.borrow();
-        // Checked for the end of the period for which the report is valid.
+        // The report stays valid for a while, so check the end of that period.
         if members.in_touch(now + IN_TOUCH_TTL) {
             self.shared.set_in_touch(now);
         }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,8 +3,8 @@
 //! A proxy runs on each entry VM, behind the platform's load balancer. It chooses a
 //! runner of the requested service, forwards the request and responds with one of three
 //! outcomes, which the header `Outcome` states: the complete response of the backend
-//! server, *not run* with a time after which to retry, or *unknown*. Small modules
-//! establish each of them:
+//! server, *not run* with a time after which to retry, or *unknown*. The work is divided
+//! among small modules:
 //!
 //! * [`request`] validates requests; [`response`] builds responses.
 //! * [`exchange`] makes one try at a backend server and checks that the response is
--- a/crates/proxy/src/membership.rs
+++ b/crates/proxy/src/membership.rs
@@ -113,9 +113,9 @@
                 let _ = inbox.send_wait(Message::Store(answer));
             }
         };
-        let sent =
+        let submitted =
             execute(&self.access.pool, &self.access.store, &self.registration, action, on_answer);
-        if sent.is_err() && awaited {
+        if submitted.is_err() && awaited {
             call!([cx], on_message(Message::Store(Answer::Failed)));
         }
     }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -41,8 +41,8 @@
 const CORE_QUEUE: usize = 8192;
 /// Capacity of the queue of store calls.
 const STORE_QUEUE: usize = 256;
-/// How long the demand in a peer's last report counts: a few times the interval at which
-/// two proxies call each other.
+/// How long the demand in a peer's last report counts: a few times the period within
+/// which any two proxies call each other.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Threads for store calls, in addition to one per shard.
 const STORE_THREADS: usize = 3;
@@ -50,7 +50,7 @@
 const CACHE: (usize, usize) = (1024, 16 << 20);
 /// How long a member that the store no longer lists is kept.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// How long after its timeout a request may still be in flight.
+/// How long after its timeout a request may take to be answered.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(2);
 
 /// Why the process cannot start or has failed.
@@ -104,14 +104,14 @@
 /// Fails if the proxy cannot start or ends abnormally.
 pub fn run(settings: Settings, ready: impl FnOnce(Bound)) -> Result<(), Error> {
     let mut started = Ok(());
-    let ended = core::run(CORE_QUEUE, |stakker, handle| {
+    let result = core::run(CORE_QUEUE, |stakker, handle| {
         started = start(stakker, handle, settings).map(ready);
         if started.is_err() {
             stakker.shutdown(stakker::StopCause::Stopped);
         }
     });
     started?;
-    Ok(ended?)
+    Ok(result?)
 }
 
 fn start(stakker: &mut Stakker, handle: Handle, settings: Settings) -> Result<Bound, Error> {
@@ -138,13 +138,13 @@
         inboxes.targets.shards.iter().map(|shard| shard.claims.clone()).collect(),
         settings.claim_timeout,
     );
-    let limits = forward::Config {
+    let forward_config = forward::Config {
         request_timeout: settings.request_timeout,
         try_timeout: settings.try_timeout,
         queue_wait: settings.queue_wait,
     };
     let cache = Cache::new(CACHE.0, CACHE.1);
-    let forwarder = Forwarder::new(limits, Arc::clone(&shared), claimant, cache);
+    let forwarder = Forwarder::new(forward_config, Arc::clone(&shared), claimant, cache);
     let serve_config =
         serve::Config { worker_threads: settings.worker_threads, max_body: settings.max_body };
     let stop_inbox = inboxes.stop.clone();
@@ -195,10 +195,10 @@
     let config = router::Config::default().seed(clock::seed()).peer_timeout(PEER_TIMEOUT);
     let name = settings.process.name.clone();
     let gate = Gate::new(clock, name, config, settings.queue);
-    let calls = exchange::Config::default()
+    let client_config = exchange::Config::default()
         .connect_timeout(settings.connect_timeout)
         .max_response(settings.max_response);
-    Shared::new(clock, gate, exchange::Client::new(calls), Metrics::new())
+    Shared::new(clock, gate, exchange::Client::new(client_config), Metrics::new())
 }
 
 fn new_store(settings: &Settings) -> Arc<Counted<http::Client>> {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -79,8 +79,8 @@
     let listener = configure_listener(TcpListener::bind(listen)?)?;
     let bound = listener.local_addr()?;
     let server = Server::from_listener(listener, None).map_err(std::io::Error::other)?;
-    let readiness = Arc::clone(&shared);
-    let ready: Ready = Arc::new(move || readiness.unready_reason());
+    let shared_for_ready = Arc::clone(&shared);
+    let ready: Ready = Arc::new(move || shared_for_ready.unready_reason());
     let responder =
         Responder::start(Arc::clone(&shared), config.max_body, Arc::clone(&on_failure))?;
     let body_readers = AtomicUsize::new(0);
--- a/crates/proxy/src/serve/responder.rs
+++ b/crates/proxy/src/serve/responder.rs
@@ -13,8 +13,8 @@
 
 /// tiny_http reads bodies up to this size, in bytes, before it returns the request.
 const READ_AHEAD: usize = 1024;
-/// How much of an unread body is discarded to keep the connection usable, as a multiple
-/// of the maximum body size.
+/// The largest unread body that is read and discarded, as a multiple of the maximum body
+/// size; a connection with a longer one is abandoned.
 const DRAIN_FACTOR: usize = 4;
 /// The number of threads that discard unread bodies, and the capacity of their queue.
 const DRAIN_THREADS_AND_QUEUE: (usize, usize) = (2, 16);
--- a/crates/proxy/src/takeover.rs
+++ b/crates/proxy/src/takeover.rs
@@ -21,7 +21,7 @@
 /// compare-and-swap of the store decides.
 ///
 /// ```
-/// use corianderfork_proxy::takeover;
+/// use corianderfork_proxy::takeover::delay;
 /// # use corianderfork_provider::record::{Member, Role};
 /// # use corianderfork_model::Name;
 /// # let proxy = |name: &str| Member {
@@ -30,10 +30,10 @@
 /// #     peers: "127.0.0.1:1".parse().expect("an address"), callers: None,
 /// # };
 /// let members = [proxy("e1"), proxy("e2"), proxy("e3")];
-/// let mut delays: Vec<_> = members.iter().map(|me| takeover::delay(0, me, members.iter())).collect();
+/// let mut delays: Vec<_> = members.iter().map(|me| delay(0, me, members.iter())).collect();
 /// delays.dedup();
 /// assert_eq!(delays.len(), 3); // one after another
-/// assert_eq!(takeover::delay(0, &proxy("e4"), members.iter()), None);
+/// assert_eq!(delay(0, &proxy("e4"), members.iter()), None);
 /// ```
 pub fn delay<'a>(
     shard: u32,
--- a/crates/proxy/tests/exchange.rs
+++ b/crates/proxy/tests/exchange.rs
@@ -48,9 +48,9 @@
     // A redirect must not be followed. The backend server answers a POST with 307 and a
     // Location; HTTP clients follow redirects by default and would send the body to
     // another server, or run the transfer twice.
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    elsewhere.set_nonblocking(true).unwrap();
-    let location = format!("http://{}/transfer", elsewhere.local_addr().unwrap());
+    let redirect_target = TcpListener::bind("127.0.0.1:0").unwrap();
+    redirect_target.set_nonblocking(true).unwrap();
+    let location = format!("http://{}/transfer", redirect_target.local_addr().unwrap());
     let text = response("307 Temporary Redirect", &[OWN, ("Location", &location)], "");
     let (to, events) = server(vec![Action::Reply(text.clone()), Action::Reply(text)]);
     for request in [transfer(), lookup()] {
@@ -58,7 +58,7 @@
         assert_eq!(outcome.attempt, Attempt::Answered);
         assert_eq!(outcome.response.unwrap().status(), 307);
     }
-    assert!(elsewhere.accept().is_err(), "the redirect was followed");
+    assert!(redirect_target.accept().is_err(), "the redirect was followed");
     drop(events);
 }
 
--- a/crates/proxy/tests/process.rs
+++ b/crates/proxy/tests/process.rs
@@ -15,9 +15,9 @@
 fn serve_ignores_proxy_variables() {
     // Proxy variables in the environment must be ignored. HTTP clients read them by
     // default and would send every request to another server.
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    elsewhere.set_nonblocking(true).unwrap();
-    let url = format!("http://{}", elsewhere.local_addr().unwrap());
+    let env_proxy = TcpListener::bind("127.0.0.1:0").unwrap();
+    env_proxy.set_nonblocking(true).unwrap();
+    let url = format!("http://{}", env_proxy.local_addr().unwrap());
     let variables = ["http_proxy", "HTTP_PROXY", "ALL_PROXY"].map(|name| format!("{name}={url}"));
     let fleet = Fleet::start("environment", &["v01", "v02"]);
     fleet.serve();
@@ -27,7 +27,7 @@
     let response = proxy.transfer_soon("t-1", &key);
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert_eq!(fleet.runs(&key), 1);
-    assert!(elsewhere.accept().is_err(), "a request went to the proxy of the environment");
+    assert!(env_proxy.accept().is_err(), "a request went to the proxy of the environment");
 }
 
 #[test]
@@ -43,11 +43,14 @@
         let key = new_key();
         let first = e1.transfer_soon("t-1", &key);
         assert!(first.contains("Outcome: answered"), "{first}");
-        let here = e1.transfer("t-2", &key);
-        assert!(here.contains("Outcome: answered") && here.contains("Request-Id: t-2"), "{here}");
-        let elsewhere = e2.transfer("t-3", &key);
-        assert!(elsewhere.starts_with("HTTP/1.1 409"), "{elsewhere}");
-        assert!(elsewhere.contains("Outcome: unknown"), "{elsewhere}");
+        let retry = e1.transfer("t-2", &key);
+        assert!(
+            retry.contains("Outcome: answered") && retry.contains("Request-Id: t-2"),
+            "{retry}"
+        );
+        let other = e2.transfer("t-3", &key);
+        assert!(other.starts_with("HTTP/1.1 409"), "{other}");
+        assert!(other.contains("Outcome: unknown"), "{other}");
         assert_eq!(fleet.runs(&key), 1);
     }
 }
