--- a/crates/jobs/src/pool/order.rs
+++ b/crates/jobs/src/pool/order.rs
@@ -7,8 +7,8 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::ends::AVOID;
-use super::table::{At, Phase};
+use super::entry::{At, Phase};
+use super::exits::AVOID;
 use crate::job::Room;
 use crate::task;
 use crate::worker::{self, Worker};
@@ -35,12 +35,12 @@
     /// The number of the start.
     pub run: u64,
     /// What to do with it.
-    pub what: What,
+    pub action: Action,
 }
 
 /// What an order asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Action {
     /// Start the task, under a lease until `deadline_ms` on the worker's clock.
     Start {
         /// What to run.
@@ -85,7 +85,7 @@
 
 impl Pool {
     /// Takes in the answer to an order.
-    pub fn ordered(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
+    pub fn handle_order_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
         match answer {
             Answer::Fenced => return self.depose(order.worker),
             Answer::Gone => {
@@ -98,10 +98,10 @@
             }
             _ => {}
         }
-        match order.what {
-            What::Start { .. } => self.started(now, order, answer),
-            What::Stop => self.stopped(now, order, answer),
-            What::Pace(percent) => self.paced(order, percent, answer),
+        match order.action {
+            Action::Start { .. } => self.started(now, order, answer),
+            Action::Stop => self.stopped(now, order, answer),
+            Action::Pace(percent) => self.paced(order, percent, answer),
         }
     }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    fn current(&mut self, order: &Order) -> Option<&mut super::table::Place> {
+    fn current(&mut self, order: &Order) -> Option<&mut super::entry::Place> {
         let place = self.entry_mut(order.task.job)?.place_mut(order.task)?;
         (place.run == order.run && place.worker == order.worker).then_some(place)
     }
@@ -186,7 +186,7 @@
         key: worker::Key,
         task: task::Name,
         run: u64,
-        what: What,
+        action: Action,
     ) -> Option<Order> {
         let worker = self.workers.get(key)?;
         let fence = self.config.fence;
@@ -197,14 +197,14 @@
             fence,
             task,
             run,
-            what,
+            action,
         })
     }
 
     /// Orders that have to be sent again, and stops that were asked for.
     pub(super) fn pending_orders(&mut self, now: Time, orders: &mut Vec<Order>) {
         let placed: Vec<task::Name> =
-            self.jobs.values().flat_map(super::table::Entry::placed).collect();
+            self.jobs.values().flat_map(super::entry::Entry::placed).collect();
         for name in placed {
             let Some(place) = self.entry(name.job).and_then(|entry| entry.place(name)) else {
                 continue;
@@ -224,7 +224,7 @@
                     {
                         *again = now + AGAIN;
                     }
-                    orders.extend(self.order(key, name, run, What::Stop));
+                    orders.extend(self.order(key, name, run, Action::Stop));
                 }
                 _ => {}
             }
@@ -246,13 +246,13 @@
         let (key, run) = (place.worker, place.run);
         let lease = self.config.lease;
         let Some(worker) = self.workers.get_mut(key) else { return };
-        // A worker that doesn't answer gets nothing more; see `next_look`.
+        // A worker that doesn't answer gets nothing more; see `next_poll`.
         if worker.unanswered >= 2 {
             return;
         }
         let Some(deadline_ms) = worker.grant(now, lease) else { return };
         let ticket = self.ticket(name, key);
-        let what = What::Start { spec, deadline_ms, saved, ticket };
-        orders.extend(self.order(key, name, run, what));
+        let action = Action::Start { spec, deadline_ms, saved, ticket };
+        orders.extend(self.order(key, name, run, action));
     }
 }
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -25,7 +25,7 @@
 use corianderfork_model::Fleet;
 
 use crate::error::Error;
-use crate::explain::Seen;
+use crate::explain::Observation;
 use crate::situation::Situation;
 use crate::term::Term;
 
@@ -74,7 +74,7 @@
 /// assert_eq!(error.help(), "did you mean `fri`?");
 /// ```
 pub fn parse(text: &str, fleet: &Fleet) -> Result<Condition, Error> {
-    let node = crate::parser::condition(text, fleet)?;
+    let node = crate::condition_parser::condition(text, fleet)?;
     Ok(Condition { node, text: text.trim().to_owned() })
 }
 
@@ -96,15 +96,15 @@
     }
 
     /// Every value that the condition asks for, in the order of the text.
-    pub fn seen(&self, situation: &Situation) -> Vec<Seen> {
-        let mut seen = Vec::new();
+    pub fn observations(&self, situation: &Situation) -> Vec<Observation> {
+        let mut observations = Vec::new();
         self.node.each_term(&mut |term| {
-            let one = term.seen(situation);
-            if !seen.contains(&one) {
-                seen.push(one);
+            let observation = term.observe(situation);
+            if !observations.contains(&observation) {
+                observations.push(observation);
             }
         });
-        seen
+        observations
     }
 }
 
