--- a/crates/proxy/tests/exchange.rs
+++ b/crates/proxy/tests/exchange.rs
@@ -149,7 +149,7 @@
     // connection. Only the first may be reported as "not run": otherwise the caller
     // retries and the transfer runs twice.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (to, _seen) = server(vec![]);
+    let (to, _events) = server(vec![]);
     for request in [lookup(), transfer()] {
         assert_eq!(send(&client(), closed, &request).attempt, Attempt::NotSent);
         let outcome = send(&client(), to, &request);
@@ -178,7 +178,7 @@
         ("404 No", vec![OWN], Attempt::Answered),
     ];
     for (status, headers, attempt) in cases {
-        let (to, _seen) = server(vec![Action::Reply(response(status, &headers, "text"))]);
+        let (to, _events) = server(vec![Action::Reply(response(status, &headers, "text"))]);
         assert_eq!(send(&client(), to, &transfer()).attempt, attempt, "{status} {headers:?}");
     }
 }
--- a/crates/proxy/tests/process.rs
+++ b/crates/proxy/tests/process.rs
@@ -33,8 +33,8 @@
 #[test]
 fn transfer_retried_runs_once() {
     // A transfer must run only once even if its response is lost and the caller retries
-    // at the same and at another entry VM; duplicates known in the memory of one process
-    // do not suffice.
+    // at the same and at another entry VM; otherwise a member is billed twice. Duplicates
+    // known in the memory of one process do not suffice.
     let fleet = Fleet::start("again", &["v01", "v02"]);
     fleet.serve();
     let (e1, e2) = (fleet.proxy("e1", ""), fleet.proxy("e2", ""));
