--- a/crates/proxy/src/claimant.rs
+++ b/crates/proxy/src/claimant.rs
@@ -99,14 +99,14 @@
     pub fn claim(&self, id: Id, deadline: Instant) -> Decision {
         let number = self.next_attempt.fetch_add(1, Ordering::Relaxed);
         let attempt = Attempt::new(self.me.incarnation, number);
-        let deadline = deadline.min(Instant::now() + self.timeout);
+        let claim_deadline = deadline.min(Instant::now() + self.timeout);
         let mut last_reply = peer::ClaimReply::default();
         let mut last_owner: Option<Holder> = None;
         let mut unanswered = false;
         // A claim request without a reply may be repeated for the same attempt: the
         // connection may have gone silent, or the shard has a new owner.
         for _ in 0..2 {
-            let remaining = deadline.saturating_duration_since(Instant::now());
+            let remaining = claim_deadline.saturating_duration_since(Instant::now());
             let Some(owner) = self.shared.directory().owners.get(&self.shard(id)).cloned() else {
                 break;
             };
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -220,7 +220,7 @@
     /// nevertheless stays taken, so it is never run twice.
     fn drop_machine(&mut self) {
         if self.machine.take().is_some() {
-            ::log::info!(shard = self.shard; "lost ownership of a claim shard");
+            ::log::info!(shard = self.shard; "no longer owner of a claim shard");
             self.hub.shared.metrics.sub(Gauge::Shards);
         }
         for (_, reply) in self.pending_replies.drain() {
--- a/crates/proxy/src/serve/worker.rs
+++ b/crates/proxy/src/serve/worker.rs
@@ -51,8 +51,7 @@
         let Some(request) = request else { return };
         let (id, status) = (request.id.as_str(), response.status());
         if response.outcome() == Outcome::Unknown {
-            ::log::warn!(request_id = id, service, status, outcome, seconds;
-                "request ended with an unknown outcome");
+            ::log::warn!(request_id = id, service, status, outcome, seconds; "outcome unknown");
         } else {
             ::log::debug!(request_id = id, service, status, outcome, seconds; "answered");
         }
