--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use corianderfork_adapter::config;
-use corianderfork_adapter::store::{Event, Item, Watched};
+use corianderfork_adapter::store::{Event, Item, Update};
 use corianderfork_adapter::worker;
 use corianderfork_model::Time;
 use serde::de::DeserializeOwned;
@@ -66,7 +66,7 @@
         while is_wanted() {
             let asked = clock::now();
             match node.store.watch(&prefix, after, WAIT).await {
-                Ok(Watched::Events(events, revision)) => {
+                Ok(Update::Events(events, revision)) => {
                     let is_news = !events.is_empty();
                     for event in events {
                         learn(News::Change(event));
@@ -77,7 +77,7 @@
                         tokio::time::sleep(together()).await;
                     }
                 }
-                Ok(Watched::Compacted) => {
+                Ok(Update::Compacted) => {
                     node.trace.line("history lost", json!({ "prefix": prefix, "after": after }));
                     break;
                 }
@@ -125,8 +125,8 @@
             Ok(config) => node.set_config(config, value.len()),
             Err(error) => unreadable(node, key, revision, &error.to_string()),
         }
-    } else if key.starts_with(config::WAVES) {
-        match config::wave(value) {
+    } else if key.starts_with(config::WAVE_PREFIX) {
+        match config::parse_wave(value) {
             Ok(wave) => {
                 let mut waves = node.waves.borrow_mut();
                 let number = wave.number;
@@ -264,7 +264,7 @@
 /// its lease as for any worker that is no longer listed.
 fn put_worker(node: &Rc<Node>, key: &str, value: Option<&[u8]>, revision: u64) {
     let id = key.strip_prefix(worker::PREFIX).unwrap_or(key);
-    let listed = value.and_then(|value| match worker::listed(key, value, revision) {
+    let listed = value.and_then(|value| match worker::parse_entry(key, value, revision) {
         Ok(listed) => Some(listed),
         Err(error) => {
             unreadable(node, key, revision, &error.to_string());
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -109,7 +109,7 @@
         let Some(body) = &asked.body else {
             return (Told::new(413, caller::error("the body is too long or was cut off")), "body");
         };
-        let job = match caller::job(body) {
+        let job = match caller::parse_job(body) {
             Ok(job) => job,
             Err(why) => return (Told::new(400, caller::error(&why)), "bad job"),
         };
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -9,7 +9,7 @@
 fn main() -> ExitCode {
     let path = Arg::new("settings")
         .long("settings")
-        .env(corianderfork_adapter::SETTINGS)
+        .env(corianderfork_adapter::SETTINGS_VAR)
         .value_parser(value_parser!(PathBuf))
         .required(true)
         .help("The settings file, INI");
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use corianderfork_adapter::config::{Config, Wave};
-use corianderfork_adapter::worker::Listed;
+use corianderfork_adapter::worker::Listing;
 use corianderfork_jobs::queue::Queue;
 use corianderfork_model::Time;
 use serde_json::json;
@@ -78,7 +78,7 @@
     /// The fence of the fleet's planner, while this daemon is it.
     pub planner: Cell<Option<u64>>,
     /// Workers by the id of their life.
-    pub servers: RefCell<BTreeMap<String, Listed>>,
+    pub servers: RefCell<BTreeMap<String, Listing>>,
     /// Whether the workers have been read once.
     pub servers_known: Cell<bool>,
     /// Until when workers are expected to register for a pool of this daemon's.
@@ -270,6 +270,6 @@
     /// The workers of a pool.
     pub fn workers_of(&self, pool: &str) -> Vec<corianderfork_jobs::worker::Registration> {
         let servers = self.servers.borrow();
-        servers.values().filter(|s| s.pool == pool).map(|s| s.entry.clone()).collect()
+        servers.values().filter(|s| s.pool == pool).map(|s| s.registration.clone()).collect()
     }
 }
--- a/crates/entry/src/owner/advise.rs
+++ b/crates/entry/src/owner/advise.rs
@@ -79,7 +79,7 @@
     }
 
     fn within(&self, workers: usize) -> Duration {
-        let terms = self.node.config.borrow().as_ref().and_then(|config| config.advised());
+        let terms = self.node.config.borrow().as_ref().and_then(|config| config.max_advice_cost());
         let terms = terms.unwrap_or_default();
         let workers = u32::try_from(workers).unwrap_or(u32::MAX);
         let each = terms.per_query + terms.per_worker.saturating_mul(workers);
@@ -113,9 +113,9 @@
     /// Asks which workers may run the step of `task`.
     pub async fn advise(&self, task: Name, workers: &[String], within: Duration) -> Advice {
         let Some(address) = self.settings.advice else { return Advice::Lost };
-        let call = wire::ask(task, workers);
+        let call = wire::query(task, workers);
         match self.client.call(address, &call, within).await {
-            Ok((status, body)) => wire::told(status, &body).unwrap_or(Advice::Lost),
+            Ok((status, body)) => wire::parse(status, &body).unwrap_or(Advice::Lost),
             Err(_) => Advice::Lost,
         }
     }
--- a/crates/entry/src/owner/workers.rs
+++ b/crates/entry/src/owner/workers.rs
@@ -74,7 +74,7 @@
         let notes = self.pool.borrow_mut().take_notes();
         for note in notes {
             self.node.metrics.event(note.event);
-            let task = note.task.map(wire::task);
+            let task = note.task.map(wire::format_task);
             self.node.trace.line(
                 note.event,
                 json!({ "task": task, "worker": note.worker, "why": note.why, "fence": self.fence() }),
@@ -129,13 +129,13 @@
     }
 
     async fn look(&self, look: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
-        let call = wire::look(look);
+        let call = wire::poll(look);
         let begun = clock::now();
         let within = if look.deadline_ms.is_some() { ANSWER } else { FIRST_ANSWER };
         let answer = self.node.client.call(look.address, &call, look.wait + within).await;
         self.count("look", begun, answer.is_ok());
         match answer {
-            Ok((status, body)) => wire::looked(status, &body).unwrap_or(Answer::Lost),
+            Ok((status, body)) => wire::parse_poll(status, &body).unwrap_or(Answer::Lost),
             Err(_) => Answer::Lost,
         }
     }
@@ -146,13 +146,13 @@
         let answer = self.node.client.call(order.address, &call, ANSWER).await;
         self.count("order", begun, answer.is_ok());
         let answer = match answer {
-            Ok((status, body)) => wire::ordered(status, &body).unwrap_or(Answer::Lost),
+            Ok((status, body)) => wire::parse_order(status, &body).unwrap_or(Answer::Lost),
             Err(Failed::Unsent | Failed::Lost) => Answer::Lost,
         };
         if !matches!(answer, Answer::Done(_)) {
             self.node.trace.line(
                 "order not confirmed",
-                json!({ "task": wire::task(order.task), "run": order.run, "worker": order.id,
+                json!({ "task": wire::format_task(order.task), "run": order.run, "worker": order.id,
                     "answer": format!("{answer:?}"), "took_ms": ms(clock::now() - begun) }),
             );
         }
--- a/crates/entry/src/planner.rs
+++ b/crates/entry/src/planner.rs
@@ -241,7 +241,7 @@
         let mut page = None;
         loop {
             let (status, body) = call(&self.node, &fleet::list(page.as_deref())).await?;
-            let (rows, next) = fleet::listed(status, &body).ok()?;
+            let (rows, next) = fleet::parse_list(status, &body).ok()?;
             vms.extend(rows.into_iter().map(|vm| (vm.name.clone(), vm)));
             page = next;
             if page.is_none() {
--- a/crates/entry/src/planner/size.rs
+++ b/crates/entry/src/planner/size.rs
@@ -248,7 +248,7 @@
         let (node, vm) = (self.node.clone(), vm.clone());
         spawn_local(async move {
             let answer = super::call(&node, &call).await;
-            (vm, answer.map(|(status, body)| fleet::ordered(status, &body)))
+            (vm, answer.map(|(status, body)| fleet::parse_order(status, &body)))
         })
     }
 
--- a/crates/entry/src/planner/wave.rs
+++ b/crates/entry/src/planner/wave.rs
@@ -44,7 +44,7 @@
                 || vms.get(name).is_some_and(|v| v.state == State::Maintained)
         };
         let away = wave.vms.iter().filter(|name| is_away(name)).count();
-        let may_go = wave.most.saturating_sub(away);
+        let may_go = wave.max_concurrent.saturating_sub(away);
         if may_go == 0 {
             return;
         }
@@ -76,9 +76,9 @@
 
     /// Whether there is time enough to maintain the VMs that are left later.
     fn may_wait(&self, wave: &Wave, left: usize) -> bool {
-        let rounds = u32::try_from(left.div_ceil(wave.most)).unwrap_or(u32::MAX);
+        let rounds = u32::try_from(left.div_ceil(wave.max_concurrent)).unwrap_or(u32::MAX);
         let needed = ROUND.saturating_mul(rounds).saturating_add(RESERVE);
-        self.elapsed_of(wave.number).is_some_and(|elapsed| elapsed + needed < wave.within)
+        self.elapsed_of(wave.number).is_some_and(|elapsed| elapsed + needed < wave.time_limit)
     }
 
     fn elapsed_of(&self, number: u64) -> Option<Duration> {
@@ -130,7 +130,7 @@
         let (node, vm) = (self.node.clone(), vm.clone());
         spawn_local(async move {
             let answer = super::call(&node, &call).await;
-            (vm, answer.map(|(status, body)| fleet::ordered(status, &body)))
+            (vm, answer.map(|(status, body)| fleet::parse_order(status, &body)))
         })
     }
 
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use corianderfork_adapter::store::{self, Item, Outcome, Page, Reading, Txn, Watched};
+use corianderfork_adapter::store::{self, Item, Outcome, Page, Reading, Txn, Update};
 use corianderfork_adapter::{Call, Fault};
 use corianderfork_model::Time;
 use hyper::body::Bytes;
@@ -113,7 +113,7 @@
     /// Fails if the store doesn't answer.
     pub async fn read(&self, key: &str) -> Result<Reading, Error> {
         let (status, body) = self.call(&store::get(key), "get", ANSWER).await.map_err(failed)?;
-        store::got(status, &body).map_err(fault)
+        store::parse_get(status, &body).map_err(fault)
     }
 
     /// Reads all keys with a prefix, page by page. The revision is that of the
@@ -129,7 +129,7 @@
             let after = items.last().map(|item| item.key.clone());
             let call = store::range(prefix, after.as_deref(), false);
             let (status, body) = self.call(&call, "range", ANSWER).await.map_err(failed)?;
-            let page: Page = store::ranged(status, &body).map_err(fault)?;
+            let page: Page = store::parse_range(status, &body).map_err(fault)?;
             revision.get_or_insert(page.revision);
             let is_last = !page.more || page.items.is_empty();
             items.extend(page.items);
@@ -145,11 +145,11 @@
     /// # Errors
     ///
     /// Fails if the store doesn't answer.
-    pub async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Watched, Error> {
+    pub async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Update, Error> {
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(1_000);
         let call = store::watch(prefix, after, wait_ms);
         let (status, body) = self.call(&call, WATCH, wait + WATCH_SLACK).await.map_err(failed)?;
-        store::watched(status, &body).map_err(fault)
+        store::parse_watch(status, &body).map_err(fault)
     }
 
     /// Changes keys under conditions.
@@ -159,7 +159,7 @@
     /// Fails if the store doesn't answer.
     pub async fn txn(&self, txn: &Txn) -> Result<Outcome, Error> {
         let (status, body) = self.call(&store::txn(txn), "txn", ANSWER).await.map_err(failed)?;
-        store::txn_done(status, &body).map_err(fault)
+        store::parse_txn(status, &body).map_err(fault)
     }
 
     /// Takes out a lease: its number and its time.
@@ -170,8 +170,8 @@
     pub async fn lease(&self, ttl: Duration) -> Result<(u64, Duration), Error> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(1_000);
         let (status, body) =
-            self.call(&store::lease(ttl_ms), "lease", ANSWER).await.map_err(failed)?;
-        let (lease, ttl_ms) = store::leased(status, &body).map_err(fault)?;
+            self.call(&store::grant_lease(ttl_ms), "lease", ANSWER).await.map_err(failed)?;
+        let (lease, ttl_ms) = store::parse_lease(status, &body).map_err(fault)?;
         Ok((lease, Duration::from_millis(ttl_ms)))
     }
 
@@ -181,13 +181,14 @@
     ///
     /// Fails if the store doesn't answer.
     pub async fn keep(&self, lease: u64) -> Result<bool, Error> {
-        let (status, _) = self.call(&store::keep(lease), "keep", ANSWER).await.map_err(failed)?;
-        store::kept(status).map_err(fault)
+        let (status, _) =
+            self.call(&store::renew_lease(lease), "keep", ANSWER).await.map_err(failed)?;
+        store::parse_renewal(status).map_err(fault)
     }
 
     /// Ends a lease; it ends by itself if this fails.
     pub async fn end(&self, lease: u64) {
-        let _ = self.call(&store::end(lease), "end", ANSWER).await;
+        let _ = self.call(&store::revoke_lease(lease), "end", ANSWER).await;
     }
 }
 
