--- a/benches/slopes/claims.rs
+++ b/benches/slopes/claims.rs
@@ -2,7 +2,7 @@
 
 use corianderfork::claim::segment::{Entry, Writer};
 use corianderfork::claim::{
-    Action, Answer, Ask, Attempt, Config, Event, Id, Owner, Segment, Takeover, Verdict,
+    Action, Answer, Attempt, Config, Event, Id, Owner, Request, Segment, Takeover, Verdict,
 };
 use corianderfork::model::{Name, Time};
 
@@ -81,8 +81,8 @@
     fn claim(&mut self, claims: usize) {
         for number in 0..claims {
             let id = Id::issue(self.now, number as u64);
-            let ask = Ask { key: number as u64, id, attempt: Attempt::new(1, number as u64) };
-            let actions = self.owner.on_event(self.now, Event::Ask(ask));
+            let ask = Request { key: number as u64, id, attempt: Attempt::new(1, number as u64) };
+            let actions = self.owner.on_event(self.now, Event::Request(ask));
             self.answer(actions);
             if number % BATCH == BATCH - 1 {
                 self.now = Time::from_millis(self.now.as_millis() + GAP_MS);
--- a/benches/slopes/proxy.rs
+++ b/benches/slopes/proxy.rs
@@ -28,7 +28,7 @@
         let mut revision = 1_000_000;
         micros(|| {
             revision += 1;
-            router.set_runners(Time::from_millis(10_000), record(0, revision))
+            router.apply_record(Time::from_millis(10_000), record(0, revision))
         })
     };
     let held = |vms| resident_kib("router", vms);
@@ -55,7 +55,7 @@
         router.set_service(&service(number), 8, 64);
     }
     for vm in 0..vms {
-        router.set_runners(Time::ZERO, record(vm, vm as u64 + 1));
+        router.apply_record(Time::ZERO, record(vm, vm as u64 + 1));
     }
     router
 }
--- a/crates/controller/src/directory.rs
+++ b/crates/controller/src/directory.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use corianderfork_coord::member::{Config, Heard, Known, Peer, Table};
+use corianderfork_coord::member::{Config, Identity, Peer, Sighting, Table};
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::record::{Member, Role};
 use corianderfork_wire::peer;
@@ -68,7 +68,7 @@
         forget: Duration,
     ) -> Result<Self, corianderfork_model::name::Error> {
         let id = Name::new(&format!("{}-{}", me.role, me.name))?;
-        let table = Table::new(config, Known::new(id, me.incarnation));
+        let table = Table::new(config, Identity::new(id, me.incarnation));
         Ok(Self { me, table, rows: BTreeMap::new(), forget })
     }
 
@@ -96,9 +96,9 @@
         let mut known = Vec::new();
         for member in members {
             let Some(id) = self.learn(now, member, true) else { continue };
-            known.push(Known::new(id, member.incarnation));
+            known.push(Identity::new(id, member.incarnation));
         }
-        self.table.on_store(sent, revision, known);
+        self.table.on_list(sent, revision, known);
         self.tidy(now);
     }
 
@@ -107,7 +107,7 @@
         let mut known = Vec::new();
         for member in members {
             let Some(id) = id(member.role, &member.name) else { continue };
-            known.push(Known::new(id, member.incarnation));
+            known.push(Identity::new(id, member.incarnation));
             let _ = self.learn(now, member, false);
         }
         self.table.on_snapshot(now, known);
@@ -134,7 +134,7 @@
         let age = Duration::from_millis(seen.age_ms);
         let incarnation = known.incarnation;
         let id = known.name.clone();
-        self.table.on_heard(now, [Heard { member: known, age }]);
+        self.table.on_sightings(now, [Sighting { member: known, age }]);
         let Some(row) = self.rows.get_mut(&id) else { return };
         if row.member.incarnation != incarnation {
             return;
@@ -161,9 +161,9 @@
         });
     }
 
-    fn known(&mut self, now: Time, member: &Member) -> Option<Known> {
+    fn known(&mut self, now: Time, member: &Member) -> Option<Identity> {
         let id = self.learn(now, member, false)?;
-        Some(Known::new(id, member.incarnation))
+        Some(Identity::new(id, member.incarnation))
     }
 
     fn learn(&mut self, now: Time, member: &Member, listed: bool) -> Option<Name> {
@@ -214,25 +214,25 @@
     }
 
     /// Since when each proxy has been known in its incarnation.
-    pub fn proxies_since(&self) -> impl Iterator<Item = (Known, Time)> {
+    pub fn proxies_since(&self) -> impl Iterator<Item = (Identity, Time)> {
         let proxies = self.rows.iter().filter(|(_, row)| row.member.role == Role::Proxy);
-        proxies.map(|(id, row)| (Known::new(id.clone(), row.member.incarnation), row.since))
+        proxies.map(|(id, row)| (Identity::new(id.clone(), row.member.incarnation), row.since))
     }
 
     /// Who confirmed the drain `epoch` of `vm`.
-    pub fn acked(&self, vm: &Name, epoch: u64) -> Vec<Known> {
+    pub fn acked(&self, vm: &Name, epoch: u64) -> Vec<Identity> {
         let acked = |(id, row): (&Name, &Row)| {
             let acked = row.acks.get(vm) == Some(&epoch);
-            acked.then(|| Known::new(id.clone(), row.member.incarnation))
+            acked.then(|| Identity::new(id.clone(), row.member.incarnation))
         };
         self.rows.iter().filter_map(acked).collect()
     }
 
     /// What the proxies told of themselves, none older than `limit`.
-    pub fn told(&self, now: Time, limit: Duration) -> impl Iterator<Item = (Known, &Told)> {
+    pub fn told(&self, now: Time, limit: Duration) -> impl Iterator<Item = (Identity, &Told)> {
         self.rows.iter().filter_map(move |(id, row)| {
             let told = row.told.as_ref().filter(|told| now - told.at <= limit)?;
-            let known = Known::new(id.clone(), row.member.incarnation);
+            let known = Identity::new(id.clone(), row.member.incarnation);
             (row.member.role == Role::Proxy).then_some((known, told))
         })
     }
@@ -255,7 +255,7 @@
             config_revision,
             ..peer::Seen::default()
         };
-        let others = self.table.heard(now).into_iter().filter_map(|heard| {
+        let others = self.table.sightings(now).into_iter().filter_map(|heard| {
             let row = self.rows.get(&heard.member.name)?;
             Some(peer::Seen {
                 member: Some(message(&row.member)),
--- a/crates/controller/src/plan/barriers.rs
+++ b/crates/controller/src/plan/barriers.rs
@@ -69,7 +69,7 @@
 
 fn status(barrier: &mut Barrier, now: Time, directory: &Directory) -> Status {
     for (proxy, since) in directory.proxies_since() {
-        barrier.on_known(&proxy, since);
+        barrier.set_known_since(&proxy, since);
     }
     barrier.status(now, &directory.proxies(now))
 }
--- a/crates/controller/src/plan/transition.rs
+++ b/crates/controller/src/plan/transition.rs
@@ -143,7 +143,7 @@
         Reason::NoAck => "which has not confirmed yet",
         Reason::Silent { .. } => "which is silent and may still have work there",
         Reason::MaybeInTouch => "which is silent but may be in touch with others",
-        Reason::Earlier { .. } => "whose earlier process may have left work there",
+        Reason::EarlierIncarnation { .. } => "whose earlier process may have left work there",
         _ => "which may have work there",
     };
     let others = waits.len() - 1;
--- a/crates/coord/src/claim.rs
+++ b/crates/coord/src/claim.rs
@@ -37,7 +37,7 @@
 //!
 //! ```
 //! use corianderfork_coord::claim::{
-//!     Action, Answer, Ask, Attempt, Config, Event, Id, Segment, Takeover, Verdict, segment::Writer,
+//!     Action, Answer, Request, Attempt, Config, Event, Id, Segment, Takeover, Verdict, segment::Writer,
 //! };
 //! use corianderfork_model::{Name, Time};
 //! use std::collections::BTreeMap;
@@ -79,8 +79,8 @@
 //! }
 //! let mut owner = takeover.take_owner().expect("nobody else was there");
 //!
-//! let ask = Ask { key: 1, id: Id::issue(now, 7), attempt: Attempt::new(42, 1) };
-//! let put = owner.on_event(now, Event::Ask(ask));
+//! let ask = Request { key: 1, id: Id::issue(now, 7), attempt: Attempt::new(42, 1) };
+//! let put = owner.on_event(now, Event::Request(ask));
 //! assert!(matches!(put[..], [Action::Put { .. }])); // not granted yet
 //! let answer = store.answer(&put[0]).expect("a put is answered");
 //! let reply = owner.on_event(now, Event::Store(answer));
@@ -101,7 +101,7 @@
 
 pub use config::Config;
 pub use id::{Attempt, Id, shard};
-pub use message::{Action, Answer, Ask, End, Event, Outcome, Verdict};
+pub use message::{Action, Answer, End, Event, Outcome, Request, Verdict};
 pub use owner::Owner;
 pub use segment::{Record, Segment, State};
 pub use takeover::Takeover;
--- a/crates/coord/src/claim/batch.rs
+++ b/crates/coord/src/claim/batch.rs
@@ -7,13 +7,13 @@
 
 use super::book::{Book, judge};
 use super::id::{Attempt, Id};
-use super::message::{Action, Ask, Verdict};
+use super::message::{Action, Request, Verdict};
 use super::segment::State;
 
 /// An ask whose reply depends on a write.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
-    pub(super) ask: Ask,
+    pub(super) ask: Request,
     pub(super) since: Time,
 }
 
--- a/crates/coord/src/claim/message.rs
+++ b/crates/coord/src/claim/message.rs
@@ -7,7 +7,7 @@
 
 /// A question for a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Request {
     /// What the reply is addressed to, of the driver's choice.
     pub key: u64,
     /// The request.
@@ -35,7 +35,7 @@
     Unknown,
 }
 
-/// The reply to an [`Ask`].
+/// The reply to an [`Request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Verdict {
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Somebody wants to run a request.
-    Ask(Ask),
+    Request(Request),
     /// An attempt that was granted, or whose reply never came, has ended.
     Settle {
         /// The request.
@@ -128,7 +128,7 @@
     },
     /// The platform's service answered.
     Store(Answer),
-    /// Time went by. Due at least at the time the machine's `wake` gave.
+    /// Time went by. Due at least at the time the machine's `next_tick` gave.
     Tick,
 }
 
@@ -156,7 +156,7 @@
         /// The segment.
         segment: u64,
     },
-    /// Send a reply to an [`Ask`].
+    /// Send a reply to an [`Request`].
     Reply {
         /// The key of the ask.
         key: u64,
--- a/crates/coord/src/claim/owner.rs
+++ b/crates/coord/src/claim/owner.rs
@@ -11,7 +11,7 @@
 use super::book::{Book, judge, settled};
 use super::config::Config;
 use super::id::{Attempt, Id};
-use super::message::{Action, Ask, End, Event, Verdict};
+use super::message::{Action, End, Event, Request, Verdict};
 use super::segment::{Segment, State, Writer};
 use super::writer::Journal;
 use crate::backoff::{self, Backoff};
@@ -104,7 +104,7 @@
     }
 
     /// When the next [`Event::Tick`] is due, if any.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_tick(&self) -> Option<Time> {
         if self.deposed {
             return None;
         }
@@ -122,7 +122,7 @@
         let mut out = Vec::new();
         self.rewind(now);
         match event {
-            Event::Ask(ask) => self.on_ask(now, ask, &mut out),
+            Event::Request(ask) => self.on_ask(now, ask, &mut out),
             Event::Settle { id, attempt, end } => self.on_settle(now, id, attempt, end, &mut out),
             Event::Store(answer) => self.on_answer(now, answer, &mut out),
             Event::Tick => self.on_tick(now, &mut out),
@@ -170,7 +170,7 @@
         if claims(batch) == Some(true) { Some(batch) } else { None }
     }
 
-    fn on_ask(&mut self, now: Time, ask: Ask, out: &mut Vec<Action>) {
+    fn on_ask(&mut self, now: Time, ask: Request, out: &mut Vec<Action>) {
         if let Some(verdict) = self.answer_now(now, ask) {
             out.push(Action::Reply { key: ask.key, verdict });
             return;
@@ -185,7 +185,7 @@
     }
 
     /// The reply that needs no write; `None` if the ask has to wait for one.
-    fn answer_now(&mut self, now: Time, ask: Ask) -> Option<Verdict> {
+    fn answer_now(&mut self, now: Time, ask: Request) -> Option<Verdict> {
         if self.deposed {
             return Some(self.unavailable(now));
         }
--- a/crates/coord/src/claim/takeover.rs
+++ b/crates/coord/src/claim/takeover.rs
@@ -73,7 +73,7 @@
     }
 
     /// When the next [`Event::Tick`] is due, if any.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_tick(&self) -> Option<Time> {
         match self.step {
             Step::Waiting(at) => Some(at),
             _ => None,
@@ -95,7 +95,7 @@
     /// first [`Event::Tick`] starts it.
     pub fn on_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
-            Event::Ask(ask) => {
+            Event::Request(ask) => {
                 let verdict = Verdict::Unavailable { retry_after: self.config.ask_wait };
                 vec![Action::Reply { key: ask.key, verdict }]
             }
--- a/crates/coord/src/drain.rs
+++ b/crates/coord/src/drain.rs
@@ -23,15 +23,15 @@
 //! takes a drain over may know the present incarnation alone. Its word says
 //! nothing of what the earlier one sent, and a VM freed on it would be rebooted
 //! under that work. So each incarnation but the first of its name counts as one
-//! that had another before it, until it has been known ([`Barrier::on_known`])
+//! that had another before it, until it has been known ([`Barrier::set_known_since`])
 //! for the request deadline.
 //!
 //! ```
 //! use corianderfork_coord::drain::{Barrier, Config, Status};
-//! use corianderfork_coord::member::{Known, Peer};
+//! use corianderfork_coord::member::{Identity, Peer};
 //! use corianderfork_model::{Name, Time};
 //!
-//! let proxy = Known::new(Name::new("entry-1")?, 1);
+//! let proxy = Identity::new(Name::new("entry-1")?, 1);
 //! let peer = Peer { member: proxy.clone(), last_contact: Time::ZERO, cut_off: false };
 //! let mut barrier = Barrier::new(Config::new(), Name::new("vm-7")?, 3, Time::ZERO);
 //! assert!(matches!(barrier.status(Time::ZERO, &[peer.clone()]), Status::Waiting(_)));
@@ -45,7 +45,7 @@
 
 use corianderfork_model::{Name, Time};
 
-use crate::member::{Known, Peer};
+use crate::member::{Identity, Peer};
 
 /// The incarnation that none was before. Where incarnations are times, none has
 /// it.
@@ -101,7 +101,7 @@
     /// It is silent for long enough, but may be in touch with others.
     MaybeInTouch,
     /// Its earlier incarnation did not ack before it ended, as far as is known.
-    Earlier {
+    EarlierIncarnation {
         /// When what that one sent has ended.
         until: Time,
     },
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wait {
     /// The proxy.
-    pub proxy: Known,
+    pub proxy: Identity,
     /// Why.
     pub reason: Reason,
 }
@@ -145,7 +145,7 @@
     /// Acks of incarnations not yet listed.
     early: BTreeMap<Name, u64>,
     /// Since when incarnations have been known.
-    known: BTreeMap<Known, Time>,
+    known: BTreeMap<Identity, Time>,
 }
 
 impl Barrier {
@@ -170,7 +170,7 @@
     /// `proxy` said that it sends nothing new to the VM and has nothing in
     /// flight there, as of the drain `epoch`. An ack of another drain says
     /// nothing: between two drains the VM has served.
-    pub fn on_ack(&mut self, proxy: &Known, epoch: u64) {
+    pub fn on_ack(&mut self, proxy: &Identity, epoch: u64) {
         if epoch != self.epoch {
             return;
         }
@@ -184,22 +184,22 @@
     ///
     /// ```
     /// use corianderfork_coord::drain::{Barrier, Config, Status};
-    /// use corianderfork_coord::member::{Known, Peer};
+    /// use corianderfork_coord::member::{Identity, Peer};
     /// use corianderfork_model::{Name, Time};
     ///
     /// // Started at this time, in milliseconds since the Unix epoch.
-    /// let proxy = Known::new(Name::new("entry-1")?, 1_760_000_000_000);
+    /// let proxy = Identity::new(Name::new("entry-1")?, 1_760_000_000_000);
     /// let now = Time::from_millis(31_000);
     /// let peer = Peer { member: proxy.clone(), last_contact: now, cut_off: false };
     /// let mut barrier = Barrier::new(Config::new(), Name::new("vm-7")?, 3, now);
     /// barrier.on_ack(&proxy, 3);
     /// let mut informed = barrier.clone();
-    /// informed.on_known(&proxy, Time::from_millis(1_000));
+    /// informed.set_known_since(&proxy, Time::from_millis(1_000));
     /// assert!(matches!(barrier.status(now, &[peer.clone()]), Status::Waiting(_)));
     /// assert_eq!(informed.status(now, &[peer]), Status::Clear);
     /// # Ok::<(), corianderfork_model::name::Error>(())
     /// ```
-    pub fn on_known(&mut self, proxy: &Known, since: Time) {
+    pub fn set_known_since(&mut self, proxy: &Identity, since: Time) {
         self.known.entry(proxy.clone()).or_insert(since);
     }
 
@@ -216,7 +216,7 @@
         Some(Wait { proxy: peer.member.clone(), reason })
     }
 
-    fn see(&mut self, now: Time, member: &Known) -> Seen {
+    fn see(&mut self, now: Time, member: &Identity) -> Seen {
         let incarnation = member.incarnation;
         let acked = self.early.get(&member.name) == Some(&incarnation);
         let new = Seen { incarnation, acked, earlier_until: None };
@@ -235,7 +235,7 @@
 
     fn reason(&self, now: Time, peer: &Peer, seen: Seen) -> Option<Reason> {
         if let Some(until) = seen.earlier_until.filter(|&until| now < until) {
-            return Some(Reason::Earlier { until });
+            return Some(Reason::EarlierIncarnation { until });
         }
         if seen.acked {
             return None;
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -108,7 +108,7 @@
     }
 
     /// When the next [`Event::Tick`] is due, if any.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_tick(&self) -> Option<Time> {
         if self.released {
             return None;
         }
--- a/crates/coord/src/lease/message.rs
+++ b/crates/coord/src/lease/message.rs
@@ -49,7 +49,7 @@
     Vacant,
     /// Give the lease up: the process is stopping.
     Release,
-    /// Time went by. Due at least at the time [`super::Holder::wake`] gave.
+    /// Time went by. Due at least at the time [`super::Holder::next_tick`] gave.
     Tick,
 }
 
--- a/crates/coord/src/member.rs
+++ b/crates/coord/src/member.rs
@@ -16,13 +16,13 @@
 //! of a partition would give each side a majority of its own.
 //!
 //! ```
-//! use corianderfork_coord::member::{Config, Known, Table};
+//! use corianderfork_coord::member::{Config, Identity, Table};
 //! use corianderfork_model::{Name, Time};
 //!
-//! let me = Known::new(Name::new("entry-1")?, 1);
-//! let other = Known::new(Name::new("entry-2")?, 1);
+//! let me = Identity::new(Name::new("entry-1")?, 1);
+//! let other = Identity::new(Name::new("entry-2")?, 1);
 //! let mut table = Table::new(Config::new(), me.clone());
-//! table.on_store(Time::ZERO, 1, [me, other]);
+//! table.on_list(Time::ZERO, 1, [me, other]);
 //! assert!(table.in_touch(Time::from_millis(9_000)));
 //! // Silence for longer than the isolation limit of 10 s:
 //! assert!(!table.in_touch(Time::from_millis(10_001)));
@@ -40,7 +40,7 @@
 use crate::backoff::mix;
 
 pub use config::Config;
-pub use known::{Heard, Known, Peer};
+pub use known::{Identity, Peer, Sighting};
 
 #[derive(Clone, Debug)]
 struct Row {
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct Table {
     config: Config,
-    me: Known,
+    me: Identity,
     me_listed: bool,
     rows: BTreeMap<Name, Row>,
     synced: Option<Time>,
@@ -69,7 +69,7 @@
 
 impl Table {
     /// A table that knows only `me`.
-    pub fn new(config: Config, me: Known) -> Self {
+    pub fn new(config: Config, me: Identity) -> Self {
         let (rows, synced, list) = (BTreeMap::new(), None, (0, 0));
         Self { config, me, me_listed: false, rows, synced, list }
     }
@@ -80,11 +80,11 @@
     /// A member that is no longer listed stays: its record lapses also when it
     /// is only cut off from the service, and it may still be acting. It goes
     /// by [`Table::remove`].
-    pub fn on_store(
+    pub fn on_list(
         &mut self,
         sent: Time,
         revision: u64,
-        members: impl IntoIterator<Item = Known>,
+        members: impl IntoIterator<Item = Identity>,
     ) {
         self.synced = self.synced.max(Some(sent));
         let listed = self.on_listed(sent, members);
@@ -100,11 +100,11 @@
     /// A peer passed on what the service listed to it ([`Table::listed`]):
     /// how a process that starts while the service is down learns of whom to
     /// take a majority.
-    pub fn on_snapshot(&mut self, now: Time, members: impl IntoIterator<Item = Known>) {
+    pub fn on_snapshot(&mut self, now: Time, members: impl IntoIterator<Item = Identity>) {
         self.on_listed(now, members);
     }
 
-    fn on_listed(&mut self, at: Time, members: impl IntoIterator<Item = Known>) -> usize {
+    fn on_listed(&mut self, at: Time, members: impl IntoIterator<Item = Identity>) -> usize {
         let mut listed = 0;
         for member in members {
             listed += 1;
@@ -118,16 +118,16 @@
 
     /// The members that the service ever listed and that aren't removed, to
     /// pass on to a process that starts while the service is down.
-    pub fn listed(&self) -> Vec<Known> {
+    pub fn listed(&self) -> Vec<Identity> {
         let me = self.me_listed.then(|| self.me.clone());
         let listed = self.rows.iter().filter(|(_, row)| row.listed);
-        let known = |(name, row): (&Name, &Row)| Known::new(name.clone(), row.incarnation);
+        let known = |(name, row): (&Name, &Row)| Identity::new(name.clone(), row.incarnation);
         me.into_iter().chain(listed.map(known)).collect()
     }
 
     /// `member` answered a call of this process that was sent at `sent`, and
     /// told that it has read the service's list as of the revision `read`.
-    pub fn on_contact(&mut self, sent: Time, member: &Known, read: u64) {
+    pub fn on_contact(&mut self, sent: Time, member: &Identity, read: u64) {
         let Some(row) = self.learn(sent, member) else { return };
         row.direct = row.direct.max(Some(sent));
         row.alive = row.alive.max(sent);
@@ -137,14 +137,14 @@
     /// `member` called this process by itself at `now`, and told that it has
     /// read the service's list as of the revision `read`. That shows it alive,
     /// but not that this process reaches it.
-    pub fn on_call(&mut self, now: Time, member: &Known, read: u64) {
-        self.on_heard(now, [Heard { member: member.clone(), age: Duration::ZERO }]);
+    pub fn on_call(&mut self, now: Time, member: &Identity, read: u64) {
+        self.on_sightings(now, [Sighting { member: member.clone(), age: Duration::ZERO }]);
         self.on_read(member, read);
     }
 
     /// It never forgets one that was listed, so it knows at least as many as
     /// were listed at any revision that it has read.
-    fn on_read(&mut self, member: &Known, read: u64) {
+    fn on_read(&mut self, member: &Identity, read: u64) {
         let (revision, listed) = self.list;
         let row = self.rows.get_mut(&member.name).filter(|_| read >= revision);
         if let Some(row) = row.filter(|row| row.incarnation == member.incarnation) {
@@ -153,8 +153,8 @@
     }
 
     /// Another member passed on what it heard.
-    pub fn on_heard(&mut self, now: Time, heard: impl IntoIterator<Item = Heard>) {
-        for Heard { member, age } in heard {
+    pub fn on_sightings(&mut self, now: Time, heard: impl IntoIterator<Item = Sighting>) {
+        for Sighting { member, age } in heard {
             let alive = Time::from_millis(now.as_millis().saturating_sub(age.as_millis() as u64));
             if let Some(row) = self.learn(alive, &member) {
                 row.alive = row.alive.max(alive);
@@ -179,10 +179,10 @@
 
     /// What to pass on to others with each call and each answer; this process
     /// comes first, so that whoever is told learns of it.
-    pub fn heard(&self, now: Time) -> Vec<Heard> {
-        let me = Heard { member: self.me.clone(), age: Duration::ZERO };
-        let heard = |(name, row): (&Name, &Row)| Heard {
-            member: Known::new(name.clone(), row.incarnation),
+    pub fn sightings(&self, now: Time) -> Vec<Sighting> {
+        let me = Sighting { member: self.me.clone(), age: Duration::ZERO };
+        let heard = |(name, row): (&Name, &Row)| Sighting {
+            member: Identity::new(name.clone(), row.incarnation),
             age: now - row.alive,
         };
         std::iter::once(me).chain(self.rows.iter().map(heard)).collect()
@@ -216,7 +216,7 @@
     }
 
     /// All other members, with what a drain has to know of them. For a drain,
-    /// this table must have had an [`Table::on_store`] since it started.
+    /// this table must have had an [`Table::on_list`] since it started.
     ///
     /// A silent member is cut off if those this process has no direct contact
     /// with, itself among them, are no majority of the members it knows. That
@@ -225,7 +225,7 @@
     pub fn peers(&self, now: Time) -> Vec<Peer> {
         let (apart, majority) = (self.apart(now), self.has_majority(now));
         let peer = |(name, row): (&Name, &Row)| Peer {
-            member: Known::new(name.clone(), row.incarnation),
+            member: Identity::new(name.clone(), row.incarnation),
             last_contact: row.alive,
             cut_off: majority && 2 * apart <= row.knows,
         };
@@ -273,7 +273,7 @@
 
     /// The row of `member`, made or brought to its incarnation; `None` for
     /// this process and for an incarnation that is over.
-    fn learn(&mut self, alive: Time, member: &Known) -> Option<&mut Row> {
+    fn learn(&mut self, alive: Time, member: &Identity) -> Option<&mut Row> {
         if member.name == self.me.name {
             return None;
         }
--- a/crates/coord/src/member/known.rs
+++ b/crates/coord/src/member/known.rs
@@ -6,14 +6,14 @@
 
 /// One incarnation of a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Known {
+pub struct Identity {
     /// Its name.
     pub name: Name,
     /// Its incarnation; a later process of the same name has a higher one.
     pub incarnation: u64,
 }
 
-impl Known {
+impl Identity {
     /// The member `name` in `incarnation`.
     pub fn new(name: Name, incarnation: u64) -> Self {
         Self { name, incarnation }
@@ -22,9 +22,9 @@
 
 /// What one member passes on about another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct Sighting {
     /// The member it is about.
-    pub member: Known,
+    pub member: Identity,
     /// How long ago it was last known alive.
     pub age: Duration,
 }
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// The member.
-    pub member: Known,
+    pub member: Identity,
     /// When it was last known alive, directly or by hearsay.
     pub last_contact: Time,
     /// Whether it can't be in touch with a majority (see [`super::Table::peers`]).
--- a/crates/coord/tests/drain.rs
+++ b/crates/coord/tests/drain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use corianderfork_coord::drain::{Barrier, Config, Reason, Status};
-use corianderfork_coord::member::{self, Known, Peer, Table};
+use corianderfork_coord::member::{self, Identity, Peer, Table};
 use corianderfork_model::{Name, Time};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngAlgorithm, TestRng, TestRunner};
@@ -15,8 +15,8 @@
 const LIMIT: Duration = Duration::from_secs(10);
 const DEADLINE: Duration = Duration::from_secs(4);
 
-fn known(at: usize, incarnation: u64) -> Known {
-    Known::new(Name::new(&format!("entry-{at}")).expect("a name"), incarnation)
+fn known(at: usize, incarnation: u64) -> Identity {
+    Identity::new(Name::new(&format!("entry-{at}")).expect("a name"), incarnation)
 }
 
 struct Proxy {
@@ -106,9 +106,9 @@
 
     fn sync(&mut self, at: usize) {
         if self.joined(at, MEMBERS) {
-            let members: Vec<Known> = self.registered.iter().map(|&at| known(at, 1)).collect();
+            let members: Vec<Identity> = self.registered.iter().map(|&at| known(at, 1)).collect();
             let proxy = &mut self.proxies[at];
-            proxy.table.on_store(self.now, self.revision, members);
+            proxy.table.on_list(self.now, self.revision, members);
             proxy.read = self.revision;
             proxy.has_views = true;
             proxy.knows_drain = true;
@@ -129,11 +129,11 @@
     fn tell(&mut self, from: usize, to: usize) {
         let sender = &self.proxies[from];
         let (heard, views, knows) =
-            (sender.table.heard(self.now), sender.has_views, sender.knows_drain);
+            (sender.table.sightings(self.now), sender.has_views, sender.knows_drain);
         let listed = sender.table.listed();
         let acks = knows && sender.busy_until <= self.now;
         let receiver = &mut self.proxies[to];
-        receiver.table.on_heard(self.now, heard);
+        receiver.table.on_sightings(self.now, heard);
         if views && !receiver.has_views {
             receiver.table.on_snapshot(self.now, listed);
             receiver.has_views = true;
@@ -251,7 +251,7 @@
     assert_eq!(reason(&mut barrier, 10, peer(1, 0)), Some(Reason::NoAck));
     barrier.on_ack(&known(1, 2), 3);
     let until = Time::from_millis(4_020);
-    assert_eq!(reason(&mut barrier, 20, peer(2, 20)), Some(Reason::Earlier { until }));
+    assert_eq!(reason(&mut barrier, 20, peer(2, 20)), Some(Reason::EarlierIncarnation { until }));
     assert_eq!(reason(&mut barrier, 4_020, peer(2, 20)), None);
 }
 
--- a/crates/coord/tests/member.rs
+++ b/crates/coord/tests/member.rs
@@ -3,18 +3,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use corianderfork_coord::member::{Config, Heard, Known, Table};
+use corianderfork_coord::member::{Config, Identity, Sighting, Table};
 use corianderfork_model::{Name, Time};
 
 const AT: fn(u64) -> Time = Time::from_millis;
 
-fn known(at: usize, incarnation: u64) -> Known {
-    Known::new(Name::new(&format!("entry-{at}")).expect("a name"), incarnation)
+fn known(at: usize, incarnation: u64) -> Identity {
+    Identity::new(Name::new(&format!("entry-{at}")).expect("a name"), incarnation)
 }
 
 fn table(members: usize) -> Table {
     let mut table = Table::new(Config::new(), known(0, 1));
-    table.on_store(Time::ZERO, 1, (0..members).map(|at| known(at, 1)));
+    table.on_list(Time::ZERO, 1, (0..members).map(|at| known(at, 1)));
     table
 }
 
@@ -27,7 +27,7 @@
     (10..20).for_each(|at| table.on_contact(AT(15_000), &known(at, 1), 1)); // not listed
     assert!(!table.in_touch(now), "4 of 9");
     // Hearsay shows that others are alive, not that this process is in touch.
-    table.on_heard(now, [Heard { member: known(5, 1), age: Duration::ZERO }]);
+    table.on_sightings(now, [Sighting { member: known(5, 1), age: Duration::ZERO }]);
     assert!(!table.in_touch(now));
     table.on_contact(AT(15_000), &known(4, 1), 1);
     assert!(table.in_touch(now), "5 of 9");
@@ -52,7 +52,7 @@
     table.on_contact(AT(5_000), &known(1, 1), 1);
     assert_eq!(table.incarnation("entry-1"), Some(2));
     assert_eq!(table.last_contact("entry-1"), Some(AT(1_000)));
-    table.on_heard(AT(9_000), [Heard { member: known(1, 2), age: Duration::from_secs(2) }]);
+    table.on_sightings(AT(9_000), [Sighting { member: known(1, 2), age: Duration::from_secs(2) }]);
     assert_eq!(table.last_contact("entry-1"), Some(AT(7_000)));
 }
 
@@ -64,7 +64,7 @@
 fn peers_replaced_majority_is_not_cut_off() {
     let mut table = table(5);
     (1..5).for_each(|at| table.on_contact(AT(1_000), &known(at, 1), 1));
-    table.on_store(AT(20_000), 2, [0, 1, 5, 6, 7].map(|at| known(at, 1)));
+    table.on_list(AT(20_000), 2, [0, 1, 5, 6, 7].map(|at| known(at, 1)));
     [1, 5, 6, 7].into_iter().for_each(|at| table.on_contact(AT(20_000), &known(at, 1), 1));
     assert!(table.has_majority(AT(20_000)));
     let peers = table.peers(AT(20_000));
@@ -114,7 +114,7 @@
 fn peers_always_a_read_behind_is_cut_off() {
     let mut table = table(5);
     for read in 2..20 {
-        table.on_store(AT(read * 100), read, (0..5).map(|at| known(at, 1)));
+        table.on_list(AT(read * 100), read, (0..5).map(|at| known(at, 1)));
         (1..5).for_each(|at| table.on_contact(AT(read * 100), &known(at, 1), read - 1));
     }
     (1..4).for_each(|at| table.on_contact(AT(15_000), &known(at, 1), 19));
--- a/crates/coord/tests/predecessor.rs
+++ b/crates/coord/tests/predecessor.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::expect_used)]
 
 use corianderfork_coord::drain::{Barrier, Config, Status};
-use corianderfork_coord::member::{Known, Peer};
+use corianderfork_coord::member::{Identity, Peer};
 use corianderfork_model::{Name, Time};
 
 fn name(text: &str) -> Name {
@@ -16,10 +16,10 @@
     //   acks; the controller waits for the request deadline, and dies; the next
     //   controller has only ever seen the second incarnation.
     // Cause: that there was an earlier incarnation is known to the barrier alone.
-    let first = Known::new(name("entry-1"), 1);
-    let second = Known::new(name("entry-1"), 2);
+    let first = Identity::new(name("entry-1"), 1);
+    let second = Identity::new(name("entry-1"), 2);
     let peer =
-        |member: &Known, at| Peer { member: member.clone(), last_contact: at, cut_off: false };
+        |member: &Identity, at| Peer { member: member.clone(), last_contact: at, cut_off: false };
     let at = Time::from_millis;
 
     let mut barrier = Barrier::new(Config::new(), name("vm-7"), 3, at(0));
--- a/crates/coord/tests/world/mod.rs
+++ b/crates/coord/tests/world/mod.rs
@@ -7,7 +7,8 @@
 
 use corianderfork_coord::claim::segment::{Entry, Writer};
 use corianderfork_coord::claim::{
-    Action, Answer, Ask, Attempt, Config, End, Event, Id, Owner, Segment, State, Takeover, Verdict,
+    Action, Answer, Attempt, Config, End, Event, Id, Owner, Request, Segment, State, Takeover,
+    Verdict,
 };
 use corianderfork_model::{Name, Time};
 
@@ -161,7 +162,7 @@
         self.runs.entry((id, attempt)).or_insert(Run::Asked);
         let key = self.asks.len() as u64;
         self.asks.insert(key, (id, attempt));
-        self.event(process, Event::Ask(Ask { key, id, attempt }));
+        self.event(process, Event::Request(Request { key, id, attempt }));
     }
 
     pub fn settle(&mut self, process: usize, id: Id, attempt: Attempt, end: End) {
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use corianderfork_coord::claim::{Action, Ask, Event, Verdict, segment};
+use corianderfork_coord::claim::{Action, Event, Request, Verdict, segment};
 use corianderfork_coord::lease::{self, Holder, Token};
 use corianderfork_model::Time;
 use corianderfork_runtime::clock;
@@ -141,7 +141,10 @@
         let key = self.next;
         self.next += 1;
         self.replies.insert(key, question.reply);
-        self.feed_claim(cx, Event::Ask(Ask { key, id: question.id, attempt: question.attempt }));
+        self.feed_claim(
+            cx,
+            Event::Request(Request { key, id: question.id, attempt: question.attempt }),
+        );
     }
 
     fn heard(&mut self, cx: CX![], message: Message) {
@@ -176,7 +179,7 @@
         let Some(holder) = &mut self.holder else { return };
         let now = self.hub.shared.clock.now();
         let actions = holder.on_event(now, event);
-        let due = self.lease_alarm.set(holder.wake());
+        let due = self.lease_alarm.set(holder.next_tick());
         if let Some(at) = due {
             after!(at - now, [cx], wake_lease(at));
         }
@@ -240,7 +243,7 @@
         if let Some(ids) = became {
             ::log::info!(shard = self.shard, ids; "owner of a shard of claims");
         }
-        let due = machine.wake();
+        let due = machine.next_tick();
         if let Some(at) = self.claim_alarm.set(due) {
             after!(at - now, [cx], wake_claim(at));
         }
--- a/crates/proxy/src/claims/machine.rs
+++ b/crates/proxy/src/claims/machine.rs
@@ -30,10 +30,10 @@
     }
 
     /// When the next tick is due.
-    pub(super) fn wake(&self) -> Option<Time> {
+    pub(super) fn next_tick(&self) -> Option<Time> {
         match self {
-            Self::Takeover(takeover) => takeover.wake(),
-            Self::Owner(owner) => owner.wake(),
+            Self::Takeover(takeover) => takeover.next_tick(),
+            Self::Owner(owner) => owner.next_tick(),
         }
     }
 }
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use corianderfork_routing::outcome::{Attempt, Doubt, Refused};
+use corianderfork_routing::outcome::{Attempt, Doubt, Rejection};
 use ureq::http;
 use ureq::unversioned::resolver::DefaultResolver;
 use ureq::unversioned::transport::{Connector, TcpConnector};
@@ -207,7 +207,7 @@
         if let (503 | 421, Some(reason)) = (status, not_run)
             && (is_own || echoed.is_none())
         {
-            return Ok(End::of(Attempt::Refused(refused(reason))));
+            return Ok(End::of(Attempt::Rejected(refused(reason))));
         }
         if !is_own {
             return Ok(End::doubt(Doubt::Mismatch));
@@ -255,11 +255,11 @@
     if values.next().is_some() { None } else { Some(first) }
 }
 
-fn refused(reason: &str) -> Refused {
+fn refused(reason: &str) -> Rejection {
     match reason {
-        "leaving" => Refused::Leaving,
-        "not-here" => Refused::NotHere,
-        _ => Refused::Busy,
+        "leaving" => Rejection::Leaving,
+        "not-here" => Rejection::NotHere,
+        _ => Rejection::Busy,
     }
 }
 
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_coord::claim::{self, End};
 use corianderfork_model::service::Class;
-use corianderfork_routing::outcome::{self, Attempt, Doubt, Refusal, Why};
+use corianderfork_routing::outcome::{self, Attempt, Doubt, Reason, Refusal};
 use corianderfork_routing::router::RunnerKey;
 use corianderfork_wire::peer::Verdict;
 
@@ -206,7 +206,7 @@
                 run.fallback.get_or_insert(answer);
                 Ok(end.attempt)
             }
-            Attempt::Refused(_) | Attempt::NotSent => Ok(end.attempt),
+            Attempt::Rejected(_) | Attempt::NotSent => Ok(end.attempt),
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     fn refused(&self, refusal: &Refusal) -> Answer {
-        self.shared.metrics.refusals.with_label_values(&[why_name(refusal.why)]).inc();
+        self.shared.metrics.refusals.with_label_values(&[why_name(refusal.reason)]).inc();
         Answer::refused(refusal)
     }
 
@@ -252,22 +252,22 @@
     match attempt {
         Attempt::Answered => "answered",
         Attempt::Failed => "failed",
-        Attempt::Refused(_) => "refused",
+        Attempt::Rejected(_) => "refused",
         Attempt::NotSent => "not-sent",
         Attempt::Unknown(_) => "unknown",
     }
 }
 
-const fn why_name(why: Why) -> &'static str {
+const fn why_name(why: Reason) -> &'static str {
     match why {
-        Why::NoRunner => "no-runner",
-        Why::NoneServing => "none-serving",
-        Why::NoneHealthy => "none-healthy",
-        Why::Busy => "busy",
-        Why::QueueFull => "queue-full",
-        Why::Hopeless => "hopeless",
-        Why::Displaced => "displaced",
-        Why::RetryBudget => "retry-budget",
+        Reason::NoRunner => "no-runner",
+        Reason::NoneServing => "none-serving",
+        Reason::NoneHealthy => "none-healthy",
+        Reason::Busy => "busy",
+        Reason::QueueFull => "queue-full",
+        Reason::DeadlineTooSoon => "hopeless",
+        Reason::Displaced => "displaced",
+        Reason::RetryBudget => "retry-budget",
         _ => "other",
     }
 }
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -12,7 +12,7 @@
 
 use corianderfork_model::service::Class;
 use corianderfork_model::{Name, Time};
-use corianderfork_routing::outcome::{Attempt, Refusal, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Refusal};
 use corianderfork_routing::report::Report;
 use corianderfork_routing::router::{self, RunnerKey, Ticket};
 use corianderfork_routing::view;
@@ -107,7 +107,7 @@
             let mut inner = self.lock();
             if inner.queue.waiting(want.service) == 0 {
                 match inner.pick(now, want.service, want.exclude) {
-                    Err(refusal) if refusal.why == Why::Busy => {}
+                    Err(refusal) if refusal.reason == Reason::Busy => {}
                     result => return result,
                 }
             }
@@ -159,7 +159,7 @@
     pub fn offered(&self, service: &Name) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.router.offered(now, service);
+        inner.router.count_request(now, service);
         inner.budget(service).first_try(now);
     }
 
@@ -191,7 +191,7 @@
     pub fn set_runners(&self, record: view::Vm) -> bool {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let news = inner.router.set_runners(now, record);
+        let news = inner.router.apply_record(now, record);
         inner.pump(now);
         news
     }
@@ -215,19 +215,19 @@
     /// Notes a proxy.
     pub fn meet(&self, member: &Name) {
         let now = self.clock.now();
-        self.lock().router.meet_member(now, member);
+        self.lock().router.add_member(now, member);
     }
 
     /// Forgets a proxy.
     pub fn forget(&self, member: &Name) {
-        self.lock().router.forget_member(member);
+        self.lock().router.remove_member(member);
     }
 
     /// Applies a peer's report.
     pub fn peer_load(&self, member: &Name, report: &Report) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.router.peer_load(now, member, report);
+        inner.router.apply_report(now, member, report);
         inner.pump(now);
     }
 
@@ -236,7 +236,7 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         Loads {
-            report: inner.router.load(now),
+            report: inner.router.report(now),
             in_flight: inner.loads.clone(),
             waiting: inner.waiting(),
             leaving: inner.leaving.keys().cloned().collect(),
@@ -250,5 +250,5 @@
 }
 
 fn gave_up() -> Refusal {
-    Refusal { retry_after: RETRY, why: Why::Hopeless }
+    Refusal { retry_after: RETRY, reason: Reason::DeadlineTooSoon }
 }
--- a/crates/proxy/src/gate/inner.rs
+++ b/crates/proxy/src/gate/inner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use corianderfork_model::{Name, Time};
-use corianderfork_routing::outcome::{Attempt, Refusal, Refused, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Refusal, Rejection};
 use corianderfork_routing::queue::{self, Queue};
 use corianderfork_routing::retry::{self, Budget};
 use corianderfork_routing::router::{self, Router, RunnerKey};
@@ -67,7 +67,7 @@
         exclude: &[RunnerKey],
     ) -> Result<Slot, Refusal> {
         let ticket = self.router.pick(now, service, exclude)?;
-        self.queue.started(now, service);
+        self.queue.count_start(now, service);
         let key = Key { service: service.clone(), vm: ticket.vm().clone() };
         *self.loads.entry(key).or_default() += 1;
         let connections = self.router.share(now, ticket.runner()).connections;
@@ -134,7 +134,7 @@
         match self.router.pick(now, service, &[]) {
             // There was no room a moment ago under the same lock.
             Ok(ticket) => self.router.done(now, ticket, Attempt::Answered),
-            Err(refusal) if refusal.why == Why::Busy => {}
+            Err(refusal) if refusal.reason == Reason::Busy => {}
             Err(refusal) => return Err(refusal),
         }
         Ok(())
@@ -143,7 +143,7 @@
     pub(super) fn release(&mut self, now: Time, slot: Slot, attempt: Attempt) {
         let Slot { ticket, service, .. } = slot;
         let vm = ticket.vm().clone();
-        if attempt == Attempt::Refused(Refused::Leaving) {
+        if attempt == Attempt::Rejected(Rejection::Leaving) {
             self.leaving.insert(vm.clone(), now + LEAVING_HOLD);
         }
         let key = Key { service, vm };
--- a/crates/proxy/src/members.rs
+++ b/crates/proxy/src/members.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use corianderfork_coord::member::{Config, Heard, Known, Table};
+use corianderfork_coord::member::{Config, Identity, Sighting, Table};
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::record::{Member, Role};
 use corianderfork_wire::peer;
@@ -44,8 +44,8 @@
     Name::new(&format!("{}-{}", member.role, member.name)).ok()
 }
 
-fn known(member: &Member) -> Option<Known> {
-    Some(Known::new(id(member)?, member.incarnation))
+fn known(member: &Member) -> Option<Identity> {
+    Some(Identity::new(id(member)?, member.incarnation))
 }
 
 impl Members {
@@ -61,7 +61,7 @@
         forget: Duration,
     ) -> Result<Self, corianderfork_model::name::Error> {
         let name = Name::new(&format!("{}-{}", me.role, me.name))?;
-        let table = Table::new(config, Known::new(name, me.incarnation));
+        let table = Table::new(config, Identity::new(name, me.incarnation));
         Ok(Self { me, table, rows: BTreeMap::new(), forget })
     }
 
@@ -99,7 +99,7 @@
             let is_listed = listed.iter().any(|known| known.name == *name);
             row.unlisted = if is_listed { None } else { row.unlisted.or(Some(now)) };
         }
-        self.table.on_store(sent, revision, listed);
+        self.table.on_list(sent, revision, listed);
         self.tidy(now)
     }
 
@@ -109,7 +109,7 @@
         self.table.on_snapshot(now, listed);
     }
 
-    fn list<'a>(&mut self, listed: impl Iterator<Item = &'a Member>) -> Vec<Known> {
+    fn list<'a>(&mut self, listed: impl Iterator<Item = &'a Member>) -> Vec<Identity> {
         let mut all = Vec::new();
         for member in listed {
             let Some(about) = known(member) else { continue };
@@ -162,12 +162,12 @@
         Some(())
     }
 
-    fn hear(&mut self, now: Time, member: Known, age: Duration) {
-        self.table.on_heard(now, [Heard { member, age }]);
+    fn hear(&mut self, now: Time, member: Identity, age: Duration) {
+        self.table.on_sightings(now, [Sighting { member, age }]);
     }
 
     /// `None` for this process and for incarnations that are over.
-    fn learn(&mut self, member: &Member) -> Option<Known> {
+    fn learn(&mut self, member: &Member) -> Option<Identity> {
         let known = known(member)?;
         if member.role == self.me.role && member.name == self.me.name {
             return None;
@@ -226,7 +226,7 @@
             acks,
             config_revision,
         };
-        let others = self.table.heard(now).into_iter().filter_map(|heard| {
+        let others = self.table.sightings(now).into_iter().filter_map(|heard| {
             let row = self.rows.get(&heard.member.name)?;
             Some(peer::Seen {
                 member: Some(convert::member(&row.member)),
--- a/crates/proxy/src/membership.rs
+++ b/crates/proxy/src/membership.rs
@@ -89,7 +89,7 @@
         for action in self.holder.on_event(now, event) {
             self.carry_out(cx, action);
         }
-        if let Some(at) = self.alarm.set(self.holder.wake()) {
+        if let Some(at) = self.alarm.set(self.holder.next_tick()) {
             let delay: Duration = at - now;
             after!(delay, [cx], wake(at));
         }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -92,7 +92,7 @@
 
     /// Not run: refused by a decision of the router.
     pub fn refused(refusal: &Refusal) -> Self {
-        Self::not_run(&refusal.why.to_string(), refusal.retry_after)
+        Self::not_run(&refusal.reason.to_string(), refusal.retry_after)
     }
 
     /// Not run, since the id is of a time to come.
--- a/crates/proxy/tests/exchange.rs
+++ b/crates/proxy/tests/exchange.rs
@@ -8,7 +8,7 @@
 
 use corianderfork_proxy::exchange::{Client, Config, End};
 use corianderfork_proxy::request::{Head, Request};
-use corianderfork_routing::outcome::{Attempt, Doubt, Refused};
+use corianderfork_routing::outcome::{Attempt, Doubt, Rejection};
 use support::{Act, GENEROUS, Saw, answer, server};
 
 const KEY: (&str, &str) = ("Idempotency-Key", "017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
@@ -168,9 +168,9 @@
     // Sequence: the backend server fails with 503 after it ran the request.
     // Cause: a status is taken for the promise that only `Not-Run` makes.
     let cases = [
-        ("503 Busy", vec![("Not-Run", "busy")], Attempt::Refused(Refused::Busy)),
-        ("503 Busy", vec![OWN, ("Not-Run", "leaving")], Attempt::Refused(Refused::Leaving)),
-        ("421 No", vec![("Not-Run", "not-here")], Attempt::Refused(Refused::NotHere)),
+        ("503 Busy", vec![("Not-Run", "busy")], Attempt::Rejected(Rejection::Busy)),
+        ("503 Busy", vec![OWN, ("Not-Run", "leaving")], Attempt::Rejected(Rejection::Leaving)),
+        ("421 No", vec![("Not-Run", "not-here")], Attempt::Rejected(Rejection::NotHere)),
         ("503 Busy", vec![OWN], Attempt::Failed),
         ("500 Broken", vec![OWN, ("Not-Run", "busy")], Attempt::Failed),
         ("503 Busy", vec![], Attempt::Unknown(Doubt::Mismatch)),
--- a/crates/proxy/tests/gate.rs
+++ b/crates/proxy/tests/gate.rs
@@ -9,7 +9,7 @@
 use corianderfork_model::service::Class;
 use corianderfork_proxy::gate::{Gate, Slot, Want};
 use corianderfork_routing::limits::Fixed;
-use corianderfork_routing::outcome::{Attempt, Refusal, Refused, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Refusal, Rejection};
 use corianderfork_routing::router::Config;
 use corianderfork_routing::view::{Runner, Vm};
 use corianderfork_runtime::clock::Monotonic;
@@ -95,7 +95,7 @@
     let before = clock.now();
     let refusal = acquire(&gate, &clock, LONG).unwrap_err();
     assert!(clock.now() - before < LONG / 2);
-    assert!(matches!(refusal.why, Why::QueueFull | Why::Hopeless), "{refusal}");
+    assert!(matches!(refusal.reason, Reason::QueueFull | Reason::DeadlineTooSoon), "{refusal}");
     gate.release(slot, Attempt::Answered);
     gate.release(waiting.join().unwrap().unwrap(), Attempt::Answered);
 }
@@ -108,7 +108,7 @@
     let (gate, clock) = gate(4);
     let slot = acquire(&gate, &clock, LONG).unwrap();
     let refusal = acquire(&gate, &clock, Duration::from_millis(50)).unwrap_err();
-    assert_eq!(refusal.why, Why::Hopeless);
+    assert_eq!(refusal.reason, Reason::DeadlineTooSoon);
     gate.release(slot, Attempt::Answered);
     let slot = acquire(&gate, &clock, LONG).expect("the slot is free again");
     gate.release(slot, Attempt::Answered);
@@ -127,10 +127,10 @@
     assert!(!gate.is_drained(&name("v01"), 1));
     // What waits is refused in the moment it waits in vain.
     let refusal = waiting.join().unwrap().unwrap_err();
-    assert_eq!(refusal.why, Why::NoneServing);
+    assert_eq!(refusal.reason, Reason::NoneServing);
     let refusal = acquire(&gate, &clock, LONG).unwrap_err();
-    assert_eq!(refusal.why, Why::NoneServing);
-    gate.release(slot, Attempt::Refused(Refused::Leaving));
+    assert_eq!(refusal.reason, Reason::NoneServing);
+    gate.release(slot, Attempt::Rejected(Rejection::Leaving));
     assert!(gate.is_drained(&name("v01"), 1) && !gate.is_drained(&name("v01"), 2));
     assert_eq!(gate.loads().leaving, [name("v01")]);
     // A record of before the drain admits nothing.
--- a/crates/routing/benches/limits/main.rs
+++ b/crates/routing/benches/limits/main.rs
@@ -11,7 +11,7 @@
 //! all per 1000 requests; the waits are of requests that got a slot; `fairness`
 //! is Jain's index over the proxies' shares of requests answered well.
 
-use corianderfork_routing::limits::{Borrowing, Fixed, LeastOfTwo, Lent, Policy};
+use corianderfork_routing::limits::{Borrowing, Fixed, LeastOfTwo, Policy, Proportional};
 
 mod case;
 mod proxy;
@@ -29,9 +29,9 @@
     let policies: [(&str, Make); 5] = [
         ("fixed", || Box::new(Fixed)),
         ("least-of-two", || Box::new(LeastOfTwo)),
-        ("lent", || Box::new(Lent::default())),
+        ("lent", || Box::new(Proportional::default())),
         ("fixed+borrowing", || Box::new(Borrowing::new(Fixed))),
-        ("lent+borrowing", || Box::new(Borrowing::new(Lent::default()))),
+        ("lent+borrowing", || Box::new(Borrowing::new(Proportional::default()))),
     ];
     let fails = |detector, budget| Case::RunnerFails { detector, budget };
     let whole = [Case::Even, Case::Skewed, Case::ProxyDies, Case::HalfDrains];
--- a/crates/routing/benches/limits/world.rs
+++ b/crates/routing/benches/limits/world.rs
@@ -6,7 +6,7 @@
 use corianderfork_model::service::Class;
 use corianderfork_model::{Name, Time};
 use corianderfork_routing::limits::Policy;
-use corianderfork_routing::outcome::{Attempt, Refused, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Rejection};
 use corianderfork_routing::router::Ticket;
 use corianderfork_routing::{queue, view};
 use rand::rngs::SmallRng;
@@ -97,7 +97,7 @@
         let copy = view::Runner::new(self.service.clone(), address, true);
         let vm = view::Vm::new(name("vm", runner), epoch).epoch(epoch).serving(serving);
         let (now, vm) = (self.time(), vm.runner(copy));
-        self.proxies.iter_mut().for_each(|p| _ = p.router.set_runners(now, vm.clone()));
+        self.proxies.iter_mut().for_each(|p| _ = p.router.apply_record(now, vm.clone()));
     }
 
     /// Runs to the end and adds what was counted to `totals`.
@@ -130,7 +130,7 @@
             }
             Event::Forget if self.case == Case::ProxyDies => {
                 let dead = name("proxy", PROXIES - 1);
-                self.proxies.iter_mut().for_each(|p| p.router.forget_member(&dead));
+                self.proxies.iter_mut().for_each(|p| p.router.remove_member(&dead));
             }
             Event::Fault | Event::Records | Event::Forget => {}
             Event::Report(i) => self.report(i),
@@ -149,9 +149,9 @@
             return;
         }
         let now = self.time();
-        let report = self.proxies[i].router.load(now);
+        let report = self.proxies[i].router.report(now);
         let from = self.proxies[i].name.clone();
-        self.proxies.iter_mut().for_each(|p| p.router.peer_load(now, &from, &report));
+        self.proxies.iter_mut().for_each(|p| p.router.apply_report(now, &from, &report));
     }
 
     fn sweep(&mut self, i: usize) {
@@ -187,7 +187,7 @@
         }
         let now = self.time();
         self.proxies[proxy].budget.first_try(now);
-        self.proxies[proxy].router.offered(now, &self.service);
+        self.proxies[proxy].router.count_request(now, &self.service);
         self.proxies[proxy].offered += u64::from(self.now >= FAULT);
         let id = self.requests.len();
         let idempotent = self.rng.random_bool(0.5);
@@ -205,7 +205,7 @@
         let proxy = &mut self.proxies[request.proxy];
         match proxy.router.pick(now, &self.service, &request.tried) {
             Ok(ticket) => self.send(id, ticket),
-            Err(refusal) if refusal.why == Why::Busy => {
+            Err(refusal) if refusal.reason == Reason::Busy => {
                 let deadline = Time::from_millis(request.arrived) + DEADLINE;
                 let wait = queue::Request::new(Class::Normal, self.service.clone(), deadline, id);
                 let refused = proxy.queue.push(now, wait).is_err();
@@ -220,7 +220,7 @@
     fn send(&mut self, id: usize, ticket: Ticket) {
         let (now, request) = (self.time(), &mut self.requests[id]);
         let runner = usize::from(ticket.address().port() - 9000);
-        self.proxies[request.proxy].queue.started(now, &self.service);
+        self.proxies[request.proxy].queue.count_start(now, &self.service);
         request.tried.push(ticket.runner());
         request.ticket = Some(ticket);
         request.started.get_or_insert(self.now);
@@ -233,11 +233,11 @@
         let back = self.now + HOP_MILLIS;
         let fails = matches!(self.case, Case::RunnerFails { .. }) && runner == 0;
         if self.leaving[runner] {
-            self.at(back, Event::End(id, Attempt::Refused(Refused::Leaving)));
+            self.at(back, Event::End(id, Attempt::Rejected(Rejection::Leaving)));
         } else if fails && self.now >= FAULT {
             self.at(back, Event::End(id, Attempt::Failed));
         } else if self.busy[runner] >= SLOTS {
-            self.at(back, Event::End(id, Attempt::Refused(Refused::Busy)));
+            self.at(back, Event::End(id, Attempt::Rejected(Rejection::Busy)));
         } else {
             let run = self.exponential(RUN_MILLIS).round() as u64;
             self.busy[runner] += 1;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -29,7 +29,7 @@
 //! let vm = Vm::new(Name::new("vm-1")?, 7)
 //!     .serving(true)
 //!     .runner(Runner::new(transfer.clone(), "127.0.0.1:9000".parse()?, true));
-//! router.set_runners(Time::ZERO, vm);
+//! router.apply_record(Time::ZERO, vm);
 //!
 //! // A share that grew is used after a settle time.
 //! let now = Time::from_millis(2_000);
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -8,39 +8,39 @@
 //! * [`Fixed`]: equal shares.
 //! * [`LeastOfTwo`]: no division of slots; the less loaded of two runners by own
 //!   counts, and the backend server refuses what is too much.
-//! * [`Lent`]: shares in proportion to the demand that proxies report.
+//! * [`Proportional`]: shares in proportion to the demand that proxies report.
 //! * [`Borrowing`]: one of these, and slots beyond the share by trying.
 //!
 //! # Which, and why
 //!
-//! `Borrowing<Lent>` is the default. The bench `limits` compares them with eight
+//! `Borrowing<Proportional>` is the default. The bench `limits` compares them with eight
 //! proxies and ten runners at 60%, 85% and 110% of capacity; of 1000 requests:
 //!
 //! * Equal shares are a little better while every proxy has as many callers (at
-//!   85% they refuse less than 1, `Borrowing<Lent>` 3), since nothing moves.
+//!   85% they refuse less than 1, `Borrowing<Proportional>` 3), since nothing moves.
 //!   With 80% of the callers at one proxy they refuse 610 at 60% of capacity and
-//!   668 at 85%, where `Borrowing<Lent>` refuses none and 16. After
+//!   668 at 85%, where `Borrowing<Proportional>` refuses none and 16. After
 //!   a proxy died, at 85%, they refuse 46 to its 11.
 //! * `LeastOfTwo` hardly waits, but at 85% and even load it refuses 56 and uses
-//!   up the retry budget (199 retries), to 3 and 18 of `Borrowing<Lent>`. When a
+//!   up the retry budget (199 retries), to 3 and 18 of `Borrowing<Proportional>`. When a
 //!   runner fails and there is no budget, its retries grow to 462.
-//! * `Lent` alone has requests wait in one proxy while slots of another are
+//! * `Proportional` alone has requests wait in one proxy while slots of another are
 //!   idle: at 60% and even load the 99th percentile of waiting is 16 ms, and
 //!   less than 1 ms with `Borrowing`. Trying costs 9 retries.
 //! * `Borrowing<Fixed>` does without reports. It is as good at even load, but
 //!   with 80% of the callers at one proxy it refuses 137 at 85% and 293 at 110%,
 //!   to 16 and 193.
 //! * Over capacity nothing helps; what differs is how much is tried in vain: 200
-//!   retries for `LeastOfTwo` at 110% and even load, 10 for `Borrowing<Lent>`.
+//!   retries for `LeastOfTwo` at 110% and even load, 10 for `Borrowing<Proportional>`.
 //!
 //! What it costs: with 80% of the callers at one proxy and a load of 85%, the few
 //! requests of the other proxies wait long (the 99th percentile of all waits is
 //! 376 ms, to 23 ms with `LeastOfTwo`, which refuses 72 there).
 //!
-//! With `Borrowing<Lent>`, a runner that fails everything at once fails 165 at
+//! With `Borrowing<Proportional>`, a runner that fails everything at once fails 165 at
 //! 85% without [`outlier`](crate::outlier) ejection and less than 1 with it.
 //!
-//! Two forms of `Lent` were tried and dropped. With waiting requests counted as
+//! Two forms of `Proportional` were tried and dropped. With waiting requests counted as
 //! demand, a proxy that was short for a moment took its peers' slots, which were
 //! then short themselves: even load at 60% had 99 refused. With demands in whole
 //! slots and the mean of few requests, shares that were wrong by a slot stood
@@ -55,14 +55,14 @@
 mod fixed;
 mod grant;
 mod least_of_two;
-mod lent;
+mod proportional;
 
 pub(crate) use borrowing::Allowance;
 pub use borrowing::Borrowing;
 pub use fixed::Fixed;
 pub(crate) use grant::Grant;
 pub use least_of_two::LeastOfTwo;
-pub use lent::Lent;
+pub use proportional::Proportional;
 
 /// A division of the runners of one service among the proxies.
 pub trait Policy: fmt::Debug + Send {
--- a/crates/routing/src/limits/lent.rs
+++ b/crates/routing/src/limits/proportional.rs
@@ -24,17 +24,17 @@
 /// one that is cut off, and it falls back to equal shares: it would otherwise
 /// take every slot.
 #[derive(Clone, Copy, Debug)]
-pub struct Lent {
+pub struct Proportional {
     settle: Duration,
 }
 
-impl Default for Lent {
+impl Default for Proportional {
     fn default() -> Self {
         Self { settle: SETTLE }
     }
 }
 
-impl Lent {
+impl Proportional {
     /// Sets how long a larger share rests before it is used: longer than the
     /// interval of reports and their way to the slowest peer.
     pub fn settle_after(mut self, time: Duration) -> Self {
@@ -43,7 +43,7 @@
     }
 }
 
-impl Policy for Lent {
+impl Policy for Proportional {
     fn divide(&self, situation: &Situation<'_>) -> Vec<Share> {
         if is_cut_off(situation.members) {
             return Fixed.divide(situation);
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -4,7 +4,7 @@
 //! promise: a caller that is told [`Outcome::NotRun`] asks again, so "not run"
 //! for a request that did run is a doubled transfer. Only two results of a try
 //! are proof that nothing ran: the backend server's own promise
-//! ([`Attempt::Refused`]) and a connection on which no byte was sent
+//! ([`Attempt::Rejected`]) and a connection on which no byte was sent
 //! ([`Attempt::NotSent`]).
 
 use std::time::Duration;
@@ -22,18 +22,18 @@
 
 /// A request refused at once: not run, and when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{why}; ask again in {} ms", retry_after.as_millis())]
+#[error("{reason}; ask again in {} ms", retry_after.as_millis())]
 pub struct Refusal {
     /// When it makes sense to ask again.
     pub retry_after: Duration,
     /// Why it was refused.
-    pub why: Why,
+    pub reason: Reason,
 }
 
 /// Why a request was refused before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 #[non_exhaustive]
-pub enum Why {
+pub enum Reason {
     /// No VM record lists a runner of the service.
     #[error("no runner of the service is known; check that its pool has VMs that serve")]
     NoRunner,
@@ -51,7 +51,7 @@
     QueueFull,
     /// The request would wait past its deadline.
     #[error("the request would wait past its deadline; wait, or raise the service's copies")]
-    Hopeless,
+    DeadlineTooSoon,
     /// Another request of a more urgent class took its place in the queue.
     #[error("more urgent work took the place in the queue; ask again later")]
     Displaced,
@@ -80,7 +80,7 @@
 
 /// Why a backend server refused, promising that it did not run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refused {
+pub enum Rejection {
     /// Its slots and its queue are full.
     Busy,
     /// It is leaving and takes no new work.
@@ -95,10 +95,10 @@
     /// A whole answer came.
     Answered,
     /// A whole answer came and says that the backend server itself failed
-    /// (status 500 or above, without the promise of [`Attempt::Refused`]).
+    /// (status 500 or above, without the promise of [`Attempt::Rejected`]).
     Failed,
     /// The backend server promises that it did not run the request.
-    Refused(Refused),
+    Rejected(Rejection),
     /// No byte of the request left, since no connection could be made.
     NotSent,
     /// The request may have run.
@@ -108,24 +108,24 @@
 impl Attempt {
     /// Whether the request is known not to have run.
     pub fn is_not_run(self) -> bool {
-        matches!(self, Self::Refused(_) | Self::NotSent)
+        matches!(self, Self::Rejected(_) | Self::NotSent)
     }
 
     /// Whether the request may be tried at another runner, if the
     /// [retry budget](crate::retry::Budget) allows it.
     ///
     /// ```
-    /// use corianderfork_routing::outcome::{Attempt, Doubt, Refused};
+    /// use corianderfork_routing::outcome::{Attempt, Doubt, Rejection};
     ///
     /// let cut = Attempt::Unknown(Doubt::Reset);
     /// assert!(cut.may_retry(true)); // idempotent
     /// assert!(!cut.may_retry(false)); // it may have run
-    /// assert!(Attempt::Refused(Refused::Busy).may_retry(false));
+    /// assert!(Attempt::Rejected(Rejection::Busy).may_retry(false));
     /// ```
     pub fn may_retry(self, idempotent: bool) -> bool {
         match self {
             Self::Answered => false,
-            Self::Refused(_) | Self::NotSent => true,
+            Self::Rejected(_) | Self::NotSent => true,
             Self::Failed | Self::Unknown(_) => idempotent,
         }
     }
@@ -135,7 +135,7 @@
     pub fn is_success(self) -> Option<bool> {
         match self {
             Self::Answered => Some(true),
-            Self::Refused(_) => None,
+            Self::Rejected(_) => None,
             Self::Failed | Self::NotSent | Self::Unknown(_) => Some(false),
         }
     }
@@ -143,12 +143,12 @@
     /// The outcome for the caller if this was the last try. A refused request
     /// is to come back after `retry_after`.
     pub fn outcome(self, retry_after: Duration) -> Outcome {
-        let not_run = |why| Outcome::NotRun(Refusal { retry_after, why });
+        let not_run = |reason| Outcome::NotRun(Refusal { retry_after, reason });
         match self {
             Self::Answered | Self::Failed => Outcome::Answered,
-            Self::Refused(Refused::Busy) => not_run(Why::Busy),
-            Self::Refused(_) => not_run(Why::NoneServing),
-            Self::NotSent => not_run(Why::NoneHealthy),
+            Self::Rejected(Rejection::Busy) => not_run(Reason::Busy),
+            Self::Rejected(_) => not_run(Reason::NoneServing),
+            Self::NotSent => not_run(Reason::NoneHealthy),
             Self::Unknown(doubt) => Outcome::Unknown(doubt),
         }
     }
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -31,7 +31,7 @@
 use corianderfork_model::service::Class;
 use corianderfork_model::{Name, Time};
 
-use crate::outcome::{Refusal, Why};
+use crate::outcome::{Reason, Refusal};
 
 mod rate;
 
@@ -150,14 +150,14 @@
         let Request { class, service, deadline, item } = request;
         let wait = self.expected_wait(now, class, &service);
         if now + wait.unwrap_or_default() >= deadline {
-            return Err(refused(item, Why::Hopeless, wait));
+            return Err(refused(item, Reason::DeadlineTooSoon, wait));
         }
         let displaced = if self.len < self.config.capacity {
             None
         } else {
             match self.displace(now, class) {
                 Some(displaced) => Some(displaced),
-                None => return Err(refused(item, Why::QueueFull, wait)),
+                None => return Err(refused(item, Reason::QueueFull, wait)),
             }
         };
         let order = self.next;
@@ -184,7 +184,7 @@
 
     /// Counts a request of `service` that got a slot, from the queue or past
     /// it: the drain rate behind `Retry-After` is made of these.
-    pub fn started(&mut self, now: Time, service: &Name) {
+    pub fn count_start(&mut self, now: Time, service: &Name) {
         if let Some(rate) = self.rates.get_mut(service) {
             rate.count(now);
         }
@@ -209,7 +209,7 @@
         self.len = 0;
         let lanes = std::mem::take(&mut self.lanes);
         let waiting = lanes.into_values().flatten();
-        waiting.map(|w| refused(w.item, Why::QueueFull, None)).collect()
+        waiting.map(|w| refused(w.item, Reason::QueueFull, None)).collect()
     }
 
     fn sweep_lane(&mut self, now: Time, lane: &Lane, out: &mut Vec<Refused<T>>) {
@@ -224,7 +224,7 @@
             if now + wait.unwrap_or_default() < w.deadline {
                 kept.push_back(w);
             } else {
-                out.push(refused(w.item, Why::Hopeless, wait));
+                out.push(refused(w.item, Reason::DeadlineTooSoon, wait));
             }
         }
         *waiting = kept;
@@ -245,7 +245,7 @@
         let displaced = waiting.pop_back()?;
         self.len -= 1;
         self.tidy();
-        Some(refused(displaced.item, Why::Displaced, wait))
+        Some(refused(displaced.item, Reason::Displaced, wait))
     }
 
     fn next_lane(&self, now: Time, has_room: &mut impl FnMut(&Name) -> bool) -> Option<Lane> {
@@ -282,8 +282,8 @@
     }
 }
 
-fn refused<T>(item: T, why: Why, wait: Option<Duration>) -> Refused<T> {
+fn refused<T>(item: T, reason: Reason, wait: Option<Duration>) -> Refused<T> {
     let wait = wait.unwrap_or(MIN_RETRY_AFTER);
     let retry_after = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
-    Refused { item, refusal: Refusal { retry_after, why } }
+    Refused { item, refusal: Refusal { retry_after, reason } }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -26,7 +26,7 @@
 use slotmap::SlotMap;
 
 use crate::limits::{Policy, Share};
-use crate::outcome::{Attempt, Refusal, Refused, Why};
+use crate::outcome::{Attempt, Reason, Refusal, Rejection};
 use crate::outlier::Detector;
 use crate::view;
 
@@ -112,7 +112,7 @@
     /// Applies a VM's record and says whether it was newer than all before. A
     /// runner that it no longer lists gets no new work; its requests in flight
     /// are still counted.
-    pub fn set_runners(&mut self, now: Time, record: view::Vm) -> bool {
+    pub fn apply_record(&mut self, now: Time, record: view::Vm) -> bool {
         let vm = self.vms.entry(record.name.clone()).or_default();
         let new_epoch = record.epoch > vm.epoch();
         if !vm.apply(record.revision, record.epoch, record.serving) {
@@ -148,7 +148,7 @@
     /// Applies that a VM's record was deleted, as of the store's `revision`.
     pub fn remove_vm(&mut self, now: Time, vm: &Name, revision: u64) -> bool {
         let epoch = self.vms.get(vm).map_or(0, Vm::epoch);
-        self.set_runners(now, view::Vm::new(vm.clone(), revision).epoch(epoch))
+        self.apply_record(now, view::Vm::new(vm.clone(), revision).epoch(epoch))
     }
 
     /// Notes that a drain of `vm` began, and says whether that was news. Records
@@ -168,7 +168,7 @@
     /// carrying the service. This is ahead of the records, so it holds until a
     /// newer epoch or another address is recorded, or until the hold time of
     /// [`Config::leaving_hold`] is over.
-    pub fn learned_leaving(&mut self, now: Time, runner: RunnerKey) {
+    pub fn mark_leaving(&mut self, now: Time, runner: RunnerKey) {
         let until = now + self.leaving_hold;
         if let Some(runner) = self.runners.get_mut(runner) {
             runner.leaving_until = until;
@@ -189,7 +189,7 @@
         exclude: &[RunnerKey],
     ) -> Result<Ticket, Refusal> {
         let Some(&service) = self.service_names.get(service) else {
-            return Err(Refusal { retry_after: RETRY_NO_RUNNER, why: Why::NoRunner });
+            return Err(Refusal { retry_after: RETRY_NO_RUNNER, reason: Reason::NoRunner });
         };
         self.divide(now, service);
         let not_tried = |key: &RunnerKey| !exclude.contains(key);
@@ -236,8 +236,10 @@
             service.demand.held(now - ticket.since);
         }
         match result {
-            Attempt::Refused(Refused::Busy) => runner.refused_busy(now, jitter),
-            Attempt::Refused(Refused::Leaving | Refused::NotHere) => self.learned_leaving(now, key),
+            Attempt::Rejected(Rejection::Busy) => runner.refused_busy(now, jitter),
+            Attempt::Rejected(Rejection::Leaving | Rejection::NotHere) => {
+                self.mark_leaving(now, key)
+            }
             _ => runner.taken(),
         }
         if let Some(success) = result.is_success() {
@@ -248,7 +250,7 @@
 
     /// Counts a request that a caller made, to be called once for each, whether
     /// it gets a slot or not: this proxy's demand is made of these.
-    pub fn offered(&mut self, now: Time, service: &Name) {
+    pub fn count_request(&mut self, now: Time, service: &Name) {
         // An unknown name is not kept: callers may ask for any.
         if let Some(key) = self.service_names.get(service) {
             self.services[*key].demand.offered(now);
--- a/crates/routing/src/router/choice.rs
+++ b/crates/routing/src/router/choice.rs
@@ -10,7 +10,7 @@
 use super::{RETRY_NO_RUNNER, RETRY_NONE_SERVING, RETRY_SOON, Router, RunnerKey, ServiceKey};
 use crate::hash;
 use crate::limits::{Seat, Situation};
-use crate::outcome::{Refusal, Why};
+use crate::outcome::{Reason, Refusal};
 use crate::outlier::Admission;
 
 /// The least success rate in a cost: a runner that always failed has a high
@@ -129,17 +129,17 @@
             _ => None,
         };
         let tried = |key: &RunnerKey| exclude.contains(key) || ejected(key).is_some();
-        let (retry_after, why) = if !self.is_listed(service) {
-            (RETRY_NO_RUNNER, Why::NoRunner)
+        let (retry_after, reason) = if !self.is_listed(service) {
+            (RETRY_NO_RUNNER, Reason::NoRunner)
         } else if seated.is_empty() {
-            (RETRY_NONE_SERVING, Why::NoneServing)
+            (RETRY_NONE_SERVING, Reason::NoneServing)
         } else if seated.iter().all(tried) {
             let back = seated.iter().filter_map(ejected).min();
-            (back.map_or(RETRY_SOON, |until| (until - now).max(RETRY_SOON)), Why::NoneHealthy)
+            (back.map_or(RETRY_SOON, |until| (until - now).max(RETRY_SOON)), Reason::NoneHealthy)
         } else {
-            (RETRY_SOON, Why::Busy)
+            (RETRY_SOON, Reason::Busy)
         };
-        Refusal { retry_after, why }
+        Refusal { retry_after, reason }
     }
 
     /// A part of a rest, drawn at random.
--- a/crates/routing/src/router/config.rs
+++ b/crates/routing/src/router/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::limits::{Borrowing, Lent, Policy};
+use crate::limits::{Borrowing, Policy, Proportional};
 use crate::outlier;
 
 /// Settings of a [`Router`](super::Router).
@@ -20,7 +20,7 @@
     /// for a minute; a peer is silent after two seconds without a report.
     fn default() -> Self {
         Self {
-            policy: Box::new(Borrowing::new(Lent::default())),
+            policy: Box::new(Borrowing::new(Proportional::default())),
             outlier: outlier::Config::default(),
             leaving_hold: Duration::from_secs(60),
             peer_timeout: Duration::from_secs(2),
--- a/crates/routing/src/router/gossip.rs
+++ b/crates/routing/src/router/gossip.rs
@@ -9,7 +9,7 @@
 impl Router {
     /// What to tell peers. The demand of the report is also what this proxy
     /// divides by from now on, so that it computes what its peers compute.
-    pub fn load(&mut self, now: Time) -> Report {
+    pub fn report(&mut self, now: Time) -> Report {
         let mut report = Report::default();
         for service in self.services.values_mut() {
             let tenths = service.report_demand(now);
@@ -27,7 +27,7 @@
 
     /// Notes that `member` is a proxy, as the membership says, though it may not
     /// have reported yet. It is left its floor share from now on.
-    pub fn meet_member(&mut self, now: Time, member: &Name) {
+    pub fn add_member(&mut self, now: Time, member: &Name) {
         if *member != self.me && self.peers.meet(now, member) {
             self.divide_all_again();
             self.divide_all(now);
@@ -36,7 +36,7 @@
 
     /// Applies a peer's report. Only the services that it changes are divided
     /// anew: peers report several times a second, mostly the same.
-    pub fn peer_load(&mut self, now: Time, member: &Name, report: &Report) {
+    pub fn apply_report(&mut self, now: Time, member: &Name, report: &Report) {
         if *member == self.me {
             return;
         }
@@ -54,7 +54,7 @@
     }
 
     /// Forgets a proxy that the membership says is gone: its share is divided.
-    pub fn forget_member(&mut self, member: &Name) {
+    pub fn remove_member(&mut self, member: &Name) {
         self.peers.forget(member);
         self.divide_all_again();
     }
--- a/crates/routing/src/router/service.rs
+++ b/crates/routing/src/router/service.rs
@@ -7,7 +7,7 @@
 use super::RunnerKey;
 use super::demand::Demand;
 use crate::limits::{Allowance, Share};
-use crate::outcome::{Attempt, Refused};
+use crate::outcome::{Attempt, Rejection};
 
 /// A service with its demand and the state of its division.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
     /// Gives a borrowed slot back.
     pub(super) fn give_back(&mut self, now: Time, result: Attempt) {
         let taken = match result {
-            Attempt::Refused(Refused::Busy) => Some(false),
+            Attempt::Rejected(Rejection::Busy) => Some(false),
             Attempt::Answered => Some(true),
             _ => None,
         };
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -32,7 +32,7 @@
 pub fn router(config: Config, runners: u16) -> Router {
     let mut router = Router::new(name("proxy-0"), config);
     router.set_service(&name("transfer"), 8, 64);
-    (0..runners).for_each(|i| assert!(router.set_runners(at(0), vm(i, 1, 1, true))));
+    (0..runners).for_each(|i| assert!(router.apply_record(at(0), vm(i, 1, 1, true))));
     router
 }
 
--- a/crates/routing/tests/drain.rs
+++ b/crates/routing/tests/drain.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{at, name, router, vm, vm_name};
-use corianderfork_routing::outcome::{Attempt, Refused, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Rejection};
 use corianderfork_routing::report::Report;
 use corianderfork_routing::router::{Config, Router};
 use proptest::prelude::*;
@@ -42,10 +42,10 @@
 fn tell(router: &mut Router, news: News) {
     match news {
         News::Record { revision, epoch, serving } => {
-            router.set_runners(at(0), vm(0, revision, epoch, serving));
+            router.apply_record(at(0), vm(0, revision, epoch, serving));
         }
         News::Drain { epoch } => _ = router.drain(&vm_name(0), epoch),
-        News::Peer { epoch } => router.peer_load(at(0), &name("proxy-1"), &drain_report(epoch)),
+        News::Peer { epoch } => router.apply_report(at(0), &name("proxy-1"), &drain_report(epoch)),
     }
 }
 
@@ -64,7 +64,7 @@
     fn set_runners_any_order_newest_wins((news, serving) in history()) {
         let mut router = router(Config::default(), 0);
         news.into_iter().for_each(|n| tell(&mut router, n));
-        router.load(at(0));
+        router.report(at(0));
         prop_assert_eq!(takes_work(&mut router, 1000), serving);
     }
 
@@ -75,10 +75,10 @@
         prop_assert!(takes_work(&mut router, 1000));
         router.drain(&vm_name(0), 3);
         for (revision, epoch) in late {
-            router.set_runners(at(1000), vm(0, revision, epoch, true));
+            router.apply_record(at(1000), vm(0, revision, epoch, true));
             prop_assert!(!takes_work(&mut router, 3000));
         }
-        router.set_runners(at(3000), vm(0, 50, 3, true));
+        router.apply_record(at(3000), vm(0, 50, 3, true));
         prop_assert!(takes_work(&mut router, 5000));
     }
 }
@@ -89,7 +89,7 @@
     // Sequence: drain 2 ends; then a peer's old word of drain 2 comes.
     // Cause: the last message heard won instead of the newest epoch.
     let mut router = router(Config::default(), 1);
-    router.set_runners(at(0), vm(0, 5, 2, true));
+    router.apply_record(at(0), vm(0, 5, 2, true));
     assert!(!router.drain(&vm_name(0), 2));
     assert!(takes_work(&mut router, 1000));
 }
@@ -101,12 +101,12 @@
     // Cause: its own refusal was treated as a failure of one request.
     let mut router = router(Config::default(), 1);
     let ticket = router.pick(at(1000), &name("transfer"), &[]).unwrap();
-    router.done(at(1000), ticket, Attempt::Refused(Refused::Leaving));
+    router.done(at(1000), ticket, Attempt::Rejected(Rejection::Leaving));
     let refusal = router.pick(at(1001), &name("transfer"), &[]).unwrap_err();
-    assert_eq!(refusal.why, Why::NoneServing);
-    router.set_runners(at(2000), vm(0, 2, 1, true));
+    assert_eq!(refusal.reason, Reason::NoneServing);
+    router.apply_record(at(2000), vm(0, 2, 1, true));
     assert!(!takes_work(&mut router, 4000), "the record may be older than the refusal");
-    router.set_runners(at(4000), vm(0, 3, 2, true));
+    router.apply_record(at(4000), vm(0, 3, 2, true));
     assert!(takes_work(&mut router, 6000), "a new epoch is newer than the refusal");
 }
 
@@ -117,9 +117,9 @@
     // Cause: what was learned has no end.
     let mut router = router(Config::default(), 1);
     let runner = router.runners(&name("transfer"))[0];
-    router.learned_leaving(at(1000), runner);
+    router.mark_leaving(at(1000), runner);
     assert!(!takes_work(&mut router, 50_000));
-    router.load(at(61_000));
+    router.report(at(61_000));
     assert!(takes_work(&mut router, 62_000));
 }
 
@@ -130,16 +130,16 @@
     // Cause: what one learned was not passed on.
     let mut teller = router(Config::default(), 1);
     let ticket = teller.pick(at(1000), &name("transfer"), &[]).unwrap();
-    teller.done(at(1000), ticket, Attempt::Refused(Refused::NotHere));
-    let report = teller.load(at(1000));
+    teller.done(at(1000), ticket, Attempt::Rejected(Rejection::NotHere));
+    let report = teller.report(at(1000));
     let mut hearer = Router::new(name("proxy-2"), Config::default());
-    hearer.set_runners(at(0), vm(0, 1, 1, true));
+    hearer.apply_record(at(0), vm(0, 1, 1, true));
     assert!(takes_work(&mut hearer, 1000));
-    hearer.peer_load(at(1000), &name("proxy-0"), &report);
+    hearer.apply_report(at(1000), &name("proxy-0"), &report);
     assert!(!takes_work(&mut hearer, 1001));
-    assert!(hearer.load(at(1001)).runners.is_empty(), "hearsay is not passed on");
+    assert!(hearer.report(at(1001)).runners.is_empty(), "hearsay is not passed on");
     assert!(!takes_work(&mut hearer, 2999));
-    hearer.load(at(3001));
+    hearer.report(at(3001));
     assert!(takes_work(&mut hearer, 4000), "the hint lapses with its teller's silence");
 }
 
@@ -153,7 +153,7 @@
     assert!(!router.is_drained(&vm_name(0), 2), "not heard of");
     router.drain(&vm_name(0), 2);
     let empty = corianderfork_routing::view::Vm::new(vm_name(0), 2).epoch(2);
-    router.set_runners(at(1001), empty);
+    router.apply_record(at(1001), empty);
     assert_eq!(router.in_flight(&vm_name(0)), 1);
     assert!(!router.is_drained(&vm_name(0), 2));
     router.done(at(1002), ticket, Attempt::Answered);
@@ -166,7 +166,7 @@
 fn remove_vm_no_more_work() {
     let mut router = router(Config::default(), 1);
     assert!(router.remove_vm(at(1000), &vm_name(0), 9));
-    assert!(!router.set_runners(at(1000), vm(0, 8, 1, true)), "older than the removal");
+    assert!(!router.apply_record(at(1000), vm(0, 8, 1, true)), "older than the removal");
     let refusal = router.pick(at(2000), &name("transfer"), &[]).unwrap_err();
-    assert_eq!(refusal.why, Why::NoRunner);
+    assert_eq!(refusal.reason, Reason::NoRunner);
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -9,9 +9,9 @@
 use common::{at, name, router, vm, with_policy};
 
 use corianderfork_routing::limits::{
-    Borrowing, Fixed, LeastOfTwo, Lent, Member, Policy, Seat, Share, Situation,
+    Borrowing, Fixed, LeastOfTwo, Member, Policy, Proportional, Seat, Share, Situation,
 };
-use corianderfork_routing::outcome::{Attempt, Refused, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Rejection};
 use corianderfork_routing::report::{Demand, Report};
 use corianderfork_routing::router::{Router, Ticket};
 use proptest::prelude::*;
@@ -48,7 +48,7 @@
         slots in 0u32..12,
     ) {
         let (members, seats) = (members(&demands), seats(n, slots));
-        for policy in [&Fixed as &dyn Policy, &Lent::default(), &Borrowing::new(Lent::default())] {
+        for policy in [&Fixed as &dyn Policy, &Proportional::default(), &Borrowing::new(Proportional::default())] {
             let shares = divide(policy, &members, &seats);
             for (i, seat) in seats.iter().enumerate() {
                 let slots: u32 = shares.iter().map(|s| s[i].slots).sum();
@@ -65,7 +65,7 @@
         demands in prop::collection::vec((0u32..300, Just(false)), 2..9),
     ) {
         let (members, seats) = (members(&demands), seats(10, 8));
-        let shares = divide(&Lent::default(), &members, &seats);
+        let shares = divide(&Proportional::default(), &members, &seats);
         let slots: Vec<u32> = shares.iter().map(|s| s.iter().map(|s| s.slots).sum()).collect();
         let needed: u32 = demands.iter().map(|d| d.0).sum();
         for (i, (demand, _)) in demands.iter().enumerate() {
@@ -88,22 +88,22 @@
         borrows in any::<bool>(),
     ) {
         let config = if borrows {
-            with_policy(Borrowing::new(Lent::default()))
+            with_policy(Borrowing::new(Proportional::default()))
         } else {
-            with_policy(Lent::default())
+            with_policy(Proportional::default())
         };
         let mut router = router(config, 4);
         let (mut now, mut tickets) = (1000, Vec::<Ticket>::new());
         for (gap, step, tenths) in steps {
             now += gap;
             match step {
-                0 => router.peer_load(at(now), &name("proxy-1"), &demand(tenths)),
-                1 => router.peer_load(at(now), &name("proxy-2"), &demand(tenths)),
-                2 => _ = router.load(at(now)),
+                0 => router.apply_report(at(now), &name("proxy-1"), &demand(tenths)),
+                1 => router.apply_report(at(now), &name("proxy-2"), &demand(tenths)),
+                2 => _ = router.report(at(now)),
                 3..=4 if !tickets.is_empty() => {
                     let ticket = tickets.swap_remove(tenths as usize % tickets.len());
                     let busy = borrows && tenths % 3 == 0;
-                    let refused = Attempt::Refused(Refused::Busy);
+                    let refused = Attempt::Rejected(Rejection::Busy);
                     let result = if busy { refused } else { Attempt::Answered };
                     router.done(at(now), ticket, result);
                 }
@@ -130,13 +130,13 @@
     // Symptom: runners refuse requests as busy whenever shares change.
     // Sequence: a proxy hears that it is lent more before the lender hears it.
     // Cause: both use the slots for a moment.
-    let mut router = router(with_policy(Lent::default()), 10);
+    let mut router = router(with_policy(Proportional::default()), 10);
     assert_eq!(usable(&mut router, 499), 0, "no one may use slots that others may still use");
     assert_eq!(usable(&mut router, 1000), 80);
-    router.peer_load(at(1000), &name("proxy-1"), &demand(600));
+    router.apply_report(at(1000), &name("proxy-1"), &demand(600));
     let lent = usable(&mut router, 1000);
     assert!(lent < 30, "{lent}");
-    router.forget_member(&name("proxy-1"));
+    router.remove_member(&name("proxy-1"));
     assert_eq!(usable(&mut router, 1200), lent);
     assert_eq!(usable(&mut router, 1701), 80);
 }
@@ -144,19 +144,19 @@
 #[test]
 fn divide_silent_member_keeps_the_floor() {
     let members = members(&[(250, false), (250, true), (250, false), (250, false)]);
-    let shares = divide(&Lent::default(), &members, &seats(10, 8));
+    let shares = divide(&Proportional::default(), &members, &seats(10, 8));
     let slots: Vec<u32> = shares.iter().map(|s| s.iter().map(|s| s.slots).sum()).collect();
     assert_eq!(slots, [26, 2, 26, 26]);
 }
 
 #[test]
 fn peer_load_silent_peer_lends_its_share() {
-    let mut router = router(with_policy(Lent::default()), 10);
-    router.peer_load(at(0), &name("proxy-3"), &demand(600));
+    let mut router = router(with_policy(Proportional::default()), 10);
+    router.apply_report(at(0), &name("proxy-3"), &demand(600));
     let report = |router: &mut Router, now| {
-        router.load(at(now));
-        router.peer_load(at(now), &name("proxy-1"), &demand(100));
-        router.peer_load(at(now), &name("proxy-2"), &demand(100));
+        router.report(at(now));
+        router.apply_report(at(now), &name("proxy-1"), &demand(100));
+        router.apply_report(at(now), &name("proxy-2"), &demand(100));
     };
     (0..2000).step_by(250).for_each(|now| report(&mut router, now));
     let before = usable(&mut router, 1999);
@@ -172,7 +172,7 @@
     // Sequence: no report comes any more; all peers seem to need nothing.
     // Cause: silence of all was taken for the absence of all.
     let members = members(&[(100, false), (100, true), (100, true), (100, false)]);
-    let shares = divide(&Lent::default(), &members, &seats(10, 8));
+    let shares = divide(&Proportional::default(), &members, &seats(10, 8));
     let mine: u32 = shares[0].iter().map(|s| s.slots).sum();
     assert_eq!(mine, 20);
 }
@@ -201,8 +201,8 @@
 
 /// A router that is lent few slots, since a peer needs many.
 fn crowded() -> Router {
-    let mut router = router(with_policy(Borrowing::new(Lent::default())), 10);
-    router.peer_load(at(1000), &name("proxy-1"), &demand(2000));
+    let mut router = router(with_policy(Borrowing::new(Proportional::default())), 10);
+    router.apply_report(at(1000), &name("proxy-1"), &demand(2000));
     router
 }
 
@@ -238,40 +238,40 @@
     let share = usable(&mut router, 2000) as usize;
     let mut kept = pick_all(&mut router, 2000);
     let beyond = kept.split_off(share);
-    let refused = Attempt::Refused(Refused::Busy);
+    let refused = Attempt::Rejected(Rejection::Busy);
     beyond.into_iter().for_each(|ticket| router.done(at(2000), ticket, refused));
     let mut tries = 0;
     for now in 2001..12_001 {
-        router.peer_load(at(now), &name("proxy-1"), &demand(2000));
+        router.apply_report(at(now), &name("proxy-1"), &demand(2000));
         for ticket in pick_all(&mut router, now) {
             tries += 1;
             router.done(at(now), ticket, refused);
         }
     }
     assert!((5..=25).contains(&tries), "{tries} in ten seconds");
-    assert_eq!(router.pick(at(12_000), &name("transfer"), &[]).unwrap_err().why, Why::Busy);
+    assert_eq!(router.pick(at(12_000), &name("transfer"), &[]).unwrap_err().reason, Reason::Busy);
 }
 
 #[test]
 fn load_demand_by_littles_law() {
-    let mut router = router(with_policy(Lent::default()), 10);
+    let mut router = router(with_policy(Proportional::default()), 10);
     for now in (1000..6000).step_by(10) {
-        router.offered(at(now), &name("transfer"));
+        router.count_request(at(now), &name("transfer"));
         if let Ok(ticket) = router.pick(at(now), &name("transfer"), &[]) {
             router.done(at(now + 50), ticket, Attempt::Answered);
         }
     }
-    let tenths = router.load(at(6000)).demands[0].tenths;
+    let tenths = router.report(at(6000)).demands[0].tenths;
     assert!((45..=55).contains(&tenths), "100 a second for 50 ms each, not {tenths}");
-    assert!(router.load(at(60_000)).demands.is_empty(), "nobody asks any more");
+    assert!(router.report(at(60_000)).demands.is_empty(), "nobody asks any more");
 }
 
 #[test]
 fn set_runners_new_member_of_the_row() {
     let mut router = router(with_policy(Fixed), 1);
-    router.meet_member(at(0), &name("proxy-1"));
+    router.add_member(at(0), &name("proxy-1"));
     assert_eq!(usable(&mut router, 1000), 4);
-    router.set_runners(at(1000), vm(1, 1, 1, true));
+    router.apply_record(at(1000), vm(1, 1, 1, true));
     assert_eq!(usable(&mut router, 1001), 4, "the new runner's slots rest first");
     assert_eq!(usable(&mut router, 1000 + Fixed.settle().as_millis() as u64), 8);
     assert!(Fixed.settle() < Duration::from_secs(2));
--- a/crates/routing/tests/outcome.rs
+++ b/crates/routing/tests/outcome.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use corianderfork_routing::outcome::{Attempt, Doubt, Outcome, Refused};
+use corianderfork_routing::outcome::{Attempt, Doubt, Outcome, Rejection};
 
 const DOUBTS: [Doubt; 4] = [Doubt::Timeout, Doubt::Reset, Doubt::Truncated, Doubt::Mismatch];
-const REFUSALS: [Refused; 3] = [Refused::Busy, Refused::Leaving, Refused::NotHere];
+const REFUSALS: [Rejection; 3] = [Rejection::Busy, Rejection::Leaving, Rejection::NotHere];
 
 #[test]
 fn may_retry_non_idempotent() {
@@ -18,7 +18,7 @@
     assert!(!Attempt::Failed.may_retry(false));
     assert!(!Attempt::Answered.may_retry(false));
     assert!(Attempt::NotSent.may_retry(false));
-    assert!(REFUSALS.iter().all(|r| Attempt::Refused(*r).may_retry(false)));
+    assert!(REFUSALS.iter().all(|r| Attempt::Rejected(*r).may_retry(false)));
 }
 
 #[test]
@@ -31,7 +31,7 @@
 #[test]
 fn outcome_not_run_only_with_proof() {
     let after = Duration::from_secs(3);
-    let proofs = REFUSALS.map(Attempt::Refused).into_iter().chain([Attempt::NotSent]);
+    let proofs = REFUSALS.map(Attempt::Rejected).into_iter().chain([Attempt::NotSent]);
     for proof in proofs {
         let Outcome::NotRun(refusal) = proof.outcome(after) else { panic!("{proof:?}") };
         assert_eq!(refusal.retry_after, after);
--- a/crates/routing/tests/outlier.rs
+++ b/crates/routing/tests/outlier.rs
@@ -8,7 +8,7 @@
 
 use common::{at, name, router};
 use corianderfork_model::Share;
-use corianderfork_routing::outcome::{Attempt, Why};
+use corianderfork_routing::outcome::{Attempt, Reason};
 use corianderfork_routing::outlier::{Admission, Config, Detector, max_out};
 use corianderfork_routing::router::{self, RunnerKey, ServiceKey};
 use proptest::prelude::*;
@@ -224,7 +224,7 @@
         router.done(at(1000), ticket, Attempt::Failed);
     }
     let refusal = router.pick(at(1001), &name("transfer"), &[good]).unwrap_err();
-    assert_eq!(refusal.why, Why::NoneHealthy);
+    assert_eq!(refusal.reason, Reason::NoneHealthy);
     let probe = router.pick(at(2500), &name("transfer"), &[good]).unwrap();
     assert_eq!(probe.runner(), bad);
     assert!(router.pick(at(2500), &name("transfer"), &[good]).is_err(), "one at a time");
@@ -264,7 +264,7 @@
         let result = if is_bad { Attempt::Failed } else { Attempt::Answered };
         router.done(at(now + 5), ticket, result);
     }
-    let told = router.load(at(5_000));
+    let told = router.report(at(5_000));
     assert!(told.runners.iter().any(|runner| runner.ejected), "after {failed} failures");
     assert_eq!(failed, 5, "as few as it takes");
 }
--- a/crates/routing/tests/queue.rs
+++ b/crates/routing/tests/queue.rs
@@ -8,7 +8,7 @@
 
 use common::{at, name};
 use corianderfork_model::service::Class;
-use corianderfork_routing::outcome::Why;
+use corianderfork_routing::outcome::Reason;
 use corianderfork_routing::queue::{Config, Queue, Request};
 use proptest::prelude::*;
 
@@ -63,10 +63,10 @@
     let mut queue = Queue::new(Config::default().capacity(1));
     queue.push(at(0), request(Class::Normal, 1000, 0)).unwrap();
     let full = queue.push(at(0), request(Class::Normal, 1000, 1)).unwrap_err();
-    assert_eq!((full.item, full.refusal.why), (1, Why::QueueFull));
+    assert_eq!((full.item, full.refusal.reason), (1, Reason::QueueFull));
     assert!(full.refusal.retry_after >= Duration::from_secs(1));
     let displaced = queue.push(at(0), request(Class::First, 1000, 2)).unwrap().unwrap();
-    assert_eq!((displaced.item, displaced.refusal.why), (0, Why::Displaced));
+    assert_eq!((displaced.item, displaced.refusal.reason), (0, Reason::Displaced));
 }
 
 #[test]
@@ -91,10 +91,10 @@
     }
     for i in 1..=20 {
         queue.take(at(i * 100), |_| true).unwrap();
-        queue.started(at(i * 100), &name("transfer"));
+        queue.count_start(at(i * 100), &name("transfer"));
     }
     let hopeless = queue.push(at(2000), request(Class::Normal, 4000, 99)).unwrap_err();
-    assert_eq!(hopeless.refusal.why, Why::Hopeless);
+    assert_eq!(hopeless.refusal.reason, Reason::DeadlineTooSoon);
     let retry_after = hopeless.refusal.retry_after.as_secs_f64();
     assert!((3.0..5.0).contains(&retry_after), "40 at 10 a second, not {retry_after}");
     assert!(queue.push(at(2000), request(Class::Normal, 8000, 99)).is_ok());
@@ -115,7 +115,7 @@
     assert!(refused.contains(&9) && !refused.contains(&0), "{refused:?}");
     let rest = queue.sweep(at(1500));
     assert_eq!(refused.len() + rest.len(), 10, "well before the deadline");
-    assert!(rest.iter().all(|r| r.refusal.why == Why::Hopeless));
+    assert!(rest.iter().all(|r| r.refusal.reason == Reason::DeadlineTooSoon));
     assert!(queue.is_empty());
 }
 
@@ -127,7 +127,7 @@
     let mut queue = Queue::new(Config::default());
     queue.push(at(0), request(Class::Normal, 1000, 0)).unwrap();
     queue.take(at(1), |_| true).unwrap();
-    queue.started(at(1), &name("transfer"));
+    queue.count_start(at(1), &name("transfer"));
     for i in 0..30 {
         let now = 10_000_000 + 4 * u64::from(i);
         assert!(queue.push(at(now), request(Class::Normal, now + 1000, i)).is_ok());
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -8,7 +8,7 @@
 
 use common::{at, name, router, vm, vm_name, with_policy};
 use corianderfork_routing::limits::{Fixed, LeastOfTwo};
-use corianderfork_routing::outcome::{Attempt, Refused, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Rejection};
 use corianderfork_routing::router::{Config, Router};
 use corianderfork_routing::view::{Runner, Vm};
 
@@ -18,19 +18,19 @@
     let why = |router: &mut Router, now| {
         let refusal = router.pick(at(now), &transfer, &[]).unwrap_err();
         assert!(refusal.retry_after >= Duration::from_secs(1));
-        refusal.why
+        refusal.reason
     };
     let mut router = Router::new(name("proxy-0"), with_policy(Fixed));
-    assert_eq!(why(&mut router, 0), Why::NoRunner);
+    assert_eq!(why(&mut router, 0), Reason::NoRunner);
     let address = "127.0.0.1:9000".parse().unwrap();
     let cold = Vm::new(vm_name(0), 1).serving(true);
-    router.set_runners(at(0), cold.runner(Runner::new(transfer.clone(), address, false)));
-    assert_eq!(why(&mut router, 1000), Why::NoneServing);
-    router.set_runners(at(1000), vm(0, 2, 0, true));
-    assert_eq!(why(&mut router, 1001), Why::Busy, "its slots rest first");
+    router.apply_record(at(0), cold.runner(Runner::new(transfer.clone(), address, false)));
+    assert_eq!(why(&mut router, 1000), Reason::NoneServing);
+    router.apply_record(at(1000), vm(0, 2, 0, true));
+    assert_eq!(why(&mut router, 1001), Reason::Busy, "its slots rest first");
     let ticket = router.pick(at(2000), &transfer, &[]).unwrap();
     let again = router.pick(at(2000), &transfer, &[ticket.runner()]);
-    assert_eq!(again.unwrap_err().why, Why::NoneHealthy);
+    assert_eq!(again.unwrap_err().reason, Reason::NoneHealthy);
     assert!(!router.has_room(at(2000), &name("archive")));
     assert!(router.has_room(at(2000), &transfer));
 }
@@ -67,7 +67,7 @@
     let mut router = router(with_policy(LeastOfTwo), 2);
     let ticket = router.pick(at(1000), &name("transfer"), &[]).unwrap();
     let full = ticket.runner();
-    router.done(at(1000), ticket, Attempt::Refused(Refused::Busy));
+    router.done(at(1000), ticket, Attempt::Rejected(Rejection::Busy));
     for _ in 0..8 {
         let ticket = router.pick(at(1001), &name("transfer"), &[]).unwrap();
         assert_ne!(ticket.runner(), full);
@@ -83,10 +83,10 @@
     // Cause: what was learned was kept by VM, not by copy.
     let mut router = router(Config::default(), 1);
     let before = router.runners(&name("transfer"))[0];
-    router.learned_leaving(at(1000), before);
+    router.mark_leaving(at(1000), before);
     let address = "127.0.0.1:9999".parse().unwrap();
     let fresh = Vm::new(vm_name(0), 2).epoch(1).serving(true);
-    router.set_runners(at(1000), fresh.runner(Runner::new(name("transfer"), address, true)));
+    router.apply_record(at(1000), fresh.runner(Runner::new(name("transfer"), address, true)));
     let ticket = router.pick(at(2000), &name("transfer"), &[]).unwrap();
     assert_eq!(ticket.address(), address);
     assert_ne!(ticket.runner(), before);
--- a/examples/at_most_once.rs
+++ b/examples/at_most_once.rs
@@ -14,7 +14,7 @@
 
 use corianderfork::claim::segment::{Entry, Writer};
 use corianderfork::claim::{
-    Action, Answer, Ask, Attempt, Config, End, Event, Id, Outcome, Owner, Segment, Takeover,
+    Action, Answer, Attempt, Config, End, Event, Id, Outcome, Owner, Request, Segment, Takeover,
     Verdict,
 };
 use corianderfork::model::{Name, Time, name};
@@ -104,7 +104,7 @@
     // A caller moves a balance. Its answer is lost on the way back.
     let moved = Id::issue(start, 7);
     let attempt = Attempt::new(41, 1);
-    let asked = first.on_event(start, Event::Ask(Ask { key: 1, id: moved, attempt }));
+    let asked = first.on_event(start, Event::Request(Request { key: 1, id: moved, attempt }));
     assert!(matches!(asked[..], [Action::Put { .. }]), "not granted before it is written");
     let verdicts = carry_out(&mut first, &mut journal, start, asked);
     assert_eq!(verdicts, Some(vec![Verdict::Granted]));
@@ -116,8 +116,8 @@
 
     // The caller asks again there. Whether the first try ran is not known, so
     // the second one does not run.
-    let again = Ask { key: 2, id: moved, attempt: Attempt::new(42, 1) };
-    let asked = second.on_event(later, Event::Ask(again));
+    let again = Request { key: 2, id: moved, attempt: Attempt::new(42, 1) };
+    let asked = second.on_event(later, Event::Request(again));
     let verdicts = carry_out(&mut second, &mut journal, later, asked);
     let outcome = Outcome::Unknown;
     assert_eq!(verdicts, Some(vec![Verdict::Duplicate { outcome, holder: attempt }]));
@@ -125,15 +125,15 @@
 
     // entry-1 wakes and is asked for another move. Its write meets the seal.
     let other = Id::issue(later, 8);
-    let stale = Ask { key: 3, id: other, attempt: Attempt::new(41, 2) };
-    let asked = first.on_event(later, Event::Ask(stale));
+    let stale = Request { key: 3, id: other, attempt: Attempt::new(41, 2) };
+    let asked = first.on_event(later, Event::Request(stale));
     let verdicts = carry_out(&mut first, &mut journal, later, asked);
     assert!(verdicts.is_none_or(|verdicts| !verdicts.contains(&Verdict::Granted)));
     println!("entry-1 woke, and grants nothing");
 
     // Nobody ran that one: entry-2 may.
-    let ask = Ask { key: 4, id: other, attempt: Attempt::new(42, 2) };
-    let asked = second.on_event(later, Event::Ask(ask));
+    let ask = Request { key: 4, id: other, attempt: Attempt::new(42, 2) };
+    let asked = second.on_event(later, Event::Request(ask));
     let verdicts = carry_out(&mut second, &mut journal, later, asked);
     assert_eq!(verdicts, Some(vec![Verdict::Granted]));
     let done = Event::Settle { id: other, attempt: ask.attempt, end: End::Done };
--- a/examples/route_and_retry.rs
+++ b/examples/route_and_retry.rs
@@ -74,7 +74,7 @@
         let vm = Vm::new(Name::new(&format!("vm-{number}"))?, number)
             .serving(true)
             .runner(Runner::new(service.clone(), address, true));
-        router.set_runners(Time::ZERO, vm);
+        router.apply_record(Time::ZERO, vm);
     }
     let tenth = Share::from_per_mille(100).ok_or("at most 1000")?;
     let mut budget = Budget::new(retry::Config::default().share(tenth));
@@ -83,7 +83,7 @@
     // A share of a copy's slots is used after it has settled.
     let mut now = Time::from_millis(2_000);
     for _ in 0..REQUESTS {
-        router.offered(now, &service);
+        router.count_request(now, &service);
         match lookup(&mut router, &mut budget, now, &service, &mut tally) {
             Outcome::Answered => tally.answered += 1,
             Outcome::Unknown(_) => tally.unknown += 1,
