--- a/crates/coord/src/claim.rs
+++ b/crates/coord/src/claim.rs
@@ -88,16 +88,16 @@
 //! # Ok::<(), corianderfork_model::name::Error>(())
 //! ```
 
+mod base64;
 mod batch;
-mod book;
 pub mod config;
 pub mod id;
+mod index;
+mod journal;
 pub mod message;
 pub mod owner;
 pub mod segment;
 pub mod takeover;
-mod text;
-mod writer;
 
 pub use config::Config;
 pub use id::{Attempt, Id, shard};
--- a/crates/coord/src/claim/batch.rs
+++ b/crates/coord/src/claim/batch.rs
@@ -5,8 +5,8 @@
 
 use corianderfork_model::Time;
 
-use super::book::{Book, judge};
 use super::id::{Attempt, Id};
+use super::index::{Book, judge};
 use super::message::{Action, Request, Verdict};
 use super::segment::State;
 
--- a/crates/coord/src/claim/id.rs
+++ b/crates/coord/src/claim/id.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_model::Time;
 
-use super::text;
+use super::base64;
 use crate::backoff::mix;
 
 /// Where the time stands in a UUIDv7: its upper 48 bits.
@@ -144,7 +144,7 @@
 
 impl fmt::Debug for Attempt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&text::encode(self.0))
+        f.write_str(&base64::encode(self.0))
     }
 }
 
--- a/crates/coord/src/claim/writer.rs
+++ b/crates/coord/src/claim/journal.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use super::book::Horizon;
 use super::id::Id;
+use super::index::Horizon;
 use super::message::{Action, Answer};
 use super::segment::{Entry, HEAD, RECORD_BYTES, Record, Segment, State, Writer};
 
--- a/crates/coord/src/claim/owner.rs
+++ b/crates/coord/src/claim/owner.rs
@@ -1,6 +1,6 @@
 //! The one process that grants claims of a shard.
 
-mod landing;
+mod response;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use corianderfork_model::Time;
 
 use super::batch::{Batch, Waiter};
-use super::book::{Book, judge, settled};
 use super::config::Config;
 use super::id::{Attempt, Id};
+use super::index::{Book, judge, settled};
+use super::journal::Journal;
 use super::message::{Action, End, Event, Request, Verdict};
 use super::segment::{Segment, State, Writer};
-use super::writer::Journal;
 use crate::backoff::{self, Backoff};
 
 /// The first wait after the platform's service failed.
--- a/crates/coord/src/claim/owner/landing.rs
+++ b/crates/coord/src/claim/owner/response.rs
@@ -5,9 +5,9 @@
 use super::Owner;
 use crate::claim::batch::Batch;
 use crate::claim::id::{Attempt, Id};
+use crate::claim::journal::Landing;
 use crate::claim::message::{Action, Answer};
 use crate::claim::segment::{Segment, State};
-use crate::claim::writer::Landing;
 
 impl Owner {
     pub(super) fn on_answer(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
--- a/crates/coord/src/claim/segment.rs
+++ b/crates/coord/src/claim/segment.rs
@@ -5,14 +5,14 @@
 use corianderfork_model::{Name, Time};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
+use super::base64;
 use super::id::{Attempt, Id};
-use super::text;
 
 /// The number of the segment that holds no records but says who took the
 /// shard over last. It is never deleted.
 pub const HEAD: u64 = 0;
 /// Bytes of a record in JSON: quotes, comma, tag and two numbers.
-pub(super) const RECORD_BYTES: usize = 3 + 1 + 2 * text::LEN;
+pub(super) const RECORD_BYTES: usize = 3 + 1 + 2 * base64::LEN;
 
 /// What is known of an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +115,7 @@
             State::Done(attempt) => ('d', attempt),
             State::Abandoned(attempt) => ('a', attempt),
         };
-        let (id, attempt) = (text::encode(self.id.as_u128()), text::encode(attempt.as_u128()));
+        let (id, attempt) = (base64::encode(self.id.as_u128()), base64::encode(attempt.as_u128()));
         s.collect_str(&format_args!("{tag}{id}{attempt}"))
     }
 }
@@ -142,8 +142,8 @@
 
 fn parse(s: &str) -> Option<Record> {
     let tag = s.get(..1)?;
-    let id = Id::new(text::decode(s.get(1..1 + text::LEN)?)?).ok()?;
-    let attempt = Attempt::from_u128(text::decode(s.get(1 + text::LEN..)?)?);
+    let id = Id::new(base64::decode(s.get(1..1 + base64::LEN)?)?).ok()?;
+    let attempt = Attempt::from_u128(base64::decode(s.get(1 + base64::LEN..)?)?);
     let state = match tag {
         "c" => State::Claimed(attempt),
         "d" => State::Done(attempt),
--- a/crates/coord/src/claim/takeover.rs
+++ b/crates/coord/src/claim/takeover.rs
@@ -5,12 +5,12 @@
 
 use corianderfork_model::Time;
 
-use super::book::Book;
 use super::config::Config;
+use super::index::Book;
+use super::journal::Journal;
 use super::message::{Action, Answer, Event, Verdict};
 use super::owner::Owner;
 use super::segment::{Entry, HEAD, Segment, Writer};
-use super::writer::Journal;
 use crate::backoff::{self, Backoff};
 
 /// The first wait after the platform's service failed.
--- a/crates/coord/src/member.rs
+++ b/crates/coord/src/member.rs
@@ -30,7 +30,7 @@
 //! ```
 
 mod config;
-mod known;
+mod identity;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 use crate::backoff::mix;
 
 pub use config::Config;
-pub use known::{Identity, Peer, Sighting};
+pub use identity::{Identity, Peer, Sighting};
 
 #[derive(Clone, Debug)]
 struct Row {
--- a/crates/coord/tests/claim_faults.rs
+++ b/crates/coord/tests/claim_faults.rs
@@ -1,13 +1,13 @@
 //! Failures of claims, one by one.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
 use corianderfork_coord::claim::{
     Action, Answer, Attempt, Config, End, Event, Id, Outcome, Segment, Verdict, segment::HEAD,
 };
-use world::{Fault, START, World};
+use simulation::{Fault, START, World};
 
 const A: Attempt = Attempt::new(1, 1);
 const B: Attempt = Attempt::new(2, 1);
--- a/crates/coord/tests/claim_history.rs
+++ b/crates/coord/tests/claim_history.rs
@@ -1,14 +1,14 @@
 //! A small model checker: interleavings of owners, faults and retries chosen
 //! by proptest from a fixed seed, with the history checked at each reply.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
 use corianderfork_coord::claim::{Attempt, Config, End, Id, Verdict};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngAlgorithm, TestRng, TestRunner};
-use world::{Fault, Run, World};
+use simulation::{Fault, Run, World};
 
 /// Attempts there are of each id.
 const ATTEMPTS: u8 = 3;
--- a/crates/routing/benches/limits/main.rs
+++ b/crates/routing/benches/limits/main.rs
@@ -13,14 +13,14 @@
 
 use corianderfork_routing::limits::{Borrowing, Fixed, LeastOfTwo, Policy, Proportional};
 
-mod case;
 mod proxy;
+mod scenario;
+mod simulation;
 mod totals;
-mod world;
 
-use case::Case;
+use scenario::Case;
+use simulation::World;
 use totals::Totals;
-use world::World;
 
 const SEEDS: [u64; 3] = [7, 8, 9];
 
--- a/crates/routing/benches/limits/proxy.rs
+++ b/crates/routing/benches/limits/proxy.rs
@@ -7,7 +7,7 @@
 use corianderfork_routing::router::{Config, Router, RunnerKey, Ticket};
 use corianderfork_routing::{outlier, queue, retry};
 
-use crate::case::Case;
+use crate::scenario::Case;
 
 pub fn name(prefix: &str, i: usize) -> Name {
     Name::new(&format!("{prefix}-{i:02}")).expect("a valid name")
--- a/crates/routing/benches/limits/world.rs
+++ b/crates/routing/benches/limits/simulation.rs
@@ -12,8 +12,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::case::{Case, END, FAULT, FORGET, RECORDS};
 use crate::proxy::{Proxy, Request, name};
+use crate::scenario::{Case, END, FAULT, FORGET, RECORDS};
 use crate::totals::Totals;
 
 const PROXIES: usize = 8;
--- a/crates/routing/benches/limits/totals.rs
+++ b/crates/routing/benches/limits/totals.rs
@@ -1,6 +1,6 @@
 //! What is counted, and the line printed of it.
 
-use crate::case::Case;
+use crate::scenario::Case;
 
 #[derive(Default)]
 pub struct Totals {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -30,13 +30,13 @@
 use crate::outlier::Detector;
 use crate::view;
 
-mod choice;
 mod config;
 mod demand;
 mod gossip;
 mod peers;
 mod query;
 mod runner;
+mod selection;
 mod service;
 mod ticket;
 mod vm;
