--- a/crates/coord/src/backoff.rs
+++ b/crates/coord/src/backoff.rs
@@ -1,8 +1,9 @@
-//! Waits between retries, and the spread of returns after an outage.
+//! Jittered exponential backoff, and start delays after an outage.
 //!
-//! When the platform's service comes back, every process that waited for it
-//! would return in the same moment and push it over again. Jitter keeps
-//! retries apart; [`spread`] gives each process its own place in a window.
+//! When the platform's service comes back after an outage, all processes that
+//! waited for it would call at the same moment and overload it again. Jitter
+//! keeps their retries apart, and [`spread`] assigns each process its own point
+//! in a time window.
 //!
 //! ```
 //! use corianderfork_coord::backoff::{Backoff, Config};
@@ -17,7 +18,7 @@
 
 use std::time::Duration;
 
-/// How long waits are.
+/// Bounds of the waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     first: Duration,
@@ -31,19 +32,20 @@
 }
 
 impl Config {
-    /// 100 ms at first, at most 10 s.
+    /// Returns the defaults: a first wait of at most 100 ms and a maximum of 10
+    /// s.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The longest first wait.
+    /// Sets the upper bound of the first wait.
     #[must_use]
     pub fn first(mut self, first: Duration) -> Self {
         self.first = first;
         self
     }
 
-    /// The longest wait of all.
+    /// Sets the upper bound of every wait.
     #[must_use]
     pub fn max(mut self, max: Duration) -> Self {
         self.max = max;
@@ -51,43 +53,44 @@
     }
 }
 
-/// Doubling waits, each drawn from the upper half of its range.
+/// Exponential backoff: the upper bound doubles with each failure, and each
+/// wait is drawn from the upper half of its range.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     config: Config,
-    random: u64,
+    state: u64,
     failures: u32,
 }
 
 impl Backoff {
-    /// Waits drawn from `seed`; give each process its own, such as its
-    /// incarnation.
+    /// Creates a backoff with jitter from `seed`. Give each process its own
+    /// seed, such as its incarnation.
     pub fn new(config: Config, seed: u64) -> Self {
-        Self { config, random: seed, failures: 0 }
+        Self { config, state: seed, failures: 0 }
     }
 
-    /// The wait after one more failure.
+    /// Counts a failure and returns the wait before the next attempt.
     pub fn next_wait(&mut self) -> Duration {
         let factor = 1u32.checked_shl(self.failures).unwrap_or(u32::MAX);
         self.failures = self.failures.saturating_add(1);
         let longest = self.config.first.saturating_mul(factor).min(self.config.max);
-        self.random = mix(self.random);
-        longest / 2 + fraction(longest / 2, self.random)
+        self.state = mix(self.state);
+        longest / 2 + fraction(longest / 2, self.state)
     }
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Starts from the first wait again, after a success.
+    /// Resets the waits after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
 
-/// The place of the process with `seed` in a window after an outage: wait this
-/// long before the first call that every process makes at once.
+/// Returns the delay of the process with `seed` within `window`, to be waited
+/// after an outage before the first call that every process makes.
 ///
 /// ```
 /// use corianderfork_coord::backoff::spread;
@@ -102,15 +105,16 @@
     fraction(window, mix(seed))
 }
 
-/// The part of `whole` that `random` picks, evenly.
+/// Maps `random` uniformly to a duration in `0..whole`.
 fn fraction(whole: Duration, random: u64) -> Duration {
     let nanos = whole.as_nanos().min(u128::from(u64::MAX));
     let part = (nanos * u128::from(random)) >> 64;
     Duration::from_nanos(part as u64)
 }
 
-/// One step of SplitMix64: a seeded generator of one word, which is enough
-/// for jitter and for a stable hash, and never changes with a library.
+/// One step of SplitMix64, a seeded generator with one word of state. It is
+/// good enough for jitter and for a stable hash, and does not change with a
+/// library version.
 pub(crate) fn mix(seed: u64) -> u64 {
     let z = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/coord/src/claim.rs
+++ b/crates/coord/src/claim.rs
@@ -1,39 +1,43 @@
-//! At-most-once ids, kept in a journal in the platform's service.
+//! At-most-once execution by request id, recorded in a journal in the
+//! platform's service.
 //!
-//! A caller whose answer was lost asks again, at another entry VM. Whoever
-//! takes the request in must know whether it may have been run already, even
-//! though the process that ran it is gone. So a claim on the id stands in the
-//! platform's service before the first byte goes to a backend server.
+//! A caller that did not receive an answer retries at another entry VM. The
+//! process that receives the retry must know whether the request may have been
+//! run already, even if the process that ran it is gone. So the id is claimed
+//! in the platform's service before the first byte is sent to a backend server.
 //!
-//! One write a request would not fit the service's rates. Ids are therefore
+//! One write per request would exceed the service's rate limits, so ids are
 //! split over a fixed number of [`shard`]s. Each shard has one [`Owner`] at a
-//! time, which gathers claims and writes them as one batch by
-//! compare-and-swap; a claim is granted only after the write that holds it is
-//! confirmed. Writes a second are bounded by shards and gap, not by requests.
+//! time, which batches claims and writes each batch by compare-and-swap. It
+//! grants a claim only after the write that contains it is confirmed. The write
+//! rate is bounded by the number of shards and the write interval, not by the
+//! request rate.
 //!
-//! What goes wrong otherwise, and what prevents it:
+//! Failures that the design prevents:
 //!
-//! - *A paused owner wakes and grants an id that its successor granted too.*
-//!   One would notice an id with two attempts. A [`Takeover`] seals the last
-//!   segment by compare-and-swap before it reads the journal; the old owner's
-//!   next write then fails, and a claim that isn't written is never granted.
-//! - *The paused owner's segment is deleted and its create-only write brings
-//!   the number to life again.* Every takeover first writes its fencing token
-//!   to the segment [`segment::HEAD`], which is never deleted, and an owner
-//!   reads it after each segment it creates, before it grants what is in it.
-//! - *A clock is behind that of the owner that forgot an id, which then looks
-//!   fresh.* What is forgotten is written as a floor in the journal before it
-//!   is deleted; an id below the floor is [`Verdict::Expired`] by any clock.
+//! - *A paused owner resumes and grants an id that its successor has granted
+//!   too.* The id would have two attempts. A [`Takeover`] seals the last
+//!   segment by compare-and-swap before it reads the journal. The old owner's
+//!   next write then fails, and a claim that is not written is never granted.
+//! - *The paused owner's segment is deleted, and its create-only write creates
+//!   the segment again.* Every takeover first writes its fencing token to the
+//!   segment [`segment::HEAD`], which is never deleted. An owner reads it after
+//!   each segment that it creates, before it grants the claims in that segment.
+//! - *The clock of an owner is behind that of a previous owner which forgot an
+//!   id, so the id looks new.* Before records are deleted, the journal stores a
+//!   floor. An id issued before the floor is [`Verdict::Expired`] by any clock.
 //! - *An answer of the service is lost after the write took effect.* The owner
-//!   reads back and recognises its own write by its number before it retries.
-//! - *The service is down.* Claims are refused at once; an owner never goes on
-//!   alone, since its death would take the claims with it.
+//!   reads the segment back and recognises its own write by its sequence number
+//!   before it retries.
+//! - *The service is down.* Claims are refused immediately. An owner never
+//!   continues without the service, because its claims would be lost if it
+//!   died.
 //!
-//! Times here are Unix time, as ids carry it.
+//! Times in this module are Unix times, because ids contain one.
 //!
-//! The driver answers every [`Action::Put`], [`Action::Read`],
-//! [`Action::List`] and [`Action::Delete`] by exactly one [`Answer`]. On a
-//! timeout it answers `PutUnknown` or `ReadFailed` and drops what comes later.
+//! The driver answers every [`Action::Put`], [`Action::Read`], [`Action::List`]
+//! and [`Action::Delete`] with exactly one [`Answer`]. On a timeout it answers
+//! `PutUnknown` or `ReadFailed` and drops the late answer.
 //!
 //! ```
 //! use corianderfork_coord::claim::{
@@ -42,7 +46,7 @@
 //! use corianderfork_model::{Name, Time};
 //! use std::collections::BTreeMap;
 //!
-//! // A store that always answers: revision and value of each segment.
+//! // A store that always answers, with the revision and value of each segment.
 //! #[derive(Default)]
 //! struct Store(u64, BTreeMap<u64, (u64, Segment)>);
 //! impl Store {
@@ -77,12 +81,12 @@
 //! while let Some(answer) = actions.first().and_then(|action| store.answer(action)) {
 //!     actions = takeover.on_event(now, Event::Store(answer));
 //! }
-//! let mut owner = takeover.take_owner().expect("nobody else was there");
+//! let mut owner = takeover.take_owner().expect("no other process wrote to the journal");
 //!
-//! let ask = Request { key: 1, id: Id::issue(now, 7), attempt: Attempt::new(42, 1) };
-//! let put = owner.on_event(now, Event::Request(ask));
+//! let request = Request { key: 1, id: Id::issue(now, 7), attempt: Attempt::new(42, 1) };
+//! let put = owner.on_event(now, Event::Request(request));
 //! assert!(matches!(put[..], [Action::Put { .. }])); // not granted yet
-//! let answer = store.answer(&put[0]).expect("a put is answered");
+//! let answer = store.answer(&put[0]).expect("the store answers every put");
 //! let reply = owner.on_event(now, Event::Store(answer));
 //! assert_eq!(reply, [Action::Reply { key: 1, verdict: Verdict::Granted }]);
 //! # Ok::<(), corianderfork_model::name::Error>(())
--- a/crates/coord/src/claim/base64.rs
+++ b/crates/coord/src/claim/base64.rs
@@ -1,17 +1,17 @@
-//! 128 bits as 22 characters, safe in JSON without escapes.
+//! Encodes 128 bits as 22 characters that need no escaping in JSON.
 
-/// The digits of base 64 as in RFC 4648, section 5.
+/// The URL-safe base64 alphabet of RFC 4648, section 5.
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-/// How many digits 128 bits take.
+/// The number of digits for 128 bits.
 pub(super) const LEN: usize = 22;
 
-/// The text of `bits`, the most significant digit first.
+/// Encodes `bits`, the most significant digit first.
 pub(super) fn encode(bits: u128) -> String {
     let digit = |at: usize| DIGITS[(bits >> (6 * (LEN - 1 - at))) as usize & 63] as char;
     (0..LEN).map(digit).collect()
 }
 
-/// The bits of a text, or `None` if it isn't one of [`encode`]'s.
+/// Decodes the output of [`encode`]; returns `None` for any other text.
 pub(super) fn decode(s: &str) -> Option<u128> {
     if s.len() != LEN {
         return None;
--- a/crates/coord/src/claim/batch.rs
+++ b/crates/coord/src/claim/batch.rs
@@ -1,4 +1,4 @@
-//! Changes that wait to be written, and the asks that wait for them.
+//! Changes that are to be written, and the requests that wait for them.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use corianderfork_model::Time;
 
 use super::id::{Attempt, Id};
-use super::index::{Book, judge};
+use super::index::{Index, verdict_for};
 use super::message::{Action, Request, Verdict};
 use super::segment::State;
 
-/// An ask whose reply depends on a write.
+/// A request whose reply depends on a write.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
-    pub(super) ask: Request,
+    pub(super) request: Request,
     pub(super) since: Time,
 }
 
-/// What one write adds to the journal.
+/// The changes that one write adds to the journal.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Batch {
     pub(super) changes: BTreeMap<Id, State>,
@@ -25,39 +25,41 @@
 }
 
 impl Batch {
-    /// Puts what was to be written before this batch in front of it.
+    /// Merges `earlier` into this batch, in front of it: changes of this batch
+    /// override it.
     pub(super) fn prepend(&mut self, mut earlier: Batch) {
         earlier.changes.append(&mut self.changes);
         earlier.waiters.append(&mut self.waiters);
         *self = earlier;
     }
 
-    /// Lets the waiters wait as if they had come at `now`.
-    pub(super) fn restart(&mut self, now: Time) {
+    /// Restarts the wait of all waiters at `now`.
+    pub(super) fn restart_waits(&mut self, now: Time) {
         for waiter in &mut self.waiters {
             waiter.since = now;
         }
     }
 
-    /// Refuses the waiters for which `refused` holds.
+    /// Removes and refuses the waiters for which `should_refuse` returns true.
     pub(super) fn refuse(
         &mut self,
         retry_after: Duration,
-        out: &mut Vec<Action>,
-        refused: impl Fn(&Waiter) -> bool,
+        actions: &mut Vec<Action>,
+        should_refuse: impl Fn(&Waiter) -> bool,
     ) {
         let verdict = Verdict::Unavailable { retry_after };
-        let refuse = |waiter: &mut Waiter| refused(waiter);
-        let gone = self.waiters.extract_if(.., refuse);
-        out.extend(gone.map(|w| Action::Reply { key: w.ask.key, verdict }));
+        let refuse = |waiter: &mut Waiter| should_refuse(waiter);
+        let refused = self.waiters.extract_if(.., refuse);
+        actions.extend(refused.map(|w| Action::Reply { key: w.request.key, verdict }));
     }
 
-    /// Takes out claims that nobody waits for any more: their asks were told
-    /// that nothing was run, so writing them would only block the id.
+    /// Drops claims without a waiter. Their requesters were told that nothing
+    /// was run, so writing these claims would only block the ids.
     ///
-    /// Where the journal holds an older claim, what this claim was built on is
-    /// an abandonment that isn't written yet; it is kept in the claim's stead.
-    pub(super) fn drop_orphans(&mut self, book: &Book) {
+    /// If the journal contains an older claim of the id, the dropped claim
+    /// replaced an abandonment that is not written yet. That abandonment is
+    /// kept.
+    pub(super) fn drop_orphans(&mut self, index: &Index) {
         let orphans: BTreeSet<Id> = self.orphans().map(|(id, _)| id).collect();
         self.changes.retain(|id, state| {
             let State::Claimed(attempt) = *state else { return true };
@@ -65,30 +67,30 @@
                 return true;
             }
             *state = State::Abandoned(attempt);
-            matches!(book.state(*id), Some(State::Claimed(_)))
+            matches!(index.state(*id), Some(State::Claimed(_)))
         });
     }
 
-    /// Replies to all waiters by what the journal holds now.
-    pub(super) fn reply(&self, book: &Book, retry_after: Duration, out: &mut Vec<Action>) {
+    /// Replies to all waiters according to the confirmed records.
+    pub(super) fn reply(&self, index: &Index, retry_after: Duration, actions: &mut Vec<Action>) {
         let unavailable = Verdict::Unavailable { retry_after };
-        for Waiter { ask, .. } in &self.waiters {
-            let verdict = match judge(book.state(ask.id), ask.attempt, retry_after) {
-                // The holder was told that nothing was run, and its claim is
-                // about to be given up: nobody runs the request.
-                Some(Verdict::Duplicate { holder, .. }) if self.is_orphan(ask.id, holder) => {
+        for Waiter { request, .. } in &self.waiters {
+            let verdict = match verdict_for(index.state(request.id), request.attempt, retry_after) {
+                // The holder's request was refused, and its claim is about to
+                // be abandoned: nobody runs the request.
+                Some(Verdict::Duplicate { holder, .. }) if self.is_orphan(request.id, holder) => {
                     unavailable
                 }
                 verdict => verdict.unwrap_or(unavailable),
             };
-            out.push(Action::Reply { key: ask.key, verdict });
+            actions.push(Action::Reply { key: request.key, verdict });
         }
     }
 
-    /// The claims of this batch that no ask waits for any more.
+    /// Returns the claims of this batch that no request waits for.
     pub(super) fn orphans(&self) -> impl Iterator<Item = (Id, Attempt)> {
         let awaited: HashSet<(Id, Attempt)> =
-            self.waiters.iter().map(|w| (w.ask.id, w.ask.attempt)).collect();
+            self.waiters.iter().map(|w| (w.request.id, w.request.attempt)).collect();
         let claimed = self.changes.iter().filter_map(|(&id, &state)| match state {
             State::Claimed(attempt) => Some((id, attempt)),
             State::Done(_) | State::Abandoned(_) => None,
@@ -100,8 +102,8 @@
         self.changes.get(&id) == Some(&State::Claimed(holder)) && !self.awaits(id, holder)
     }
 
-    /// Whether an ask waits for this batch to claim `id` for `attempt`.
+    /// Whether a request waits for this batch to claim `id` for `attempt`.
     fn awaits(&self, id: Id, attempt: Attempt) -> bool {
-        self.waiters.iter().any(|w| w.ask.id == id && w.ask.attempt == attempt)
+        self.waiters.iter().any(|w| w.request.id == id && w.request.attempt == attempt)
     }
 }
--- a/crates/coord/src/claim/id.rs
+++ b/crates/coord/src/claim/id.rs
@@ -1,4 +1,4 @@
-//! Ids of non-idempotent requests and of attempts at them.
+//! Ids of non-idempotent requests and of the attempts to run them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,36 +8,37 @@
 use super::base64;
 use crate::backoff::mix;
 
-/// Where the time stands in a UUIDv7: its upper 48 bits.
+/// Position of the timestamp in a UUIDv7: the upper 48 bits.
 const TIME_SHIFT: u32 = 80;
-/// Where the version stands.
+/// Position of the version.
 const VERSION_SHIFT: u32 = 76;
-/// Where the variant stands.
+/// Position of the variant.
 const VARIANT_SHIFT: u32 = 62;
 
 /// The id of a non-idempotent request: a UUIDv7 (RFC 9562) that the caller
-/// draws once and repeats with every retry. Ids sort by the time of issue.
+/// generates once and sends again with every retry. Ids are ordered by their
+/// issue time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(u128);
 
-/// Why a text or number is not an [`Id`].
+/// The error for a text or number that is not an [`Id`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// Not 32 hexadecimal digits with or without the four hyphens.
+    /// The text is not 32 hexadecimal digits, with or without the four hyphens.
     #[error("the id is not a UUID; send 32 hexadecimal digits, such as `018f…-….-7…`")]
     Malformed,
-    /// A UUID, but not one that carries its time of issue.
+    /// A UUID of a version without an issue time.
     #[error("the id is a UUID of version {0}; send one of version 7, which carries its age")]
     Version(u8),
 }
 
 impl Id {
-    /// The id of a UUID's 128 bits.
+    /// Creates an id from the 128 bits of a UUID.
     ///
     /// # Errors
     ///
-    /// Fails unless version and variant are those of a UUIDv7.
+    /// Returns an error unless the version and variant are those of a UUIDv7.
     ///
     /// ```
     /// use corianderfork_coord::claim::Id;
@@ -58,26 +59,27 @@
         Ok(Self(uuid))
     }
 
-    /// An id issued at `issued` (Unix time), told apart from others by `random`.
+    /// Creates an id with the issue time `issued` (Unix time), made unique by
+    /// `random`.
     pub fn issue(issued: Time, random: u64) -> Self {
         let time = u128::from(issued.as_millis()) << TIME_SHIFT;
         let low = u128::from(random) & ((1 << VARIANT_SHIFT) - 1);
         Self(time | 7 << VERSION_SHIFT | 0b10 << VARIANT_SHIFT | low)
     }
 
-    /// When the caller issued it (Unix time), by the caller's clock.
+    /// Returns the issue time (Unix time) by the caller's clock.
     pub fn issued(self) -> Time {
         Time::from_millis((self.0 >> TIME_SHIFT) as u64)
     }
 
-    /// The bits of the UUID.
+    /// Returns the bits of the UUID.
     pub fn as_u128(self) -> u128 {
         self.0
     }
 
-    /// A lower bound of all ids issued at `issued` or later, to cut an ordered
-    /// map at a time.
-    pub(super) fn floor(issued: Time) -> Self {
+    /// Returns a lower bound of all ids issued at `issued` or later, for
+    /// splitting an ordered map at a point in time.
+    pub(super) fn lower_bound(issued: Time) -> Self {
         Self(u128::from(issued.as_millis()) << TIME_SHIFT)
     }
 }
@@ -110,33 +112,35 @@
     }
 }
 
-/// One attempt of one process at running a request.
+/// One attempt of one process to run a request.
 ///
-/// A process draws a fresh attempt for each request it takes in, and keeps it
-/// when it only repeats a question that got no answer. Never ask again with an
-/// attempt that was answered [`super::Verdict::Unavailable`] or settled as
-/// [`super::End::Abandoned`]: it won't be granted any more.
+/// A process creates a new attempt for each request that it receives, and keeps
+/// it when it only repeats a claim that was not answered. An attempt that
+/// received [`super::Verdict::Unavailable`] or was settled as
+/// [`super::End::Abandoned`] must not be used again: it will not be granted any
+/// more.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt(u128);
 
 impl Attempt {
-    /// The `count`-th attempt of the process with `incarnation`, which must be
-    /// unique among all processes (a random or time-ordered number is).
+    /// Returns the `count`-th attempt of the process with `incarnation`, which
+    /// must be unique among all processes (for example a random or time-ordered
+    /// number).
     pub const fn new(incarnation: u64, count: u64) -> Self {
         Self((incarnation as u128) << 64 | count as u128)
     }
 
-    /// The attempt as a number, to send it.
+    /// Returns the attempt as a number, for transmission.
     pub const fn as_u128(self) -> u128 {
         self.0
     }
 
-    /// The attempt of a number that was sent.
+    /// Converts a transmitted number back to an attempt.
     pub const fn from_u128(bits: u128) -> Self {
         Self(bits)
     }
 
-    /// The incarnation of the process that made it.
+    /// Returns the incarnation of the process that created the attempt.
     pub const fn incarnation(self) -> u64 {
         (self.0 >> 64) as u64
     }
@@ -148,10 +152,11 @@
     }
 }
 
-/// The shard that remembers `id`, from 0 up to `shards`.
+/// Returns the shard that is responsible for `id`, in `0..shards`.
 ///
-/// The number of shards must never change while ids are remembered: an id
-/// would move to an owner that has never heard of it, and run a second time.
+/// The number of shards must not change while ids are remembered. Otherwise an
+/// id would move to an owner that does not know it, and the request could run a
+/// second time.
 ///
 /// # Panics
 ///
--- a/crates/coord/src/claim/index.rs
+++ b/crates/coord/src/claim/index.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of ids from the journal.
+//! An owner's in-memory index of the journal.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,33 +10,34 @@
 use super::message::{End, Outcome, Verdict};
 use super::segment::{HEAD, Record, Segment, State};
 
-/// The confirmed records of a shard. Never holds what isn't in the journal.
+/// The confirmed records of a shard. It never contains a record that is not in
+/// the journal.
 #[derive(Clone, Debug)]
-pub(super) struct Book {
+pub(super) struct Index {
     states: BTreeMap<Id, State>,
-    /// The latest issue among the ids of each segment.
-    latest: BTreeMap<u64, Time>,
-    /// Ids issued before this are forgotten.
+    /// The latest issue time among the ids of each segment.
+    latest_issued: BTreeMap<u64, Time>,
+    /// Ids issued before this time are forgotten.
     pub(super) floor: Time,
     /// The first segment that is still needed.
     pub(super) first: u64,
 }
 
-/// Up to where ids are, or may now be, forgotten.
+/// The limit below which ids and segments are forgotten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Horizon {
     pub(super) floor: Time,
     pub(super) first: u64,
 }
 
-impl Default for Book {
+impl Default for Index {
     fn default() -> Self {
         let first = HEAD + 1;
-        Self { states: BTreeMap::new(), latest: BTreeMap::new(), floor: Time::ZERO, first }
+        Self { states: BTreeMap::new(), latest_issued: BTreeMap::new(), floor: Time::ZERO, first }
     }
 }
 
-impl Book {
+impl Index {
     pub(super) fn len(&self) -> usize {
         self.states.len()
     }
@@ -45,31 +46,32 @@
         self.states.get(&id).copied()
     }
 
-    /// Takes in the segment `number` as it stands in the journal.
-    pub(super) fn take(&mut self, number: u64, segment: &Segment) {
-        self.learn(number, segment);
+    /// Applies the segment `number` as read from the journal.
+    pub(super) fn apply(&mut self, number: u64, segment: &Segment) {
+        self.insert_records(number, segment);
         self.forget(Horizon { floor: segment.floor, first: segment.first });
     }
 
-    /// Takes in the records of a segment but not what it declares forgotten.
-    pub(super) fn learn(&mut self, number: u64, segment: &Segment) {
+    /// Inserts the records of a segment, without forgetting what the segment
+    /// declares forgotten.
+    pub(super) fn insert_records(&mut self, number: u64, segment: &Segment) {
         for &record in &segment.records {
-            self.record(number, record);
+            self.insert_record(number, record);
         }
     }
 
-    fn record(&mut self, segment: u64, record: Record) {
-        let latest = self.latest.entry(segment).or_default();
+    fn insert_record(&mut self, segment: u64, record: Record) {
+        let latest = self.latest_issued.entry(segment).or_default();
         *latest = record.id.issued().max(*latest);
         if record.id.issued() >= self.floor {
             self.states.insert(record.id, record.state);
         }
     }
 
-    /// The verdict that the age of `id` alone decides.
+    /// Returns the verdict if the age of `id` alone decides it.
     pub(super) fn age_verdict(&self, config: &Config, now: Time, id: Id) -> Option<Verdict> {
         let issued = id.issued();
-        if issued > now + config.future {
+        if issued > now + config.max_clock_skew {
             return Some(Verdict::Invalid);
         }
         let limit = config.retention.saturating_sub(config.margin);
@@ -77,12 +79,13 @@
         old.then_some(Verdict::Expired)
     }
 
-    /// How far the journal may be forgotten at `now`, `current` being written.
+    /// Returns how much of the journal may be forgotten at `now`, while the
+    /// segment `current` is being written.
     pub(super) fn horizon(&self, config: &Config, now: Time, current: u64) -> Horizon {
         let mut horizon = Horizon { floor: self.floor, first: self.first };
         while horizon.first < current {
-            // A segment without records has nothing to remember.
-            let latest = self.latest.get(&horizon.first).copied();
+            // A segment without records can be dropped at once.
+            let latest = self.latest_issued.get(&horizon.first).copied();
             if latest.is_some_and(|latest| latest + config.retention > now) {
                 break;
             }
@@ -93,9 +96,9 @@
         horizon
     }
 
-    /// When the next records may be forgotten.
-    pub(super) fn expiry(&self, config: &Config, current: u64) -> Option<Time> {
-        let (_, &latest) = self.latest.range(..current).next()?;
+    /// Returns when the next records may be forgotten.
+    pub(super) fn next_expiry(&self, config: &Config, current: u64) -> Option<Time> {
+        let (_, &latest) = self.latest_issued.range(..current).next()?;
         Some(latest + config.retention)
     }
 
@@ -103,14 +106,14 @@
     pub(super) fn forget(&mut self, horizon: Horizon) {
         self.floor = self.floor.max(horizon.floor);
         self.first = self.first.max(horizon.first);
-        self.states = self.states.split_off(&Id::floor(self.floor));
-        self.latest = self.latest.split_off(&self.first);
+        self.states = self.states.split_off(&Id::lower_bound(self.floor));
+        self.latest_issued = self.latest_issued.split_off(&self.first);
     }
 }
 
-/// The verdict for `attempt` when the id stands at `state`; `None` if the
-/// attempt may claim it.
-pub(super) fn judge(
+/// Returns the verdict for `attempt` on an id in `state`, or `None` if the
+/// attempt may claim the id.
+pub(super) fn verdict_for(
     state: Option<State>,
     attempt: Attempt,
     retry_after: Duration,
@@ -122,8 +125,8 @@
             Some(Verdict::Duplicate { outcome: Outcome::Unknown, holder })
         }
         Some(State::Done(holder)) => Some(Verdict::Duplicate { outcome: Outcome::Done, holder }),
-        // The process gave this attempt up; a late copy of its question must
-        // not claim the id for a run that will never be.
+        // The process abandoned this attempt. A delayed copy of its request
+        // must not claim the id, because the request would never be run.
         Some(State::Abandoned(holder)) if holder == attempt => {
             Some(Verdict::Unavailable { retry_after })
         }
@@ -131,8 +134,8 @@
     }
 }
 
-/// The state that a settlement leads to; `None` if it changes nothing.
-pub(super) fn settled(state: Option<State>, attempt: Attempt, end: End) -> Option<State> {
+/// Returns the state after a settlement, or `None` if it changes nothing.
+pub(super) fn settle(state: Option<State>, attempt: Attempt, end: End) -> Option<State> {
     match (state, end) {
         (Some(State::Claimed(holder)), End::Done) if holder == attempt => {
             Some(State::Done(attempt))
@@ -140,12 +143,13 @@
         (Some(State::Claimed(holder)), End::Abandoned) if holder == attempt => {
             Some(State::Abandoned(attempt))
         }
-        // Against what it said before, it did run: remember the graver.
+        // The attempt was reported as abandoned, but it did run: keep the safer
+        // state.
         (Some(State::Abandoned(holder)), End::Done) if holder == attempt => {
             Some(State::Done(attempt))
         }
-        // The ask that this attempt gave up on is still on its way. Without
-        // the record it would claim the id for a run that will never be.
+        // The request of the abandoned attempt has not arrived yet. Without
+        // this record it would claim the id for a run that never happens.
         (None, End::Abandoned) => Some(State::Abandoned(attempt)),
         _ => None,
     }
--- a/crates/coord/src/claim/journal.rs
+++ b/crates/coord/src/claim/journal.rs
@@ -1,4 +1,4 @@
-//! The journal as its owner writes it, one write at a time.
+//! The journal from the owner's side: one write at a time.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use super::message::{Action, Answer};
 use super::segment::{Entry, HEAD, RECORD_BYTES, Record, Segment, State, Writer};
 
-/// The segment being written, as this owner knows it.
+/// The segment that is being written, as this owner knows it.
 #[derive(Clone, Debug)]
 pub(super) struct Journal {
     writer: Writer,
@@ -18,36 +18,45 @@
     seq: u64,
     records: BTreeMap<Id, State>,
     /// Whether [`HEAD`] was read after this segment was created.
-    checked: bool,
-    /// Whether the last write is in the journal and only the head's read is
-    /// missing.
-    checking: bool,
+    head_checked: bool,
+    /// Whether the last write is in the journal and only the read of the head
+    /// is missing.
+    head_check_pending: bool,
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Debug)]
-pub(super) enum Landing {
-    /// Not known yet; this read will tell.
-    Read(Action),
-    /// It is in the journal.
-    Landed,
-    /// It is in the journal, which a successor has sealed since.
+pub(super) enum WriteOutcome {
+    /// Not known yet; this read has to be sent to find out.
+    Unknown(Action),
+    /// The write is in the journal.
+    Written,
+    /// The write is in the journal, which a successor has sealed since.
     Sealed,
-    /// It is not in the journal.
-    NotLanded,
-    /// An earlier write of this owner is in the journal, this one isn't.
-    Adopted(Segment),
-    /// The journal is another's.
-    Foreign,
+    /// The write is not in the journal.
+    NotWritten,
+    /// An earlier write of this owner is in the journal, but this one is not.
+    EarlierWritten(Segment),
+    /// Another process owns the journal.
+    LostOwnership,
 }
 
 impl Journal {
-    /// The journal of an owner that has created the segment `number` and read
-    /// [`HEAD`] since.
+    /// Creates the journal of an owner that has created the segment `number`
+    /// and has read [`HEAD`] since.
     pub(super) fn new(number: u64, revision: u64, segment: Segment) -> Self {
         let Segment { owner: writer, epoch, seq, records, .. } = segment;
         let records = by_id(&records);
-        Self { writer, epoch, number, revision, seq, records, checked: true, checking: false }
+        Self {
+            writer,
+            epoch,
+            number,
+            revision,
+            seq,
+            records,
+            head_checked: true,
+            head_check_pending: false,
+        }
     }
 
     pub(super) fn writer(&self) -> &Writer {
@@ -62,99 +71,111 @@
         self.number
     }
 
-    /// Starts the next segment if this one has grown to `bytes`.
+    /// Starts the next segment if this one has reached `bytes`.
     ///
-    /// There is no way back, also if the create should fail: a write to this
-    /// one while the next may exist would miss the seal of a successor, which
-    /// seals the last segment only.
-    pub(super) fn roll_at(&mut self, bytes: usize) {
+    /// This is not undone even if the create fails: if this owner wrote to the
+    /// old segment while the next one may exist, the write would escape the
+    /// seal of a successor, which seals only the last segment.
+    pub(super) fn roll_if_full(&mut self, bytes: usize) {
         if self.revision == 0 || self.records.len() * RECORD_BYTES < bytes {
             return;
         }
         self.number += 1;
         self.revision = 0;
         self.records.clear();
-        self.checked = false;
+        self.head_checked = false;
     }
 
-    /// The write that adds `changes`. Its number has never been used, so that
-    /// its effect can be told from that of any other.
-    pub(super) fn put(&mut self, changes: &BTreeMap<Id, State>, to: Horizon) -> (Segment, Action) {
+    /// Returns the write that adds `changes`. Its sequence number is unused, so
+    /// that its effect can be distinguished from that of any other write.
+    pub(super) fn next_put(
+        &mut self,
+        changes: &BTreeMap<Id, State>,
+        horizon: Horizon,
+    ) -> (Segment, Action) {
         self.seq += 1;
-        self.checking = false;
+        self.head_check_pending = false;
         let mut records = self.records.clone();
         records.extend(changes);
         let mut value = Segment::new(self.writer.clone(), self.epoch);
         value.seq = self.seq;
-        value.first = to.first;
-        value.floor = to.floor;
+        value.first = horizon.first;
+        value.floor = horizon.floor;
         value.records = records.into_iter().map(|(id, state)| Record { id, state }).collect();
         let (segment, expect) = (self.number, self.revision);
         (value.clone(), Action::Put { segment, expect, value })
     }
 
-    /// The read that tells what became of the last write.
-    pub(super) fn read(&self) -> Action {
-        Action::Read { segment: if self.checking { HEAD } else { self.number } }
+    /// Returns the read that determines the outcome of the last write.
+    pub(super) fn read_back(&self) -> Action {
+        Action::Read { segment: if self.head_check_pending { HEAD } else { self.number } }
     }
 
-    /// Takes in an answer about the write of `value`.
-    pub(super) fn on_answer(&mut self, answer: Answer, value: &Segment) -> Landing {
+    /// Handles an answer about the write of `value`.
+    pub(super) fn on_answer(&mut self, answer: Answer, value: &Segment) -> WriteOutcome {
         match answer {
-            Answer::PutDone { revision, .. } => self.land(revision, value),
-            Answer::PutConflict { .. } | Answer::PutUnknown { .. } => Landing::Read(self.read()),
-            Answer::Read { segment: HEAD, entry } => self.check(entry.as_ref()),
-            Answer::Read { entry, .. } => self.recognise(entry, value),
-            _ => Landing::NotLanded,
+            Answer::PutDone { revision, .. } => self.on_written(revision, value),
+            Answer::PutConflict { .. } | Answer::PutUnknown { .. } => {
+                WriteOutcome::Unknown(self.read_back())
+            }
+            Answer::Read { segment: HEAD, entry } => self.check_head(entry.as_ref()),
+            Answer::Read { entry, .. } => self.match_read(entry, value),
+            _ => WriteOutcome::NotWritten,
         }
     }
 
-    fn land(&mut self, revision: u64, value: &Segment) -> Landing {
+    fn on_written(&mut self, revision: u64, value: &Segment) -> WriteOutcome {
         self.revision = revision;
         self.records = by_id(&value.records);
-        if self.checked {
-            return Landing::Landed;
+        if self.head_checked {
+            return WriteOutcome::Written;
         }
-        self.checking = true;
-        Landing::Read(self.read())
+        self.head_check_pending = true;
+        WriteOutcome::Unknown(self.read_back())
     }
 
-    /// A create-only write also succeeds where a successor has created the
-    /// segment, filled it and deleted it since: a second journal would begin.
-    /// The successor wrote its token to the head before all that.
-    fn check(&mut self, head: Option<&Entry>) -> Landing {
+    /// Checks that this process still owns the journal. A create-only write
+    /// also succeeds if a successor has created, filled and deleted the segment
+    /// since, which would start a second journal. The successor wrote its token
+    /// to the head before doing so.
+    fn check_head(&mut self, head: Option<&Entry>) -> WriteOutcome {
         let head = head.and_then(|entry| entry.segment.as_ref());
-        if !head.is_some_and(|head| head.is_of(&self.writer, self.epoch)) {
-            return Landing::Foreign;
+        if !head.is_some_and(|head| head.is_written_by(&self.writer, self.epoch)) {
+            return WriteOutcome::LostOwnership;
         }
-        self.checked = true;
-        self.checking = false;
-        Landing::Landed
+        self.head_checked = true;
+        self.head_check_pending = false;
+        WriteOutcome::Written
     }
 
-    fn recognise(&mut self, entry: Option<Entry>, value: &Segment) -> Landing {
+    fn match_read(&mut self, entry: Option<Entry>, value: &Segment) -> WriteOutcome {
         let Some(Entry { revision, segment, .. }) = entry else {
-            return if self.revision == 0 { Landing::NotLanded } else { Landing::Foreign };
+            return if self.revision == 0 {
+                WriteOutcome::NotWritten
+            } else {
+                WriteOutcome::LostOwnership
+            };
         };
-        let Some(segment) = segment.filter(|s| s.is_of(&self.writer, self.epoch)) else {
-            return Landing::Foreign;
+        let Some(segment) = segment.filter(|s| s.is_written_by(&self.writer, self.epoch)) else {
+            return WriteOutcome::LostOwnership;
         };
         if segment.sealed_by.is_some() {
-            let landed = segment.seq == value.seq && self.checked;
-            return if landed { Landing::Sealed } else { Landing::Foreign };
+            let written = segment.seq == value.seq && self.head_checked;
+            return if written { WriteOutcome::Sealed } else { WriteOutcome::LostOwnership };
         }
         if segment.seq == value.seq {
-            return self.land(revision, value);
+            return self.on_written(revision, value);
         }
         if revision == self.revision {
-            return Landing::NotLanded;
+            return WriteOutcome::NotWritten;
         }
-        // The head has to be read again: this may be a late copy of the create
-        // of this segment, which a successor has sealed and deleted since.
-        self.checked = false;
+        // The head has to be read again: this may be a delayed copy of the
+        // write that created this segment, which a successor has sealed and
+        // deleted since.
+        self.head_checked = false;
         self.revision = revision;
         self.records = by_id(&segment.records);
-        Landing::Adopted(segment)
+        WriteOutcome::EarlierWritten(segment)
     }
 }
 
--- a/crates/coord/src/claim/message.rs
+++ b/crates/coord/src/claim/message.rs
@@ -1,18 +1,18 @@
-//! What an owner and a takeover are told, and what they want done.
+//! Events and actions of [`super::Owner`] and [`super::Takeover`].
 
 use std::time::Duration;
 
 use super::id::{Attempt, Id};
 use super::segment::{Entry, Segment};
 
-/// A question for a claim.
+/// A request to claim an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// What the reply is addressed to, of the driver's choice.
+    /// The driver's key for the reply.
     pub key: u64,
-    /// The request.
+    /// The request id.
     pub id: Id,
-    /// Who wants to run it.
+    /// The attempt that wants to run the request.
     pub attempt: Attempt,
 }
 
@@ -21,17 +21,17 @@
 pub enum End {
     /// The request was run and answered.
     Done,
-    /// The attempt gave up before the first byte went to a backend server, or
-    /// the backend server promised that it wasn't run.
+    /// The attempt was given up before the first byte went to a backend server,
+    /// or the backend server promised that it did not run the request.
     Abandoned,
 }
 
-/// What is known of the outcome of a duplicate's first run.
+/// What is known about the first run of a duplicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was run and answered.
+    /// The request was run and answered.
     Done,
-    /// It may have been run, or may still be running.
+    /// The request may have been run, or may still be running.
     Unknown,
 }
 
@@ -39,37 +39,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Verdict {
-    /// The attempt may run the request; nobody else may.
+    /// The attempt may run the request, and no other attempt may.
     Granted,
-    /// Another attempt may have run it already.
+    /// Another attempt may have run the request already.
     Duplicate {
-        /// What is known of that run.
+        /// What is known about that run.
         outcome: Outcome,
         /// The other attempt.
         holder: Attempt,
     },
-    /// The id is too old to know whether it was run. It must not be.
+    /// The id is too old to know whether the request was run. It must not be
+    /// run.
     Expired,
-    /// The id was issued in the future; the caller's clock is wrong.
+    /// The id was issued in the future: the caller's clock is wrong.
     Invalid,
-    /// Not run. The caller may come back, as a fresh attempt.
+    /// The request was not run. The caller may retry, as a new attempt.
     Unavailable {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
 }
 
-/// The platform's answer to one call.
+/// An answer of the platform's service to one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The write took effect.
     PutDone {
-        /// The segment written.
+        /// The segment that was written.
         segment: u64,
-        /// Its revision now.
+        /// The new revision of the segment.
         revision: u64,
     },
-    /// The expected revision was not current; nothing was written.
+    /// The revision did not match; nothing was written.
     PutConflict {
         /// The segment.
         segment: u64,
@@ -84,11 +85,11 @@
         /// The segment.
         segment: u64,
     },
-    /// The segment as it stands, or `None` if it is absent.
+    /// The current segment, or `None` if it is absent.
     Read {
-        /// The segment read.
+        /// The segment that was read.
         segment: u64,
-        /// What was found.
+        /// The segment's entry.
         entry: Option<Entry>,
     },
     /// No answer to a read.
@@ -96,11 +97,11 @@
         /// The segment.
         segment: u64,
     },
-    /// All segments of the shard, as they stood at one moment.
+    /// All segments of the shard, as of one point in time.
     Listed(Vec<Entry>),
     /// No answer to a list.
     ListFailed,
-    /// The segment is gone (also if it was absent before).
+    /// The segment does not exist any more (or did not exist).
     Deleted {
         /// The segment.
         segment: u64,
@@ -112,36 +113,38 @@
     },
 }
 
-/// What happened.
+/// An input of an owner or takeover.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Somebody wants to run a request.
+    /// A process wants to run a request.
     Request(Request),
-    /// An attempt that was granted, or whose reply never came, has ended.
+    /// An attempt has ended that was granted, or whose reply never arrived.
     Settle {
-        /// The request.
+        /// The request id.
         id: Id,
         /// The attempt.
         attempt: Attempt,
-        /// How it ended.
+        /// How the attempt ended.
         end: End,
     },
     /// The platform's service answered.
     Store(Answer),
-    /// Time went by. Due at least at the time the machine's `next_tick` gave.
+    /// Time has passed. Due at the latest at the time that `next_tick` of the
+    /// owner or takeover returned.
     Tick,
 }
 
-/// What to do.
+/// An output of an owner or takeover.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write a segment if its revision is `expect`; 0 means absent.
+    /// Write a segment if its current revision is `expect`; 0 means that it
+    /// must be absent.
     Put {
         /// The segment.
         segment: u64,
-        /// The revision it must have.
+        /// The expected revision.
         expect: u64,
-        /// What to write.
+        /// The new value.
         value: Segment,
     },
     /// Read one segment.
@@ -156,13 +159,14 @@
         /// The segment.
         segment: u64,
     },
-    /// Send a reply to an [`Request`].
+    /// Send the reply to a [`Request`].
     Reply {
-        /// The key of the ask.
+        /// The key of the request.
         key: u64,
         /// The reply.
         verdict: Verdict,
     },
-    /// Another process owns the shard: release the lease, drop this machine.
+    /// Another process owns the shard: release the lease and drop the owner or
+    /// takeover.
     Deposed,
 }
--- a/crates/coord/src/claim/owner.rs
+++ b/crates/coord/src/claim/owner.rs
@@ -1,4 +1,4 @@
-//! The one process that grants claims of a shard.
+//! The owner of a shard, which grants claims.
 
 mod response;
 
@@ -10,7 +10,7 @@
 use super::batch::{Batch, Waiter};
 use super::config::Config;
 use super::id::{Attempt, Id};
-use super::index::{Book, judge, settled};
+use super::index::{Index, settle, verdict_for};
 use super::journal::Journal;
 use super::message::{Action, End, Event, Request, Verdict};
 use super::segment::{Segment, State, Writer};
@@ -18,62 +18,68 @@
 
 /// The first wait after the platform's service failed.
 const FIRST_WAIT: Duration = Duration::from_millis(100);
-/// The longest wait while it is down.
+/// The longest wait while the service is unavailable.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Grants claims of one shard; made by a [`super::Takeover`].
+/// A state machine that grants the claims of one shard, created by a
+/// [`super::Takeover`].
 ///
-/// It has at most one write in flight. What is asked meanwhile is gathered
-/// and written as one batch, a minimum gap after the last write.
+/// At most one write is in flight. Requests that arrive in the meantime are
+/// written as one batch, at least the write interval after the previous write.
 #[derive(Debug)]
 pub struct Owner {
     config: Config,
     journal: Journal,
-    book: Book,
+    index: Index,
     queue: Batch,
-    flight: Option<Flight>,
-    /// Since when a change waits that no ask waits for.
-    settled: Option<Time>,
-    last_put: Option<Time>,
+    in_flight: Option<InFlight>,
+    /// When the oldest queued change arrived that no request waits for.
+    settled_since: Option<Time>,
+    last_write: Option<Time>,
     backoff: Backoff,
-    /// Claims are refused until then: the service failed.
-    down_until: Option<Time>,
-    /// Segments to delete, and when to go on with it.
-    doomed: BTreeSet<u64>,
-    delete_at: Time,
+    /// Claims are refused until this time because the service failed.
+    unavailable_until: Option<Time>,
+    /// Segments to delete, and when the next delete is due.
+    deletable: BTreeSet<u64>,
+    next_delete: Time,
     deposed: bool,
     /// The time of the last event.
-    seen: Time,
+    last_event: Time,
 }
 
-/// A batch of which it isn't known yet whether it is in the journal.
+/// A write whose outcome is not known yet.
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     batch: Batch,
     value: Segment,
-    since: Time,
-    /// A read failed and is to be sent again then.
-    resume: Option<Time>,
+    sent: Time,
+    /// When to repeat a read that failed.
+    next_read: Option<Time>,
 }
 
 impl Owner {
-    pub(super) fn new(config: Config, journal: Journal, book: Book, doomed: BTreeSet<u64>) -> Self {
+    pub(super) fn new(
+        config: Config,
+        journal: Journal,
+        index: Index,
+        deletable: BTreeSet<u64>,
+    ) -> Self {
         let waits = backoff::Config::new().first(FIRST_WAIT).max(MAX_WAIT);
         let backoff = Backoff::new(waits, journal.writer().incarnation ^ journal.epoch());
         Self {
             config,
             journal,
-            book,
+            index,
             queue: Batch::default(),
-            flight: None,
-            settled: None,
-            last_put: None,
+            in_flight: None,
+            settled_since: None,
+            last_write: None,
             backoff,
-            down_until: None,
-            doomed,
-            delete_at: Time::ZERO,
+            unavailable_until: None,
+            deletable,
+            next_delete: Time::ZERO,
             deposed: false,
-            seen: Time::ZERO,
+            last_event: Time::ZERO,
         }
     }
 
@@ -82,14 +88,14 @@
         self.deposed
     }
 
-    /// The process this owner writes as.
+    /// Returns the process as which this owner writes.
     pub fn writer(&self) -> &Writer {
         self.journal.writer()
     }
 
-    /// How many ids are remembered.
+    /// Returns how many ids are remembered.
     pub fn len(&self) -> usize {
-        self.book.len()
+        self.index.len()
     }
 
     /// Whether no id is remembered.
@@ -97,68 +103,72 @@
         self.len() == 0
     }
 
-    /// How many asks wait for a write.
+    /// Returns how many requests wait for a write.
     pub fn waiting(&self) -> usize {
-        let flying = self.flight.as_ref().map_or(0, |flight| flight.batch.waiters.len());
-        self.queue.waiters.len() + flying
+        let unconfirmed = self.in_flight.as_ref().map_or(0, |flight| flight.batch.waiters.len());
+        self.queue.waiters.len() + unconfirmed
     }
 
-    /// When the next [`Event::Tick`] is due, if any.
+    /// Returns when the next [`Event::Tick`] is due, if any.
     pub fn next_tick(&self) -> Option<Time> {
         if self.deposed {
             return None;
         }
-        let resume = self.flight.as_ref().and_then(|flight| flight.resume);
-        let put = if self.flight.is_none() { self.put_due() } else { None };
-        let deletes = (!self.doomed.is_empty()).then_some(self.delete_at);
+        let read = self.in_flight.as_ref().and_then(|flight| flight.next_read);
+        let write = if self.in_flight.is_none() { self.next_write() } else { None };
+        let deletes = (!self.deletable.is_empty()).then_some(self.next_delete);
         let queued = &self.queue.waiters;
-        let flying = self.flight.iter().flat_map(|flight| &flight.batch.waiters);
-        let refuse = queued.iter().chain(flying).map(|w| w.since + self.config.ask_wait).min();
-        resume.into_iter().chain(put).chain(deletes).chain(refuse).min()
+        let unconfirmed = self.in_flight.iter().flat_map(|flight| &flight.batch.waiters);
+        let refusals =
+            queued.iter().chain(unconfirmed).map(|w| w.since + self.config.request_timeout).min();
+        read.into_iter().chain(write).chain(deletes).chain(refusals).min()
     }
 
-    /// Takes in what happened at `now` (Unix time) and gives what to do.
+    /// Handles an event at `now` (Unix time) and returns the actions to carry
+    /// out.
     pub fn on_event(&mut self, now: Time, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.rewind(now);
+        let mut actions = Vec::new();
+        self.restart_waits_if_rewound(now);
         match event {
-            Event::Request(ask) => self.on_ask(now, ask, &mut out),
-            Event::Settle { id, attempt, end } => self.on_settle(now, id, attempt, end, &mut out),
-            Event::Store(answer) => self.on_answer(now, answer, &mut out),
-            Event::Tick => self.on_tick(now, &mut out),
+            Event::Request(request) => self.on_request(now, request, &mut actions),
+            Event::Settle { id, attempt, end } => {
+                self.on_settle(now, id, attempt, end, &mut actions)
+            }
+            Event::Store(answer) => self.on_answer(now, answer, &mut actions),
+            Event::Tick => self.on_tick(now, &mut actions),
         }
-        self.pump(now, &mut out);
-        out
+        self.write_if_due(now, &mut actions);
+        actions
     }
 
-    /// Starts all waits anew if the clock was set back: else the owner would
-    /// refuse, or sit on its queue, until the clock has caught up.
-    fn rewind(&mut self, now: Time) {
-        let back = now < std::mem::replace(&mut self.seen, now);
-        if !back {
+    /// Restarts all waits if the clock was set back. Otherwise the owner would
+    /// refuse requests, or keep its queue, until the clock has caught up.
+    fn restart_waits_if_rewound(&mut self, now: Time) {
+        let rewound = now < std::mem::replace(&mut self.last_event, now);
+        if !rewound {
             return;
         }
-        self.last_put = None;
-        self.down_until = None;
-        self.delete_at = now;
-        self.settled = self.settled.map(|_| now);
-        self.queue.restart(now);
-        if let Some(flight) = &mut self.flight {
-            flight.since = now;
-            flight.resume = flight.resume.map(|_| now);
-            flight.batch.restart(now);
+        self.last_write = None;
+        self.unavailable_until = None;
+        self.next_delete = now;
+        self.settled_since = self.settled_since.map(|_| now);
+        self.queue.restart_waits(now);
+        if let Some(flight) = &mut self.in_flight {
+            flight.sent = now;
+            flight.next_read = flight.next_read.map(|_| now);
+            flight.batch.restart_waits(now);
         }
     }
 
-    /// The state of `id` with all changes that aren't confirmed yet.
+    /// Returns the state of `id` including unconfirmed changes.
     fn state(&self, id: Id) -> Option<State> {
         let queued = self.queue.changes.get(&id).copied();
-        let flying = || self.flight.as_ref()?.batch.changes.get(&id).copied();
-        queued.or_else(flying).or_else(|| self.book.state(id))
+        let unconfirmed = || self.in_flight.as_ref()?.batch.changes.get(&id).copied();
+        queued.or_else(unconfirmed).or_else(|| self.index.state(id))
     }
 
-    /// The batch that will claim `id`, if one is to.
-    fn claiming(&mut self, id: Id) -> Option<&mut Batch> {
+    /// Returns the batch that contains a claim of `id`, if any.
+    fn pending_claim(&mut self, id: Id) -> Option<&mut Batch> {
         let is_claim = |state: &State| matches!(state, State::Claimed(_));
         let claims = |batch: &Batch| batch.changes.get(&id).map(is_claim);
         match claims(&self.queue) {
@@ -166,49 +176,51 @@
             Some(false) => return None,
             None => {}
         }
-        let batch = &mut self.flight.as_mut()?.batch;
+        let batch = &mut self.in_flight.as_mut()?.batch;
         if claims(batch) == Some(true) { Some(batch) } else { None }
     }
 
-    fn on_ask(&mut self, now: Time, ask: Request, out: &mut Vec<Action>) {
-        if let Some(verdict) = self.answer_now(now, ask) {
-            out.push(Action::Reply { key: ask.key, verdict });
+    fn on_request(&mut self, now: Time, request: Request, actions: &mut Vec<Action>) {
+        if let Some(verdict) = self.immediate_verdict(now, request) {
+            actions.push(Action::Reply { key: request.key, verdict });
             return;
         }
-        let waiter = Waiter { ask, since: now };
-        if let Some(batch) = self.claiming(ask.id) {
+        let waiter = Waiter { request, since: now };
+        if let Some(batch) = self.pending_claim(request.id) {
             batch.waiters.push(waiter);
             return;
         }
-        self.queue.changes.insert(ask.id, State::Claimed(ask.attempt));
+        self.queue.changes.insert(request.id, State::Claimed(request.attempt));
         self.queue.waiters.push(waiter);
     }
 
-    /// The reply that needs no write; `None` if the ask has to wait for one.
-    fn answer_now(&mut self, now: Time, ask: Request) -> Option<Verdict> {
+    /// Returns the verdict if it needs no write, or `None` if the request has
+    /// to wait for one.
+    fn immediate_verdict(&mut self, now: Time, request: Request) -> Option<Verdict> {
         if self.deposed {
             return Some(self.unavailable(now));
         }
-        if let Some(verdict) = self.book.age_verdict(&self.config, now, ask.id) {
+        if let Some(verdict) = self.index.age_verdict(&self.config, now, request.id) {
             return Some(verdict);
         }
         let retry_after = self.retry_after(now);
-        if self.claiming(ask.id).is_none() {
-            let verdict = judge(self.state(ask.id), ask.attempt, retry_after);
+        if self.pending_claim(request.id).is_none() {
+            let verdict = verdict_for(self.state(request.id), request.attempt, retry_after);
             if verdict.is_some() {
                 return verdict;
             }
         }
-        self.is_full(now).then(|| self.unavailable(now))
+        self.must_refuse(now).then(|| self.unavailable(now))
     }
 
-    /// Whether a further ask would only wait to be refused.
-    fn is_full(&self, now: Time) -> bool {
-        let down = self.down_until.is_some_and(|until| now < until);
-        let slow = |flight: &Flight| now >= flight.since + self.config.ask_wait;
-        down || self.flight.as_ref().is_some_and(slow)
-            || self.waiting() >= self.config.queue
-            || self.book.len() + self.queue.changes.len() >= self.config.live
+    /// Whether another request would only wait until it is refused.
+    fn must_refuse(&self, now: Time) -> bool {
+        let outage = self.unavailable_until.is_some_and(|until| now < until);
+        let slow = |flight: &InFlight| now >= flight.sent + self.config.request_timeout;
+        outage
+            || self.in_flight.as_ref().is_some_and(slow)
+            || self.waiting() >= self.config.max_waiting
+            || self.index.len() + self.queue.changes.len() >= self.config.max_ids
     }
 
     fn unavailable(&self, now: Time) -> Verdict {
@@ -216,83 +228,91 @@
     }
 
     fn retry_after(&self, now: Time) -> Duration {
-        let down = self.down_until.map_or(Duration::ZERO, |until| until - now);
-        down.max(self.config.ask_wait)
+        let remaining = self.unavailable_until.map_or(Duration::ZERO, |until| until - now);
+        remaining.max(self.config.request_timeout)
     }
 
-    fn on_settle(&mut self, now: Time, id: Id, attempt: Attempt, end: End, out: &mut Vec<Action>) {
-        if self.deposed || self.book.age_verdict(&self.config, now, id).is_some() {
+    fn on_settle(
+        &mut self,
+        now: Time,
+        id: Id,
+        attempt: Attempt,
+        end: End,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.deposed || self.index.age_verdict(&self.config, now, id).is_some() {
             return;
         }
-        let Some(state) = settled(self.state(id), attempt, end) else { return };
-        // A settlement that is lost leaves the id claimed: later asks are told
-        // that the outcome is unknown, which is safe. So it may be dropped.
-        if self.queue.changes.len() >= 2 * self.config.queue {
+        let Some(state) = settle(self.state(id), attempt, end) else { return };
+        // It is safe to drop a settlement: the id stays claimed, and later
+        // requests receive the verdict that the outcome is unknown.
+        if self.queue.changes.len() >= 2 * self.config.max_waiting {
             return;
         }
         self.queue.changes.insert(id, state);
-        self.settled.get_or_insert(now);
+        self.settled_since.get_or_insert(now);
         let retry_after = self.retry_after(now);
-        let of_attempt = |w: &Waiter| w.ask.id == id && w.ask.attempt == attempt;
-        self.queue.refuse(retry_after, out, of_attempt);
-        if let Some(flight) = &mut self.flight {
-            flight.batch.refuse(retry_after, out, of_attempt);
+        let of_attempt = |w: &Waiter| w.request.id == id && w.request.attempt == attempt;
+        self.queue.refuse(retry_after, actions, of_attempt);
+        if let Some(flight) = &mut self.in_flight {
+            flight.batch.refuse(retry_after, actions, of_attempt);
         }
     }
 
-    fn on_tick(&mut self, now: Time, out: &mut Vec<Action>) {
-        let (wait, retry_after) = (self.config.ask_wait, self.retry_after(now));
+    fn on_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let (wait, retry_after) = (self.config.request_timeout, self.retry_after(now));
         let late = |w: &Waiter| now >= w.since + wait;
-        self.queue.refuse(retry_after, out, late);
+        self.queue.refuse(retry_after, actions, late);
         if self.queue.waiters.is_empty() {
-            self.queue.drop_orphans(&self.book);
+            self.queue.drop_orphans(&self.index);
         }
-        if let Some(flight) = &mut self.flight {
-            flight.batch.refuse(retry_after, out, late);
-            if flight.resume.is_some_and(|at| now >= at) {
-                flight.resume = None;
-                out.push(self.journal.read());
+        if let Some(flight) = &mut self.in_flight {
+            flight.batch.refuse(retry_after, actions, late);
+            if flight.next_read.is_some_and(|at| now >= at) {
+                flight.next_read = None;
+                actions.push(self.journal.read_back());
             }
         }
-        self.delete(now, out);
+        self.delete_if_due(now, actions);
     }
 
-    /// When the next write is due, if there is something to write.
-    fn put_due(&self) -> Option<Time> {
+    /// Returns when the next write is due, if there is anything to write.
+    fn next_write(&self) -> Option<Time> {
         let at = if !self.queue.waiters.is_empty() {
             Time::ZERO
         } else if !self.queue.changes.is_empty() {
-            self.settled.map_or(Time::ZERO, |since| since + self.config.settle_delay)
+            self.settled_since.map_or(Time::ZERO, |since| since + self.config.settle_delay)
         } else {
-            self.book.expiry(&self.config, self.journal.number())?
+            self.index.next_expiry(&self.config, self.journal.number())?
         };
-        let after_gap = self.last_put.map_or(Time::ZERO, |last| last + self.config.gap);
-        Some(at.max(after_gap).max(self.down_until.unwrap_or(Time::ZERO)))
+        let after_gap =
+            self.last_write.map_or(Time::ZERO, |last| last + self.config.write_interval);
+        Some(at.max(after_gap).max(self.unavailable_until.unwrap_or(Time::ZERO)))
     }
 
-    fn pump(&mut self, now: Time, out: &mut Vec<Action>) {
-        let due = self.put_due().is_some_and(|at| now >= at);
-        if self.deposed || self.flight.is_some() || !due {
+    fn write_if_due(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let due = self.next_write().is_some_and(|at| now >= at);
+        if self.deposed || self.in_flight.is_some() || !due {
             return;
         }
         let batch = std::mem::take(&mut self.queue);
-        self.settled = None;
-        self.last_put = Some(now);
-        self.journal.roll_at(self.config.segment_bytes);
-        let horizon = self.book.horizon(&self.config, now, self.journal.number());
-        let (value, put) = self.journal.put(&batch.changes, horizon);
-        out.push(put);
-        self.flight = Some(Flight { batch, value, since: now, resume: None });
+        self.settled_since = None;
+        self.last_write = Some(now);
+        self.journal.roll_if_full(self.config.segment_bytes);
+        let horizon = self.index.horizon(&self.config, now, self.journal.number());
+        let (value, put) = self.journal.next_put(&batch.changes, horizon);
+        actions.push(put);
+        self.in_flight = Some(InFlight { batch, value, sent: now, next_read: None });
     }
 
-    /// Deletes one segment at a time, and no faster than the other writes.
-    fn delete(&mut self, now: Time, out: &mut Vec<Action>) {
-        let Some(&segment) = self.doomed.first() else { return };
-        let down = self.down_until.is_some_and(|until| now < until);
-        if self.deposed || down || now < self.delete_at {
+    /// Deletes one segment at a time, no faster than the other writes.
+    fn delete_if_due(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let Some(&segment) = self.deletable.first() else { return };
+        let outage = self.unavailable_until.is_some_and(|until| now < until);
+        if self.deposed || outage || now < self.next_delete {
             return;
         }
-        self.delete_at = now + self.config.settle_delay.max(self.config.gap);
-        out.push(Action::Delete { segment });
+        self.next_delete = now + self.config.settle_delay.max(self.config.write_interval);
+        actions.push(Action::Delete { segment });
     }
 }
--- a/crates/coord/src/claim/owner/response.rs
+++ b/crates/coord/src/claim/owner/response.rs
@@ -1,69 +1,69 @@
-//! What an owner does with the answers of the platform's service.
+//! Handles the answers of the platform's service to an owner.
 
 use corianderfork_model::Time;
 
 use super::Owner;
 use crate::claim::batch::Batch;
 use crate::claim::id::{Attempt, Id};
-use crate::claim::journal::Landing;
+use crate::claim::journal::WriteOutcome;
 use crate::claim::message::{Action, Answer};
 use crate::claim::segment::{Segment, State};
 
 impl Owner {
-    pub(super) fn on_answer(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
+    pub(super) fn on_answer(&mut self, now: Time, answer: Answer, actions: &mut Vec<Action>) {
         match answer {
             Answer::Deleted { segment } => {
-                self.doomed.remove(&segment);
+                self.deletable.remove(&segment);
             }
             Answer::DeleteFailed { .. } | Answer::Listed(_) | Answer::ListFailed => {}
-            Answer::PutUnavailable { .. } => self.on_refused(now, out),
-            Answer::ReadFailed { .. } => self.on_read_failed(now, out),
-            answer => self.on_landing(now, answer, out),
+            Answer::PutUnavailable { .. } => self.on_put_unavailable(now, actions),
+            Answer::ReadFailed { .. } => self.on_read_failed(now, actions),
+            answer => self.on_write_answer(now, answer, actions),
         }
     }
 
-    fn on_landing(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
-        let Some(flight) = &self.flight else { return };
+    fn on_write_answer(&mut self, now: Time, answer: Answer, actions: &mut Vec<Action>) {
+        let Some(flight) = &self.in_flight else { return };
         match self.journal.on_answer(answer, &flight.value) {
-            Landing::Read(read) => out.push(read),
-            Landing::Landed => self.confirm(now, out),
-            Landing::Sealed => {
-                self.confirm(now, out);
-                self.depose(now, out);
+            WriteOutcome::Unknown(read) => actions.push(read),
+            WriteOutcome::Written => self.confirm(now, actions),
+            WriteOutcome::Sealed => {
+                self.confirm(now, actions);
+                self.depose(now, actions);
             }
-            Landing::NotLanded => self.retry(now),
-            Landing::Adopted(segment) => {
+            WriteOutcome::NotWritten => self.retry(now),
+            WriteOutcome::EarlierWritten(segment) => {
                 self.adopt(now, &segment);
                 self.retry(now);
             }
-            Landing::Foreign => self.depose(now, out),
+            WriteOutcome::LostOwnership => self.depose(now, actions),
         }
     }
 
-    /// The flight is in the journal: only now may its claims be granted.
-    fn confirm(&mut self, now: Time, out: &mut Vec<Action>) {
-        let Some(flight) = self.flight.take() else { return };
-        self.down_until = None;
+    /// The write is in the journal: only now may its claims be granted.
+    fn confirm(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let Some(flight) = self.in_flight.take() else { return };
+        self.unavailable_until = None;
         self.backoff.reset();
-        self.doomed.extend(self.book.first..flight.value.first);
-        self.book.take(self.journal.number(), &flight.value);
-        flight.batch.reply(&self.book, self.retry_after(now), out);
+        self.deletable.extend(self.index.first..flight.value.first);
+        self.index.apply(self.journal.number(), &flight.value);
+        flight.batch.reply(&self.index, self.retry_after(now), actions);
         for (id, attempt) in flight.batch.orphans() {
             self.abandon(now, id, attempt);
         }
     }
 
-    /// Gives up a claim that stands in the journal although its asks were told
-    /// that nothing was run; else the id would be blocked for its retention.
+    /// Abandons a claim that is in the journal although its requests were
+    /// refused. Otherwise the id would be blocked for the retention time.
     fn abandon(&mut self, now: Time, id: Id, attempt: Attempt) {
         self.queue.changes.entry(id).or_insert(State::Abandoned(attempt));
-        self.settled.get_or_insert(now);
+        self.settled_since.get_or_insert(now);
     }
 
-    /// Takes in an earlier write of this owner that it took for lost and that
-    /// came into effect late.
+    /// Applies an earlier write of this owner that was presumed lost and took
+    /// effect late.
     fn adopt(&mut self, now: Time, segment: &Segment) {
-        let known = |id| self.book.state(id);
+        let known = |id| self.index.state(id);
         let late: Vec<(Id, Attempt)> = segment
             .records
             .iter()
@@ -73,62 +73,66 @@
                 State::Done(_) | State::Abandoned(_) => None,
             })
             .collect();
-        // What it declares forgotten isn't taken in: nothing may be deleted
-        // before a write that is known to belong to the journal says so.
-        self.book.learn(self.journal.number(), segment);
+        // What the segment declares forgotten is not applied: nothing may be
+        // deleted before a write that certainly belongs to the journal allows
+        // it.
+        self.index.insert_records(self.journal.number(), segment);
         for (id, attempt) in late {
-            let flying = self.flight.as_ref().is_some_and(|f| f.batch.changes.contains_key(&id));
-            if !flying {
+            let is_unconfirmed =
+                self.in_flight.as_ref().is_some_and(|f| f.batch.changes.contains_key(&id));
+            if !is_unconfirmed {
                 self.abandon(now, id, attempt);
             }
         }
     }
 
-    /// The flight isn't in the journal: it goes back to the queue.
+    /// The write is not in the journal: its batch returns to the queue.
     fn retry(&mut self, now: Time) {
-        let Some(flight) = self.flight.take() else { return };
+        let Some(flight) = self.in_flight.take() else { return };
         self.queue.prepend(flight.batch);
-        self.queue.drop_orphans(&self.book);
+        self.queue.drop_orphans(&self.index);
         if !self.queue.changes.is_empty() {
-            self.settled.get_or_insert(now);
+            self.settled_since.get_or_insert(now);
         }
     }
 
-    fn on_refused(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.go_down(now, out);
+    fn on_put_unavailable(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.mark_unavailable(now, actions);
         self.retry(now);
     }
 
-    /// The flight stays: it may be in the journal, and is read back later.
-    fn on_read_failed(&mut self, now: Time, out: &mut Vec<Action>) {
-        let until = self.go_down(now, out);
-        if let Some(flight) = &mut self.flight {
-            flight.resume = Some(until);
+    /// The write stays in flight: it may be in the journal, and is read back
+    /// later.
+    fn on_read_failed(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let until = self.mark_unavailable(now, actions);
+        if let Some(flight) = &mut self.in_flight {
+            flight.next_read = Some(until);
         }
     }
 
-    /// Refuses all that wait, and what comes until the next try.
-    fn go_down(&mut self, now: Time, out: &mut Vec<Action>) -> Time {
+    /// Refuses all waiting requests, and new ones until the next attempt.
+    /// Returns the time of that attempt.
+    fn mark_unavailable(&mut self, now: Time, actions: &mut Vec<Action>) -> Time {
         let until = now + self.backoff.next_wait();
-        self.down_until = Some(until);
-        self.refuse_all(now, out);
+        self.unavailable_until = Some(until);
+        self.refuse_all(now, actions);
         until
     }
 
-    fn refuse_all(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn refuse_all(&mut self, now: Time, actions: &mut Vec<Action>) {
         let retry_after = self.retry_after(now);
-        if let Some(flight) = &mut self.flight {
-            flight.batch.refuse(retry_after, out, |_| true);
+        if let Some(flight) = &mut self.in_flight {
+            flight.batch.refuse(retry_after, actions, |_| true);
         }
-        self.queue.refuse(retry_after, out, |_| true);
-        self.queue.drop_orphans(&self.book);
+        self.queue.refuse(retry_after, actions, |_| true);
+        self.queue.drop_orphans(&self.index);
     }
 
-    fn depose(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.refuse_all(now, out);
-        self.flight = None;
+    fn depose(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.refuse_all(now, actions);
+        self.in_flight = None;
         self.queue = Batch::default();
         self.deposed = true;
-        out.push(Action::Deposed);
+        actions.push(Action::Deposed);
     }
 }
--- a/crates/coord/src/claim/segment.rs
+++ b/crates/coord/src/claim/segment.rs
@@ -1,4 +1,4 @@
-//! The journal of a shard as it stands in the platform's service.
+//! The format of a shard's journal in the platform's service.
 
 use std::fmt;
 
@@ -8,50 +8,52 @@
 use super::base64;
 use super::id::{Attempt, Id};
 
-/// The number of the segment that holds no records but says who took the
-/// shard over last. It is never deleted.
+/// The number of the segment that has no records but names the process that
+/// took over the shard last. It is never deleted.
 pub const HEAD: u64 = 0;
-/// Bytes of a record in JSON: quotes, comma, tag and two numbers.
+/// The size of a record in JSON: quotes, comma, tag and two numbers.
 pub(super) const RECORD_BYTES: usize = 3 + 1 + 2 * base64::LEN;
 
-/// What is known of an id.
+/// The state of an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// The attempt may have run the request; its outcome isn't known.
+    /// The attempt may have run the request; the outcome is unknown.
     Claimed(Attempt),
-    /// The attempt ran the request and got its answer.
+    /// The attempt ran the request and received its answer.
     Done(Attempt),
-    /// The attempt gave up before the first byte was sent: another may run it.
+    /// The attempt was given up before the first byte was sent; another one may
+    /// run the request.
     Abandoned(Attempt),
 }
 
-/// One id and what is known of it, in JSON one string of 45 characters.
+/// An id and its state, in JSON a string of 45 characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The request.
+    /// The request id.
     pub id: Id,
-    /// What is known of it.
+    /// The state of an id.
     pub state: State,
 }
 
 /// The process that wrote a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Writer {
-    /// Its name.
+    /// The process name.
     pub name: Name,
-    /// The incarnation that tells it from earlier processes of this name.
+    /// The incarnation, which distinguishes it from earlier processes of the
+    /// same name.
     pub incarnation: u64,
 }
 
 impl Writer {
-    /// The process `name` with `incarnation`.
+    /// Creates the writer `name` with `incarnation`.
     pub fn new(name: Name, incarnation: u64) -> Self {
         Self { name, incarnation }
     }
 }
 
 /// One value of the journal. An owner rewrites the last segment with each
-/// batch and starts the next one when it has grown to the configured size.
+/// batch, and starts a new one when it reaches the configured size.
 ///
 /// ```
 /// use corianderfork_coord::claim::{segment::Writer, Attempt, Id, Record, Segment, State};
@@ -67,32 +69,32 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The process that writes it.
+    /// The process that writes the segment.
     pub owner: Writer,
     /// The fencing token under which it writes.
     pub epoch: u64,
-    /// The number of the last write: grows with each one sent, so that an
-    /// owner recognises a write whose answer was lost.
+    /// The sequence number of the last write. It increases with each write that
+    /// is sent, so that an owner recognises a write whose answer was lost.
     pub seq: u64,
-    /// The fencing token of the owner that closed it for ever.
+    /// The fencing token of the owner that closed the segment for good.
     pub sealed_by: Option<u64>,
-    /// The first segment that is still needed; those below may be deleted.
+    /// The first segment that is still needed; lower ones may be deleted.
     pub first: u64,
-    /// Ids issued before this (Unix time) are forgotten and never granted.
+    /// Ids issued before this time (Unix time) are forgotten and never granted.
     pub floor: Time,
-    /// At most one record an id; later segments override earlier ones.
+    /// At most one record per id; later segments override earlier ones.
     pub records: Vec<Record>,
 }
 
 impl Segment {
-    /// An empty segment of `owner` under the fencing token `epoch`.
+    /// Creates an empty segment of `owner` under the fencing token `epoch`.
     pub fn new(owner: Writer, epoch: u64) -> Self {
         let floor = Time::ZERO;
         Self { owner, epoch, seq: 0, sealed_by: None, first: HEAD + 1, floor, records: Vec::new() }
     }
 
-    /// Whether `owner` wrote it under `epoch`.
-    pub fn is_of(&self, owner: &Writer, epoch: u64) -> bool {
+    /// Whether `owner` wrote the segment under `epoch`.
+    pub fn is_written_by(&self, owner: &Writer, epoch: u64) -> bool {
         self.epoch == epoch && self.owner == *owner
     }
 }
@@ -100,7 +102,7 @@
 /// A segment as read from the platform's service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its number.
+    /// The segment number.
     pub number: u64,
     /// The revision of the key.
     pub revision: u64,
--- a/crates/coord/src/drain.rs
+++ b/crates/coord/src/drain.rs
@@ -1,30 +1,32 @@
-//! When nothing of any proxy is in flight on a draining VM.
+//! Drain barriers: decide when no proxy has a request in flight on a draining
+//! VM.
 //!
-//! A VM is released for its reboot only when every live proxy has said, for
-//! this drain, that it sends it no new work and has none in flight there. A
-//! proxy that is frozen or gone never says so; what stands in for its word is
-//! time: one that is out of touch for the isolation limit stops sending, and
-//! what it sent ends within the request deadline.
+//! A VM is released for its reboot only when every live proxy has acknowledged
+//! this drain: it sends no new work to the VM and has none in flight there. A
+//! proxy that is frozen or gone never acknowledges. For such a proxy the
+//! barrier relies on time: a proxy that is out of touch for the isolation limit
+//! stops sending, and its last requests end within the request deadline.
 //!
-//! The wait counts from the last contact or from the start of the drain,
-//! whichever is later: until then the proxy may have read the platform's
-//! service without knowing of the drain, and sent work on the strength of it.
-//! It also takes that the proxy can't be in touch with a majority of its own
-//! ([`Peer::cut_off`]); else a partition that parts only the controller from
-//! it would free a VM that it still sends to.
+//! The wait counts from the later of the last contact and the start of the
+//! drain. Until then the proxy may have read the platform's service before the
+//! drain was written, and may have sent work on that basis. The wait is also
+//! only sufficient if the proxy cannot be in touch with a majority of its own
+//! ([`Peer::cut_off`]); otherwise a partition between only the controller and
+//! that proxy would release a VM to which the proxy still sends.
 //!
-//! A new incarnation of a proxy acks anew. It may have its views from a peer
-//! that had not heard of the drain while the service was down, so the word of
-//! the earlier one doesn't bind it. What an earlier incarnation sent without
-//! an ack can still be running after its death: the request deadline passes
-//! first.
+//! A new incarnation of a proxy has to acknowledge again. While the service is
+//! down, it may have its view from a peer that had not heard of the drain, so
+//! the acknowledgement of the previous incarnation does not bind it. Requests
+//! that a previous incarnation sent without an acknowledgement can still be
+//! running after its death, so the request deadline has to pass first.
 //!
-//! That there was an earlier one need not have been seen here: a process that
-//! takes a drain over may know the present incarnation alone. Its word says
-//! nothing of what the earlier one sent, and a VM freed on it would be rebooted
-//! under that work. So each incarnation but the first of its name counts as one
-//! that had another before it, until it has been known ([`Barrier::set_known_since`])
-//! for the request deadline.
+//! This process may not have seen the previous incarnation: a controller that
+//! takes over a drain may know only the current one. The acknowledgement of the
+//! current incarnation says nothing about requests of the previous one, and a
+//! VM released on it alone would be rebooted under them. Therefore every
+//! incarnation except the first of its name is assumed to have had a
+//! predecessor until it has been known ([`Barrier::set_known_since`]) for the
+//! request deadline.
 //!
 //! ```
 //! use corianderfork_coord::drain::{Barrier, Config, Status};
@@ -47,11 +49,11 @@
 
 use crate::member::{Identity, Peer};
 
-/// The incarnation that none was before. Where incarnations are times, none has
-/// it.
-const FIRST: u64 = 1;
+/// The incarnation that has no predecessor. If incarnations are start times, no
+/// process has this one.
+const FIRST_INCARNATION: u64 = 1;
 
-/// What stands in for the word of a silent proxy.
+/// How long a barrier waits for a silent proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     isolation_limit: Duration,
@@ -66,20 +68,21 @@
 }
 
 impl Config {
-    /// An isolation limit of 10 s and a request deadline of 30 s.
+    /// Returns the defaults: an isolation limit of 10 s and a request deadline
+    /// of 30 s.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How long a proxy acts without being in touch; the same as the
-    /// members' own.
+    /// Sets how long a proxy acts without being in touch. It must equal the
+    /// limit that the members use.
     #[must_use]
     pub fn isolation_limit(mut self, limit: Duration) -> Self {
         self.isolation_limit = limit;
         self
     }
 
-    /// The longest time from the first byte of a request to its end.
+    /// Sets the longest time from the first byte of a request to its end.
     #[must_use]
     pub fn request_deadline(mut self, deadline: Duration) -> Self {
         self.request_deadline = deadline;
@@ -87,32 +90,35 @@
     }
 }
 
-/// Why a VM isn't clear of one proxy.
+/// Why a VM cannot be released yet because of one proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Reason {
-    /// It is heard of but has not acked.
+    /// The proxy is in contact but has not acknowledged the drain.
     NoAck,
-    /// It is silent, and the time that stands in for its word isn't over.
+    /// The proxy is silent, and the time after which its requests have ended is
+    /// not over.
     Silent {
-        /// When it will be.
+        /// When that time is over.
         until: Time,
     },
-    /// It is silent for long enough, but may be in touch with others.
+    /// The proxy has been silent for long enough, but may be in touch with
+    /// other members.
     MaybeInTouch,
-    /// Its earlier incarnation did not ack before it ended, as far as is known.
+    /// The previous incarnation of the proxy may have ended without an
+    /// acknowledgement.
     EarlierIncarnation {
-        /// When what that one sent has ended.
+        /// When the last request of the previous incarnation has ended.
         until: Time,
     },
 }
 
-/// A proxy that is waited for, and why.
+/// A proxy that blocks the release, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wait {
     /// The proxy.
     pub proxy: Identity,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
@@ -120,18 +126,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Status {
-    /// Nothing is in flight there.
+    /// Nothing is in flight on the VM.
     Clear,
-    /// Something may be.
+    /// Something may be in flight.
     Waiting(Vec<Wait>),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct ProxyState {
     incarnation: u64,
     acked: bool,
-    /// When what an earlier incarnation sent without an ack has ended.
-    earlier_until: Option<Time>,
+    /// When the last request that a previous incarnation sent without an
+    /// acknowledgement has ended.
+    predecessor_until: Option<Time>,
 }
 
 /// The barrier of one drain of one VM.
@@ -141,53 +148,55 @@
     vm: Name,
     epoch: u64,
     started: Time,
-    proxies: BTreeMap<Name, Seen>,
-    /// Acks of incarnations not yet listed.
-    early: BTreeMap<Name, u64>,
-    /// Since when incarnations have been known.
-    known: BTreeMap<Identity, Time>,
+    proxies: BTreeMap<Name, ProxyState>,
+    /// The latest incarnation of each proxy that acknowledged the drain, which
+    /// may not be listed yet.
+    acks: BTreeMap<Name, u64>,
+    /// When each incarnation was first known.
+    known_since: BTreeMap<Identity, Time>,
 }
 
 impl Barrier {
-    /// The barrier of the drain `epoch` of `vm`. `started` is when this
-    /// process knew that the drain was written; a successor that takes the
-    /// drain over starts anew, which only waits longer.
+    /// Creates the barrier for the drain `epoch` of `vm`. `started` is when
+    /// this process learned that the drain was written. A controller that takes
+    /// over the drain starts anew, which only makes it wait longer.
     pub fn new(config: Config, vm: Name, epoch: u64, started: Time) -> Self {
-        let (proxies, early, known) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Self { config, vm, epoch, started, proxies, early, known }
+        let (proxies, acks, known_since) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        Self { config, vm, epoch, started, proxies, acks, known_since }
     }
 
-    /// The VM.
+    /// Returns the VM.
     pub fn vm(&self) -> &Name {
         &self.vm
     }
 
-    /// The drain.
+    /// Returns the epoch of the drain.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// `proxy` said that it sends nothing new to the VM and has nothing in
-    /// flight there, as of the drain `epoch`. An ack of another drain says
-    /// nothing: between two drains the VM has served.
+    /// Records that `proxy` sends no new work to the VM and has none in flight
+    /// there, as of the drain `epoch`. Acknowledgements of other drains are
+    /// ignored, because the VM served requests between two drains.
     pub fn on_ack(&mut self, proxy: &Identity, epoch: u64) {
         if epoch != self.epoch {
             return;
         }
-        let early = self.early.entry(proxy.name.clone()).or_default();
-        *early = proxy.incarnation.max(*early);
+        let latest = self.acks.entry(proxy.name.clone()).or_default();
+        *latest = proxy.incarnation.max(*latest);
     }
 
-    /// This process has known `proxy` since `since`: one before it had ended by
-    /// then. To be told before the first [`Barrier::status`] with that proxy; without
-    /// it, the proxy counts as known since then.
+    /// Records that this process has known `proxy` since `since`, which means
+    /// that its previous incarnation had ended by then. The first call for an
+    /// incarnation wins. Call this before the first [`Barrier::status`] that
+    /// includes the proxy; otherwise the proxy counts as known since that call.
     ///
     /// ```
     /// use corianderfork_coord::drain::{Barrier, Config, Status};
     /// use corianderfork_coord::member::{Identity, Peer};
     /// use corianderfork_model::{Name, Time};
     ///
-    /// // Started at this time, in milliseconds since the Unix epoch.
+    /// // The incarnation is a start time, in milliseconds since the Unix epoch.
     /// let proxy = Identity::new(Name::new("entry-1")?, 1_760_000_000_000);
     /// let now = Time::from_millis(31_000);
     /// let peer = Peer { member: proxy.clone(), last_contact: now, cut_off: false };
@@ -200,44 +209,45 @@
     /// # Ok::<(), corianderfork_model::name::Error>(())
     /// ```
     pub fn set_known_since(&mut self, proxy: &Identity, since: Time) {
-        self.known.entry(proxy.clone()).or_insert(since);
+        self.known_since.entry(proxy.clone()).or_insert(since);
     }
 
-    /// Whether the VM may be released, the live proxies being `proxies`. Those
-    /// that went for good are no longer among them.
+    /// Returns whether the VM may be released, where `proxies` are the live
+    /// proxies, without those that are gone for good.
     pub fn status(&mut self, now: Time, proxies: &[Peer]) -> Status {
-        let waits: Vec<Wait> = proxies.iter().filter_map(|peer| self.wait(now, peer)).collect();
+        let waits: Vec<Wait> = proxies.iter().filter_map(|peer| self.wait_for(now, peer)).collect();
         if waits.is_empty() { Status::Clear } else { Status::Waiting(waits) }
     }
 
-    fn wait(&mut self, now: Time, peer: &Peer) -> Option<Wait> {
-        let seen = self.see(now, &peer.member);
-        let reason = self.reason(now, peer, seen)?;
+    fn wait_for(&mut self, now: Time, peer: &Peer) -> Option<Wait> {
+        let state = self.update_proxy(now, &peer.member);
+        let reason = self.reason(now, peer, state)?;
         Some(Wait { proxy: peer.member.clone(), reason })
     }
 
-    fn see(&mut self, now: Time, member: &Identity) -> Seen {
+    fn update_proxy(&mut self, now: Time, member: &Identity) -> ProxyState {
         let incarnation = member.incarnation;
-        let acked = self.early.get(&member.name) == Some(&incarnation);
-        let new = Seen { incarnation, acked, earlier_until: None };
-        let since = self.known.get(member).copied().unwrap_or(now);
-        let earlier_until = (incarnation > FIRST).then(|| since + self.config.request_deadline);
-        let unseen = Seen { earlier_until, ..new };
-        let seen = self.proxies.entry(member.name.clone()).or_insert(unseen);
-        if incarnation > seen.incarnation {
+        let acked = self.acks.get(&member.name) == Some(&incarnation);
+        let new = ProxyState { incarnation, acked, predecessor_until: None };
+        let since = self.known_since.get(member).copied().unwrap_or(now);
+        let predecessor_until =
+            (incarnation > FIRST_INCARNATION).then(|| since + self.config.request_deadline);
+        let initial = ProxyState { predecessor_until, ..new };
+        let state = self.proxies.entry(member.name.clone()).or_insert(initial);
+        if incarnation > state.incarnation {
             let ended = now + self.config.request_deadline;
-            let earlier_until = if seen.acked { seen.earlier_until } else { Some(ended) };
-            *seen = Seen { earlier_until, ..new };
+            let predecessor_until = if state.acked { state.predecessor_until } else { Some(ended) };
+            *state = ProxyState { predecessor_until, ..new };
         }
-        seen.acked |= acked && seen.incarnation == incarnation;
-        *seen
+        state.acked |= acked && state.incarnation == incarnation;
+        *state
     }
 
-    fn reason(&self, now: Time, peer: &Peer, seen: Seen) -> Option<Reason> {
-        if let Some(until) = seen.earlier_until.filter(|&until| now < until) {
+    fn reason(&self, now: Time, peer: &Peer, state: ProxyState) -> Option<Reason> {
+        if let Some(until) = state.predecessor_until.filter(|&until| now < until) {
             return Some(Reason::EarlierIncarnation { until });
         }
-        if seen.acked {
+        if state.acked {
             return None;
         }
         let silent_since = peer.last_contact.max(self.started);
--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -1,27 +1,28 @@
-//! One holder at a time, by a lease of the platform's service.
+//! Leader election: one holder at a time, by a lease of the platform's service.
 //!
-//! The holder of a key under a lease does a piece of work for all, such as
-//! planning. The service deletes the key when the lease lapses, and another
-//! process takes it. What goes wrong without care:
+//! The holder of a key under a lease does a piece of work on behalf of all
+//! processes, such as planning. The service deletes the key when the lease
+//! expires, and another process takes over. The following can go wrong:
 //!
-//! - *The holder counts its time from the answer to a renewal.* The service
-//!   counted from when the renewal reached it, so two processes act at once
-//!   for as long as the answer travelled. [`Holder`] counts from when the
+//! - *The holder measures the lease from the answer to a renewal.* The service
+//!   measures it from the arrival of the renewal, so two processes would act at
+//!   once for as long as the answer travels. [`Holder`] measures from when the
 //!   renewal was sent, and stops a margin before the TTL.
-//! - *The holder is paused, wakes and goes on.* Ask [`Holder::token`] with the
-//!   present time directly before each act; it is `None` once the time is
-//!   over, even before any event came in. The clock must count the time that
-//!   the process was paused; where a VM's clock stops with it, only the token
-//!   helps.
-//! - *The pause falls between the question and the act.* No clock helps
-//!   here. Every write is fenced: it expects the revision it was decided on,
-//!   and carries the token, which grows with each holder.
-//! - *The answer to a write is lost.* The holder reads back; the key is its
-//!   own if it is under its lease, whose id nobody else has.
+//! - *The holder is paused, resumes and continues.* Call [`Holder::token`] with
+//!   the current time directly before each action; it returns `None` once the
+//!   lease has expired, even before any event arrives. The clock must include
+//!   the time during which the process was paused; where a VM's clock stops
+//!   with the VM, only the fencing token helps.
+//! - *The pause falls between that check and the action.* No clock helps here.
+//!   Every write is fenced: it expects the revision on which it was decided,
+//!   and carries the token, which increases with each holder.
+//! - *The answer to a write is lost.* The holder reads the key back. The key is
+//!   its own if it is under its lease, because no other process has that lease
+//!   id.
 //!
-//! The driver answers each [`Action`] but [`Action::Started`] and
-//! [`Action::Stopped`] by one [`Answer`], and drops what comes after a
-//! timeout that it reported.
+//! The driver answers each [`Action`] except [`Action::Started`],
+//! [`Action::Stopped`] and [`Action::Revoke`] with exactly one [`Answer`].
+//! After reporting a timeout, it drops the late answer.
 //!
 //! ```
 //! use corianderfork_coord::lease::{Action, Answer, Config, Event, Holder, Token};
@@ -51,8 +52,9 @@
 pub use config::Config;
 pub use message::{Action, Answer, Event, Key, Token};
 
-/// A renewal is sent when this part of the TTL is over, so that two may fail.
-const RENEWALS: u32 = 3;
+/// A renewal is due after this fraction of the TTL, so that two renewals may
+/// fail before the lease expires.
+const RENEWALS_PER_TTL: u32 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
@@ -62,12 +64,12 @@
     Renew,
 }
 
-/// A call whose answer is awaited.
+/// A call to the service that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct PendingCall {
     call: Call,
     sent: Time,
-    /// The lease it was sent for, 0 for none.
+    /// The lease that it concerns, 0 for none.
     lease: u64,
 }
 
@@ -79,152 +81,156 @@
     token: Option<Token>,
 }
 
-/// Acquires, keeps and loses a lease.
+/// A state machine that acquires, renews and loses a lease.
 #[derive(Clone, Debug)]
 pub struct Holder {
     config: Config,
     backoff: Backoff,
     lease: Option<Lease>,
-    out: Option<Out>,
-    /// No call is made before.
-    resume: Time,
+    pending: Option<PendingCall>,
+    /// No call is made before this time.
+    next_call: Time,
     released: bool,
 }
 
 impl Holder {
-    /// A holder of nothing; its first [`Event::Tick`] makes it try. Its
-    /// retries are jittered by `seed`.
+    /// Creates a holder without a lease; the first [`Event::Tick`] starts an
+    /// attempt to acquire one. `seed` jitters the retries.
     pub fn new(config: Config, seed: u64) -> Self {
-        let waits = backoff::Config::new().first(config.ttl / RENEWALS).max(config.ttl);
+        let waits = backoff::Config::new().first(config.ttl / RENEWALS_PER_TTL).max(config.ttl);
         let backoff = Backoff::new(waits, seed);
-        let resume = Time::ZERO;
-        Self { config, backoff, lease: None, out: None, resume, released: false }
+        let next_call = Time::ZERO;
+        Self { config, backoff, lease: None, pending: None, next_call, released: false }
     }
 
-    /// The fencing token, if this process may act at `now`. Ask directly
-    /// before each act.
+    /// Returns the fencing token if this process may act at `now`. Call this
+    /// directly before each action.
     pub fn token(&self, now: Time) -> Option<Token> {
         self.lease.filter(|lease| self.is_current(now, lease))?.token
     }
 
-    /// When the next [`Event::Tick`] is due, if any.
+    /// Returns when the next [`Event::Tick`] is due, if any.
     pub fn next_tick(&self) -> Option<Time> {
         if self.released {
             return None;
         }
-        let end = self.lease.map(|lease| lease.sent + self.config.term());
-        let call = self.out.is_none().then(|| self.due());
+        let end = self.lease.map(|lease| lease.sent + self.config.validity());
+        let call = self.pending.is_none().then(|| self.call_due());
         end.into_iter().chain(call).min()
     }
 
-    /// Takes in what happened and gives what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn on_event(&mut self, now: Time, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        // First of all: a holder that was paused finds itself lapsed before
-        // any answer, however good, can make it go on.
-        self.lapse(now, &mut out);
+        let mut actions = Vec::new();
+        // Check for expiry first: a holder that was paused must find its lease
+        // expired before a late successful answer can extend it.
+        self.drop_if_expired(now, &mut actions);
         match event {
-            Event::Store(answer) => self.on_answer(now, answer, &mut out),
-            Event::Vacant if self.lease.is_none() => self.resume = now,
-            Event::Release => self.release(&mut out),
+            Event::Store(answer) => self.on_answer(now, answer, &mut actions),
+            Event::Vacant if self.lease.is_none() => self.next_call = now,
+            Event::Release => self.release(&mut actions),
             Event::Vacant | Event::Tick => {}
         }
-        self.call(now, &mut out);
-        out
+        self.call_if_due(now, &mut actions);
+        actions
     }
 
     fn is_current(&self, now: Time, lease: &Lease) -> bool {
-        now < lease.sent + self.config.term()
+        now < lease.sent + self.config.validity()
     }
 
-    fn lapse(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn drop_if_expired(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.lease.is_some_and(|lease| !self.is_current(now, &lease)) {
-            self.resume = now;
-            self.drop_lease(out);
+            self.next_call = now;
+            self.drop_lease(actions);
         }
     }
 
-    fn release(&mut self, out: &mut Vec<Action>) {
+    fn release(&mut self, actions: &mut Vec<Action>) {
         self.released = true;
-        self.drop_lease(out);
+        self.drop_lease(actions);
     }
 
-    /// Stops, and revokes the lease: the key goes at once instead of at the
-    /// end of the TTL, and a write of it that is still on its way is void.
-    fn drop_lease(&mut self, out: &mut Vec<Action>) {
+    /// Stops acting and revokes the lease. Revoking deletes the key at once
+    /// instead of at the end of the TTL, and voids a write under the lease that
+    /// has not arrived yet.
+    fn drop_lease(&mut self, actions: &mut Vec<Action>) {
         let Some(lease) = self.lease.take() else { return };
         if lease.token.is_some() {
-            out.push(Action::Stopped);
+            actions.push(Action::Stopped);
         }
-        out.push(Action::Revoke { lease: lease.id });
+        actions.push(Action::Revoke { lease: lease.id });
     }
 
-    fn on_answer(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
-        let Some(call) = self.out.take() else { return };
+    fn on_answer(&mut self, now: Time, answer: Answer, actions: &mut Vec<Action>) {
+        let Some(answered) = self.pending.take() else { return };
         if let Answer::Granted { lease } = answer {
-            return self.on_granted(now, lease, call.sent, out);
+            return self.on_granted(now, lease, answered.sent, actions);
         }
-        // An answer for a lease that was dropped meanwhile says nothing.
-        let Some(lease) = self.lease.filter(|lease| lease.id == call.lease) else {
-            if call.call == Call::Grant {
-                self.pause(now);
+        // An answer about a lease that was dropped in the meantime is
+        // irrelevant.
+        let Some(lease) = self.lease.filter(|lease| lease.id == answered.lease) else {
+            if answered.call == Call::Grant {
+                self.back_off(now);
             }
             return;
         };
-        match (call.call, answer) {
-            (Call::Put, Answer::PutDone { revision }) => self.start(lease, revision, out),
-            (Call::Put, _) => self.send(now, Call::Read, out),
+        match (answered.call, answer) {
+            (Call::Put, Answer::PutDone { revision }) => {
+                self.start_holding(lease, revision, actions)
+            }
+            (Call::Put, _) => self.send(now, Call::Read, actions),
             (Call::Read, Answer::Read(Some(key))) if key.lease == Some(lease.id) => {
-                self.start(lease, key.revision, out);
+                self.start_holding(lease, key.revision, actions);
             }
-            // Absent: the write did not take effect, or not yet. Should it do
-            // so later, the next one conflicts and is read back.
-            (Call::Read, Answer::Read(None)) => self.send(now, Call::Put, out),
+            // Absent: the write has not taken effect, at least not yet. If it
+            // does later, the next write conflicts and the key is read again.
+            (Call::Read, Answer::Read(None)) => self.send(now, Call::Put, actions),
             (Call::Read, Answer::Read(Some(_))) | (Call::Renew, Answer::Lapsed) => {
-                self.drop_lease(out);
-                self.pause(now);
+                self.drop_lease(actions);
+                self.back_off(now);
             }
             (Call::Renew, Answer::Renewed) => {
-                self.lease = Some(Lease { sent: call.sent, ..lease });
+                self.lease = Some(Lease { sent: answered.sent, ..lease });
                 self.backoff.reset();
             }
-            _ => self.pause(now),
+            _ => self.back_off(now),
         }
     }
 
-    fn on_granted(&mut self, now: Time, id: u64, sent: Time, out: &mut Vec<Action>) {
+    fn on_granted(&mut self, now: Time, id: u64, sent: Time, actions: &mut Vec<Action>) {
         let lease = Lease { id, sent, token: None };
         if self.released || !self.is_current(now, &lease) {
-            out.push(Action::Revoke { lease: id });
+            actions.push(Action::Revoke { lease: id });
             return;
         }
         self.lease = Some(lease);
-        self.send(now, Call::Put, out);
+        self.send(now, Call::Put, actions);
     }
 
-    fn start(&mut self, lease: Lease, revision: u64, out: &mut Vec<Action>) {
+    fn start_holding(&mut self, lease: Lease, revision: u64, actions: &mut Vec<Action>) {
         let token = Token(revision);
         self.lease = Some(Lease { token: Some(token), ..lease });
         self.backoff.reset();
-        out.push(Action::Started { token });
+        actions.push(Action::Started { token });
     }
 
-    fn pause(&mut self, now: Time) {
-        self.resume = now + self.backoff.next_wait();
+    fn back_off(&mut self, now: Time) {
+        self.next_call = now + self.backoff.next_wait();
     }
 
-    /// When the next call is due, if none is out.
-    fn due(&self) -> Time {
+    /// Returns when the next call is due, provided that none is pending.
+    fn call_due(&self) -> Time {
         match self.lease {
             Some(Lease { token: Some(_), sent, .. }) => {
-                self.resume.max(sent + self.config.ttl / RENEWALS)
+                self.next_call.max(sent + self.config.ttl / RENEWALS_PER_TTL)
             }
-            _ => self.resume,
+            _ => self.next_call,
         }
     }
 
-    fn call(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.released || self.out.is_some() || now < self.due() {
+    fn call_if_due(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.released || self.pending.is_some() || now < self.call_due() {
             return;
         }
         let call = match self.lease {
@@ -232,13 +238,13 @@
             Some(Lease { token: None, .. }) => Call::Read,
             Some(_) => Call::Renew,
         };
-        self.send(now, call, out);
+        self.send(now, call, actions);
     }
 
-    fn send(&mut self, now: Time, call: Call, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Time, call: Call, actions: &mut Vec<Action>) {
         let lease = self.lease.map_or(0, |lease| lease.id);
-        self.out = Some(Out { call, sent: now, lease });
-        out.push(match call {
+        self.pending = Some(PendingCall { call, sent: now, lease });
+        actions.push(match call {
             Call::Grant => Action::Grant,
             Call::Put => Action::Put { lease },
             Call::Read => Action::Read,
--- a/crates/coord/src/lease/config.rs
+++ b/crates/coord/src/lease/config.rs
@@ -1,11 +1,11 @@
-//! How long a lease lasts.
+//! Settings of a lease holder.
 
 use std::time::Duration;
 
-/// The default margin is this part of the TTL.
-const MARGIN: u32 = 10;
+/// The default margin is the TTL divided by this.
+const MARGIN_DIVISOR: u32 = 10;
 
-/// How long a lease lasts.
+/// Settings of a lease holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     pub(super) ttl: Duration,
@@ -19,28 +19,29 @@
 }
 
 impl Config {
-    /// A TTL of 9 s and a margin of a tenth.
+    /// Returns the defaults: a TTL of 9 s and a margin of a tenth of it.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The TTL that the service is asked for.
+    /// Sets the TTL requested from the service.
     #[must_use]
     pub fn ttl(mut self, ttl: Duration) -> Self {
         self.ttl = ttl;
         self
     }
 
-    /// How long before the TTL the holder stops: what its clock may lose
-    /// against the service's within a TTL, and the longest single act.
+    /// Sets how long before the end of the TTL the holder stops. The margin
+    /// must cover the drift of the local clock against the service's within one
+    /// TTL, plus the longest single action.
     #[must_use]
     pub fn margin(mut self, margin: Duration) -> Self {
         self.margin = Some(margin);
         self
     }
 
-    /// How long the holder acts from when a confirmed renewal was sent.
-    pub(super) fn term(&self) -> Duration {
-        self.ttl.saturating_sub(self.margin.unwrap_or(self.ttl / MARGIN))
+    /// Returns how long the holder may act after it sent a confirmed renewal.
+    pub(super) fn validity(&self) -> Duration {
+        self.ttl.saturating_sub(self.margin.unwrap_or(self.ttl / MARGIN_DIVISOR))
     }
 }
--- a/crates/coord/src/lease/message.rs
+++ b/crates/coord/src/lease/message.rs
@@ -1,64 +1,65 @@
-//! What a holder is told, and what it wants done.
+//! Events and actions of a lease holder.
 
-/// A fencing token: the revision of the key under the lease. Grows with each
-/// holder.
+/// A fencing token: the revision of the key under the lease. It increases with
+/// each holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// The answer of the platform's service.
+/// An answer of the platform's service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A lease was made.
+    /// A lease was granted.
     Granted {
-        /// Its id.
+        /// The lease id.
         lease: u64,
     },
-    /// The key was absent and is ours.
+    /// The key was absent and now belongs to this holder.
     PutDone {
-        /// Its revision.
+        /// The revision of the key.
         revision: u64,
     },
-    /// The key was there already.
+    /// The key already exists.
     PutConflict,
-    /// The key as it stands: the lease it is under and its revision, or
-    /// `None` if it is absent.
+    /// The current lease and revision of the key, or `None` if it is absent.
     Read(Option<Key>),
     /// The lease was renewed.
     Renewed,
-    /// The lease is over.
+    /// The lease has expired.
     Lapsed,
-    /// The call failed or got no answer; it may have taken effect.
+    /// The call failed or was not answered; it may have taken effect.
     Failed,
 }
 
-/// The key of the work, as read.
+/// The key that the holder writes, as read from the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// The lease it is under, or `None` if it was written without one.
+    /// The lease that it is under, or `None` if it was written without one.
     pub lease: Option<u64>,
-    /// Its revision.
+    /// The revision of the key.
     pub revision: u64,
 }
 
-/// What happened.
+/// An input of the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The service answered the call that is out.
+    /// The service answered the pending call.
     Store(Answer),
-    /// A watch saw the key go: try at once instead of at the next wait's end.
+    /// A watch saw the key deleted: try to acquire the lease now instead of
+    /// after the current wait.
     Vacant,
-    /// Give the lease up: the process is stopping.
+    /// The process is stopping: release the lease.
     Release,
-    /// Time went by. Due at least at the time [`super::Holder::next_tick`] gave.
+    /// Time has passed. Due at the latest at the time returned by
+    /// [`super::Holder::next_tick`].
     Tick,
 }
 
-/// What to do.
+/// An output of the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask for a lease of the configured TTL.
+    /// Request a lease with the configured TTL.
     Grant,
-    /// Write the key under `lease`, if it is absent.
+    /// Write the key under `lease` if it is absent.
     Put {
         /// The lease.
         lease: u64,
@@ -70,16 +71,16 @@
         /// The lease.
         lease: u64,
     },
-    /// Give the lease up. Its answer, whatever it is, isn't waited for.
+    /// Revoke the lease. The driver does not report the answer.
     Revoke {
         /// The lease.
         lease: u64,
     },
-    /// The work is this process's own.
+    /// This process now holds the lease and may act.
     Started {
-        /// The fencing token of everything it writes.
+        /// The fencing token for everything that it writes.
         token: Token,
     },
-    /// The work is no longer this process's own.
+    /// This process no longer holds the lease.
     Stopped,
 }
--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -1,14 +1,15 @@
 //! Leases, membership, claims, barriers and registers as pure state machines.
 //!
-//! Processes that share nothing but a small key-value service with
-//! compare-and-swap have to agree on a few things: who acts ([`lease`]), who
-//! is there ([`member`]), which request has been run ([`claim`]), when a VM
+//! Processes that share only a small key-value service with compare-and-swap
+//! have to agree on a few things: which of them acts ([`lease`]), which of them
+//! are alive ([`member`]), which requests have been run ([`claim`]), when a VM
 //! has nothing in flight ([`drain`]) and which configuration is in force
-//! ([`register`]). Each module holds one such state machine and needs none of
-//! the others. None reads a clock, blocks, or draws an unseeded number: the
-//! driver hands in the time and what happened, and carries out the actions it
-//! is handed back. The same code therefore runs in daemons and in tests that
-//! choose every interleaving.
+//! ([`register`]). Each module holds one such state machine and depends on none
+//! of the others, except that [`drain`] uses the types of [`member`]. None of
+//! them reads a clock, blocks or uses unseeded randomness: the driver passes in
+//! the time and the events, and carries out the actions that are returned. The
+//! same code therefore runs in daemons and in tests that choose every
+//! interleaving.
 //!
 //! ```
 //! use corianderfork_coord::register::{Offer, Register};
--- a/crates/coord/src/member.rs
+++ b/crates/coord/src/member.rs
@@ -1,19 +1,21 @@
-//! Who is there, in which incarnation, and when each was last heard of.
+//! Membership: which processes are alive, in which incarnation, and when each
+//! was last in contact.
 //!
-//! A [`Table`] is fed by reads of the platform's service, by a process's own
-//! calls to others, and by what those others heard of third ones. It answers
-//! three questions: may this process still act on its views
-//! ([`Table::in_touch`]), when was a member last alive ([`Table::peers`]), and
-//! whom to call next ([`Table::partners`]).
+//! A [`Table`] is updated by reads of the platform's service, by the process's
+//! own calls to other members, and by what those members report about third
+//! ones. It answers three questions: whether this process may still act on its
+//! view ([`Table::in_touch`]), when each member was last alive
+//! ([`Table::peers`]), and which members to call next ([`Table::partners`]).
 //!
-//! Ages are passed on, never clock readings: two processes' clocks differ.
-//! A passed-on contact looks fresher than it was by the time the message
-//! travelled, so it serves only to wait longer for a silent member, never to
-//! show that this process itself is in touch.
+//! Members exchange ages, not timestamps, because their clocks differ. A
+//! reported contact looks more recent than it was by the transit time of the
+//! message. It is therefore used only to wait longer for a silent member, never
+//! as evidence that this process itself is in touch.
 //!
-//! A majority is one of the members that the platform's service listed. Were
-//! members known by hearsay to count, new processes that start on both sides
-//! of a partition would give each side a majority of its own.
+//! Majorities are counted over the members that the platform's service has
+//! listed. If members known only from other members counted too, new processes
+//! started on both sides of a partition would give each side a majority of its
+//! own.
 //!
 //! ```
 //! use corianderfork_coord::member::{Config, Identity, Table};
@@ -24,7 +26,7 @@
 //! let mut table = Table::new(Config::new(), me.clone());
 //! table.on_list(Time::ZERO, 1, [me, other]);
 //! assert!(table.in_touch(Time::from_millis(9_000)));
-//! // Silence for longer than the isolation limit of 10 s:
+//! // After silence for longer than the isolation limit of 10 s:
 //! assert!(!table.in_touch(Time::from_millis(10_001)));
 //! # Ok::<(), corianderfork_model::name::Error>(())
 //! ```
@@ -43,250 +45,259 @@
 pub use identity::{Identity, Peer, Sighting};
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Contact {
     incarnation: u64,
-    direct: Option<Time>,
-    /// Alive, directly or by hearsay.
-    alive: Time,
-    /// Whether the service listed it.
+    last_reply: Option<Time>,
+    /// When it was last alive, from direct contact or a report.
+    last_seen: Time,
+    /// Whether the service has listed it.
     listed: bool,
-    /// How many listed members it knows, at least: what it takes a majority
-    /// of. 0 if that can't be told.
-    knows: usize,
+    /// A lower bound on the number of listed members that it knows, from which
+    /// its majority is computed. 0 if unknown.
+    known_members: usize,
 }
 
-/// The members that one process knows, itself included.
+/// The members known to one process, including itself.
 #[derive(Clone, Debug)]
 pub struct Table {
     config: Config,
     me: Identity,
-    me_listed: bool,
-    rows: BTreeMap<Name, Row>,
-    synced: Option<Time>,
-    /// The revision and the length of the service's last list.
-    list: (u64, usize),
+    self_listed: bool,
+    contacts: BTreeMap<Name, Contact>,
+    last_sync: Option<Time>,
+    /// The revision at which the current length of the service's list was first
+    /// seen, and that length.
+    latest_list: (u64, usize),
 }
 
 impl Table {
-    /// A table that knows only `me`.
+    /// Creates a table that contains only `me`.
     pub fn new(config: Config, me: Identity) -> Self {
-        let (rows, synced, list) = (BTreeMap::new(), None, (0, 0));
-        Self { config, me, me_listed: false, rows, synced, list }
+        let (contacts, last_sync, latest_list) = (BTreeMap::new(), None, (0, 0));
+        Self { config, me, self_listed: false, contacts, last_sync, latest_list }
     }
 
-    /// The platform's service listed `members` at its `revision`, by a read
-    /// that was sent at `sent` and got all that this process acts on.
+    /// Records that the platform's service listed `members` at `revision`, in a
+    /// read sent at `sent` that fetched everything this process acts on.
     ///
-    /// A member that is no longer listed stays: its record lapses also when it
-    /// is only cut off from the service, and it may still be acting. It goes
-    /// by [`Table::remove`].
+    /// A member that is no longer listed stays in the table: its record also
+    /// expires when it is merely cut off from the service, and it may still be
+    /// acting. [`Table::remove`] removes it.
     pub fn on_list(
         &mut self,
         sent: Time,
         revision: u64,
         members: impl IntoIterator<Item = Identity>,
     ) {
-        self.synced = self.synced.max(Some(sent));
-        let listed = self.on_listed(sent, members);
-        // While as many are listed, the revision at which that began will do:
-        // whoever has read the list since knows as many. Were it each read's
-        // own, a peer whose reads are a moment behind would never be known to
-        // know any, and its silence would hold up drains for good.
-        if listed != self.list.1 {
-            self.list = self.list.max((revision, listed));
+        self.last_sync = self.last_sync.max(Some(sent));
+        let listed = self.insert_listed(sent, members);
+        // While the length stays the same, the revision at which it was first
+        // seen is kept: whoever has read the list since then knows as many
+        // members. With the revision of each read, a peer whose reads are
+        // slightly behind would never count as knowing the list, and its
+        // silence would block drains forever.
+        if listed != self.latest_list.1 {
+            self.latest_list = self.latest_list.max((revision, listed));
         }
     }
 
-    /// A peer passed on what the service listed to it ([`Table::listed`]):
-    /// how a process that starts while the service is down learns of whom to
-    /// take a majority.
+    /// Records members that the service listed to a peer, from the peer's
+    /// [`Table::listed`]. A process that starts while the service is down
+    /// learns this way over which members a majority is counted.
     pub fn on_snapshot(&mut self, now: Time, members: impl IntoIterator<Item = Identity>) {
-        self.on_listed(now, members);
+        self.insert_listed(now, members);
     }
 
-    fn on_listed(&mut self, at: Time, members: impl IntoIterator<Item = Identity>) -> usize {
+    fn insert_listed(&mut self, at: Time, members: impl IntoIterator<Item = Identity>) -> usize {
         let mut listed = 0;
         for member in members {
             listed += 1;
-            self.me_listed |= member.name == self.me.name;
-            if let Some(row) = self.learn(at, &member) {
-                row.listed = true;
+            self.self_listed |= member.name == self.me.name;
+            if let Some(contact) = self.upsert(at, &member) {
+                contact.listed = true;
             }
         }
         listed
     }
 
-    /// The members that the service ever listed and that aren't removed, to
-    /// pass on to a process that starts while the service is down.
+    /// Returns the members that the service has ever listed and that were not
+    /// removed, to be sent to a process that starts while the service is down.
     pub fn listed(&self) -> Vec<Identity> {
-        let me = self.me_listed.then(|| self.me.clone());
-        let listed = self.rows.iter().filter(|(_, row)| row.listed);
-        let known = |(name, row): (&Name, &Row)| Identity::new(name.clone(), row.incarnation);
+        let me = self.self_listed.then(|| self.me.clone());
+        let listed = self.contacts.iter().filter(|(_, contact)| contact.listed);
+        let known =
+            |(name, contact): (&Name, &Contact)| Identity::new(name.clone(), contact.incarnation);
         me.into_iter().chain(listed.map(known)).collect()
     }
 
-    /// `member` answered a call of this process that was sent at `sent`, and
-    /// told that it has read the service's list as of the revision `read`.
-    pub fn on_contact(&mut self, sent: Time, member: &Identity, read: u64) {
-        let Some(row) = self.learn(sent, member) else { return };
-        row.direct = row.direct.max(Some(sent));
-        row.alive = row.alive.max(sent);
-        self.on_read(member, read);
+    /// Records that `member` answered a call sent at `sent` and reported that
+    /// it has read the service's list as of `list_revision`.
+    pub fn on_contact(&mut self, sent: Time, member: &Identity, list_revision: u64) {
+        let Some(contact) = self.upsert(sent, member) else { return };
+        contact.last_reply = contact.last_reply.max(Some(sent));
+        contact.last_seen = contact.last_seen.max(sent);
+        self.on_list_read(member, list_revision);
     }
 
-    /// `member` called this process by itself at `now`, and told that it has
-    /// read the service's list as of the revision `read`. That shows it alive,
-    /// but not that this process reaches it.
-    pub fn on_call(&mut self, now: Time, member: &Identity, read: u64) {
+    /// Records that `member` called this process at `now` and reported that it
+    /// has read the service's list as of `list_revision`. This shows that the
+    /// member is alive, but not that this process can reach it.
+    pub fn on_call(&mut self, now: Time, member: &Identity, list_revision: u64) {
         self.on_sightings(now, [Sighting { member: member.clone(), age: Duration::ZERO }]);
-        self.on_read(member, read);
+        self.on_list_read(member, list_revision);
     }
 
-    /// It never forgets one that was listed, so it knows at least as many as
-    /// were listed at any revision that it has read.
-    fn on_read(&mut self, member: &Identity, read: u64) {
-        let (revision, listed) = self.list;
-        let row = self.rows.get_mut(&member.name).filter(|_| read >= revision);
-        if let Some(row) = row.filter(|row| row.incarnation == member.incarnation) {
-            row.knows = row.knows.max(listed);
+    /// A member never forgets a listed one, so it knows at least as many
+    /// members as were listed at any revision that it has read.
+    fn on_list_read(&mut self, member: &Identity, list_revision: u64) {
+        let (revision, listed) = self.latest_list;
+        let contact = self.contacts.get_mut(&member.name).filter(|_| list_revision >= revision);
+        if let Some(contact) = contact.filter(|contact| contact.incarnation == member.incarnation) {
+            contact.known_members = contact.known_members.max(listed);
         }
     }
 
-    /// Another member passed on what it heard.
-    pub fn on_sightings(&mut self, now: Time, heard: impl IntoIterator<Item = Sighting>) {
-        for Sighting { member, age } in heard {
+    /// Records what another member reported about third members.
+    pub fn on_sightings(&mut self, now: Time, sightings: impl IntoIterator<Item = Sighting>) {
+        for Sighting { member, age } in sightings {
             let alive = Time::from_millis(now.as_millis().saturating_sub(age.as_millis() as u64));
-            if let Some(row) = self.learn(alive, &member) {
-                row.alive = row.alive.max(alive);
+            if let Some(contact) = self.upsert(alive, &member) {
+                contact.last_seen = contact.last_seen.max(alive);
             }
         }
     }
 
-    /// `name` is known to be gone for good: it said goodbye with nothing in
-    /// flight, or the platform says that its VM is gone.
+    /// Removes a member that is gone for good: it left cleanly with nothing in
+    /// flight, or the platform reports that its VM is gone.
     ///
-    /// Only for a process that reads the platform's service at the time: one
-    /// that is cut off would make its own majority by removing the others.
+    /// Call this only while this process can read the platform's service. A
+    /// process that is cut off would otherwise create its own majority by
+    /// removing the others.
     pub fn remove(&mut self, name: &str) {
-        if self.rows.remove(name).is_none() {
+        if self.contacts.remove(name).is_none() {
             return;
         }
-        // The others may have removed it too.
-        for row in self.rows.values_mut() {
-            row.knows = row.knows.saturating_sub(1);
+        // The other members may have removed it too.
+        for contact in self.contacts.values_mut() {
+            contact.known_members = contact.known_members.saturating_sub(1);
         }
     }
 
-    /// What to pass on to others with each call and each answer; this process
-    /// comes first, so that whoever is told learns of it.
+    /// Returns what to send with each call and answer. This process comes
+    /// first, so that the receiver learns about it.
     pub fn sightings(&self, now: Time) -> Vec<Sighting> {
         let me = Sighting { member: self.me.clone(), age: Duration::ZERO };
-        let heard = |(name, row): (&Name, &Row)| Sighting {
-            member: Identity::new(name.clone(), row.incarnation),
-            age: now - row.alive,
+        let sighting = |(name, contact): (&Name, &Contact)| Sighting {
+            member: Identity::new(name.clone(), contact.incarnation),
+            age: now - contact.last_seen,
         };
-        std::iter::once(me).chain(self.rows.iter().map(heard)).collect()
+        std::iter::once(me).chain(self.contacts.iter().map(sighting)).collect()
     }
 
-    /// How many members are known, this process included.
+    /// Returns the number of known members, including this process.
     pub fn len(&self) -> usize {
-        self.rows.len() + 1
+        self.contacts.len() + 1
     }
 
-    /// Never: this process is always known.
+    /// Returns `false`: this process is always known.
     pub fn is_empty(&self) -> bool {
         false
     }
 
-    /// Whether this process may act on its views: all of them were read from
-    /// the service within the isolation limit, or it was in direct contact
-    /// with a majority of the listed members within it.
+    /// Whether this process may act on its view: either it read all of the view
+    /// from the service within the isolation limit, or it was in direct contact
+    /// with a majority of the listed members within that limit.
     pub fn in_touch(&self, now: Time) -> bool {
-        let synced = self.synced.is_some_and(|at| self.is_fresh(now, at));
+        let synced = self.last_sync.is_some_and(|at| self.is_fresh(now, at));
         synced || self.has_majority(now)
     }
 
-    /// Whether the listed members that answered this process within the
-    /// isolation limit, itself included if listed, are more than half of all
-    /// listed. Never for a process that has no list yet.
+    /// Whether more than half of the listed members answered this process
+    /// within the isolation limit, counting this process if it is listed.
+    /// `false` for a process that has no list yet.
     pub fn has_majority(&self, now: Time) -> bool {
-        let voters = self.rows.values().filter(|row| row.listed).count();
-        let me = usize::from(self.me_listed);
-        2 * (voters - self.apart(now) + me) > voters + me
+        let voters = self.contacts.values().filter(|contact| contact.listed).count();
+        let me = usize::from(self.self_listed);
+        2 * (voters - self.unreachable(now) + me) > voters + me
     }
 
-    /// All other members, with what a drain has to know of them. For a drain,
-    /// this table must have had an [`Table::on_list`] since it started.
+    /// Returns all other members with what a [`crate::drain::Barrier`] needs to
+    /// know about them. For a drain, [`Table::on_list`] must have been called
+    /// since the drain started.
     ///
-    /// A silent member is cut off if those this process has no direct contact
-    /// with, itself among them, are no majority of the members it knows. That
-    /// this process has a majority isn't enough: when cut-off members are
-    /// replaced by new ones, both sides can have a majority of different sets.
+    /// A silent member counts as cut off if the members that this process has
+    /// no direct contact with, including the silent one, are not a majority of
+    /// the members that the silent one knows. A majority on this process's side
+    /// is not sufficient: when cut-off members are replaced by new ones, both
+    /// sides can have majorities of different sets.
     pub fn peers(&self, now: Time) -> Vec<Peer> {
-        let (apart, majority) = (self.apart(now), self.has_majority(now));
-        let peer = |(name, row): (&Name, &Row)| Peer {
-            member: Identity::new(name.clone(), row.incarnation),
-            last_contact: row.alive,
-            cut_off: majority && 2 * apart <= row.knows,
+        let (unreachable, majority) = (self.unreachable(now), self.has_majority(now));
+        let peer = |(name, contact): (&Name, &Contact)| Peer {
+            member: Identity::new(name.clone(), contact.incarnation),
+            last_contact: contact.last_seen,
+            cut_off: majority && 2 * unreachable <= contact.known_members,
         };
-        self.rows.iter().map(peer).collect()
+        self.contacts.iter().map(peer).collect()
     }
 
-    /// The incarnation in which `name` is known.
+    /// Returns the known incarnation of `name`.
     pub fn incarnation(&self, name: &str) -> Option<u64> {
-        self.rows.get(name).map(|row| row.incarnation)
+        self.contacts.get(name).map(|contact| contact.incarnation)
     }
 
-    /// When `name` was last known alive.
+    /// Returns when `name` was last known to be alive.
     pub fn last_contact(&self, name: &str) -> Option<Time> {
-        self.rows.get(name).map(|row| row.alive)
+        self.contacts.get(name).map(|contact| contact.last_seen)
     }
 
-    /// Whom to call in `round`: a fan-out's worth of members.
+    /// Returns the members to call in `round`, at most the configured fan-out.
     ///
-    /// The order is shuffled by this process's incarnation and anew in each
-    /// pass over all of them. Drawing partners independently would leave one
-    /// uncalled for long by chance; in a shuffle each is called once a pass.
+    /// The members are shuffled anew for each pass over all of them, seeded by
+    /// this process's incarnation. Independent random draws could leave a
+    /// member uncalled for a long time; in a shuffle each one is called once
+    /// per pass.
     pub fn partners(&self, round: u64) -> Vec<Name> {
-        let (count, fan_out) = (self.rows.len(), self.config.fan_out);
+        let (count, fan_out) = (self.contacts.len(), self.config.fan_out);
         if count <= fan_out || fan_out == 0 {
-            return self.rows.keys().take(fan_out).cloned().collect();
+            return self.contacts.keys().take(fan_out).cloned().collect();
         }
         let rounds = count.div_ceil(fan_out) as u64;
         let (pass, turn) = (round / rounds, (round % rounds) as usize);
         let seed = mix(self.me.incarnation ^ mix(pass));
-        let mut order: Vec<&Name> = self.rows.keys().collect();
+        let mut order: Vec<&Name> = self.contacts.keys().collect();
         order.sort_by_cached_key(|name| name_hash(seed, name));
         order.into_iter().skip(turn * fan_out).take(fan_out).cloned().collect()
     }
 
-    /// How many listed members, but for this process, did not answer it within
-    /// the isolation limit.
-    fn apart(&self, now: Time) -> usize {
-        let fresh = |row: &Row| row.direct.is_some_and(|at| self.is_fresh(now, at));
-        self.rows.values().filter(|row| row.listed && !fresh(row)).count()
+    /// Returns how many listed members, other than this process, did not answer
+    /// it within the isolation limit.
+    fn unreachable(&self, now: Time) -> usize {
+        let fresh = |contact: &Contact| contact.last_reply.is_some_and(|at| self.is_fresh(now, at));
+        self.contacts.values().filter(|contact| contact.listed && !fresh(contact)).count()
     }
 
     fn is_fresh(&self, now: Time, at: Time) -> bool {
         now - at <= self.config.isolation_limit
     }
 
-    /// The row of `member`, made or brought to its incarnation; `None` for
-    /// this process and for an incarnation that is over.
-    fn learn(&mut self, alive: Time, member: &Identity) -> Option<&mut Row> {
+    /// Returns the contact entry of `member`, created or reset to its incarnation if
+    /// necessary. Returns `None` for this process and for an incarnation that
+    /// has ended.
+    fn upsert(&mut self, last_seen: Time, member: &Identity) -> Option<&mut Contact> {
         if member.name == self.me.name {
             return None;
         }
         let incarnation = member.incarnation;
-        let new = |listed| Row { incarnation, direct: None, alive, listed, knows: 0 };
-        let row = self.rows.entry(member.name.clone()).or_insert_with(|| new(false));
-        if row.incarnation > incarnation {
+        let new =
+            |listed| Contact { incarnation, last_reply: None, last_seen, listed, known_members: 0 };
+        let contact = self.contacts.entry(member.name.clone()).or_insert_with(|| new(false));
+        if contact.incarnation > incarnation {
             return None;
         }
-        if row.incarnation < incarnation {
-            *row = new(row.listed);
+        if contact.incarnation < incarnation {
+            *contact = new(contact.listed);
         }
-        Some(row)
+        Some(contact)
     }
 }
 
--- a/crates/coord/src/member/config.rs
+++ b/crates/coord/src/member/config.rs
@@ -1,8 +1,8 @@
-//! Limits of a table.
+//! Settings of a membership table.
 
 use std::time::Duration;
 
-/// Limits of a [`super::Table`].
+/// Settings of a [`super::Table`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     pub(super) isolation_limit: Duration,
@@ -16,21 +16,21 @@
 }
 
 impl Config {
-    /// An isolation limit of 10 s and three partners a round.
+    /// Returns the defaults: an isolation limit of 10 s and a fan-out of three.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How long a process may act without being in touch.
+    /// Sets how long a process may act without being in touch.
     #[must_use]
     pub fn isolation_limit(mut self, limit: Duration) -> Self {
         self.isolation_limit = limit;
         self
     }
 
-    /// How many members are called in one round. To stay in touch while the
-    /// service is down, a majority has to be reached within the isolation
-    /// limit: members / 2 / fan-out rounds.
+    /// Sets how many members are called per round. To stay in touch while the
+    /// service is down, a process has to reach a majority within the isolation
+    /// limit, which takes members / 2 / fan-out rounds.
     #[must_use]
     pub fn fan_out(mut self, members: usize) -> Self {
         self.fan_out = members;
--- a/crates/coord/src/member/identity.rs
+++ b/crates/coord/src/member/identity.rs
@@ -1,4 +1,4 @@
-//! What one process knows of another.
+//! Identities of members and facts about them.
 
 use std::time::Duration;
 
@@ -7,35 +7,36 @@
 /// One incarnation of a member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
-    /// Its name.
+    /// The member's name.
     pub name: Name,
-    /// Its incarnation; a later process of the same name has a higher one.
+    /// The incarnation. A later process of the same name has a higher one.
     pub incarnation: u64,
 }
 
 impl Identity {
-    /// The member `name` in `incarnation`.
+    /// Creates the identity of `name` in `incarnation`.
     pub fn new(name: Name, incarnation: u64) -> Self {
         Self { name, incarnation }
     }
 }
 
-/// What one member passes on about another.
+/// What one member reports about another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sighting {
-    /// The member it is about.
+    /// The member that was seen.
     pub member: Identity,
-    /// How long ago it was last known alive.
+    /// How long ago it was last known to be alive.
     pub age: Duration,
 }
 
-/// A member as a [`crate::drain::Barrier`] needs to know it.
+/// What a [`crate::drain::Barrier`] needs to know about a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// The member.
     pub member: Identity,
-    /// When it was last known alive, directly or by hearsay.
+    /// When it was last known to be alive, from direct contact or a report.
     pub last_contact: Time,
-    /// Whether it can't be in touch with a majority (see [`super::Table::peers`]).
+    /// Whether it cannot be in touch with a majority (see
+    /// [`super::Table::peers`]).
     pub cut_off: bool,
 }
--- a/crates/coord/src/register.rs
+++ b/crates/coord/src/register.rs
@@ -1,10 +1,10 @@
-//! A versioned value that never goes back.
+//! A versioned value that never goes back to an older version.
 //!
 //! A configuration reaches a process by a watch, by a read and from several
-//! peers, in any order. Taking the message heard last would let a delayed one
-//! bring back an older configuration, seen as a change that was accepted and
-//! later undone by nobody. [`Register`] takes only what is newer than what it
-//! has, whichever way it came.
+//! peers, in any order. If the last message to arrive won, a delayed one would
+//! bring back an older configuration: an accepted change would be undone
+//! although nobody undid it. [`Register`] accepts only revisions newer than its
+//! own, whatever their source.
 //!
 //! ```
 //! use corianderfork_coord::register::{Offer, Register};
@@ -16,19 +16,20 @@
 //! assert_eq!(register.revision(), 3);
 //! ```
 
-/// What became of an offered value.
+/// The result of [`Register::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Offer {
-    /// It was newer and is in force now.
+    /// The value was newer and is now in force.
     Applied,
-    /// It has the revision that is in force already.
+    /// The value has the revision that is already in force.
     Same,
-    /// It is older than the one in force; whoever offered it should be told.
+    /// The value is older than the one in force. Its sender should be sent the
+    /// newer one.
     Stale,
 }
 
-/// A value with the revision at which the platform's service accepted it.
+/// A value and the revision at which the platform's service accepted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Register<T> {
     revision: u64,
@@ -42,8 +43,8 @@
 }
 
 impl<T> Register<T> {
-    /// Takes `value` if `revision` is newer than the one in force. Revision 0
-    /// means "absent" in the platform's service and is always stale.
+    /// Replaces the value if `revision` is newer than the one in force.
+    /// Revision 0 means "absent" in the platform's service and is always stale.
     pub fn offer(&mut self, revision: u64, value: T) -> Offer {
         if revision == 0 || revision < self.revision {
             return Offer::Stale;
@@ -56,12 +57,12 @@
         Offer::Applied
     }
 
-    /// The value in force, or `None` before the first one.
+    /// Returns the value in force, or `None` before the first one.
     pub fn get(&self) -> Option<&T> {
         self.value.as_ref()
     }
 
-    /// The revision in force, 0 before the first one.
+    /// Returns the revision in force, 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.revision
     }
--- a/crates/coord/tests/drain_predecessor.rs
+++ b/crates/coord/tests/drain_predecessor.rs
@@ -1,4 +1,4 @@
-//! Drains that begin, or are taken over, after a proxy was replaced.
+//! Drains that start, or are taken over, after a proxy was replaced.
 #![allow(clippy::expect_used)]
 
 use corianderfork_coord::drain::{Barrier, Config, Status};
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn status_of_a_drain_that_a_successor_takes_over() {
-    // Symptom: a VM is rebooted while work of a proxy runs there.
-    // Sequence: a proxy sends work and dies without an ack; its next incarnation
-    //   acks; the controller waits for the request deadline, and dies; the next
-    //   controller has only ever seen the second incarnation.
-    // Cause: that there was an earlier incarnation is known to the barrier alone.
+fn status_taken_over_drain_waits_for_earlier_incarnation() {
+    // A proxy sends requests and dies without an acknowledgement, and its next
+    // incarnation acknowledges. The controller waits for the request deadline
+    // but dies, and the next controller has only seen the second incarnation.
+    // If only the first controller's barrier knew of the earlier incarnation,
+    // the VM would be rebooted while its requests run.
     let first = Identity::new(name("entry-1"), 1);
     let second = Identity::new(name("entry-1"), 2);
     let peer =
@@ -26,10 +26,16 @@
     let _ = barrier.status(at(100), &[peer(&first, at(100))]);
     barrier.on_ack(&second, 3);
     let before = barrier.status(at(1_000), &[peer(&second, at(1_000))]);
-    assert!(matches!(before, Status::Waiting(_)), "work of before may run: {before:?}");
+    assert!(
+        matches!(before, Status::Waiting(_)),
+        "requests of the first incarnation may be running: {before:?}"
+    );
 
     let mut successor = Barrier::new(Config::new(), name("vm-7"), 3, at(1_100));
     successor.on_ack(&second, 3);
     let after = successor.status(at(1_200), &[peer(&second, at(1_200))]);
-    assert!(matches!(after, Status::Waiting(_)), "and may run still: {after:?}");
+    assert!(
+        matches!(after, Status::Waiting(_)),
+        "requests of the first incarnation may still be running: {after:?}"
+    );
 }
--- a/crates/coord/tests/lease.rs
+++ b/crates/coord/tests/lease.rs
@@ -1,4 +1,4 @@
-//! One holder at a time, under pauses, lost answers and an outage.
+//! Leases with pauses, lost answers and an outage.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use corianderfork_coord::lease::{Action, Answer, Config, Event, Holder, Key, Token};
 use corianderfork_model::Time;
 use proptest::prelude::*;
-use proptest::test_runner::{Config as Runs, RngAlgorithm, TestRng, TestRunner};
+use proptest::test_runner::{Config as TestConfig, RngAlgorithm, TestRng, TestRunner};
 
 const TTL: Duration = Duration::from_secs(9);
 
-/// The platform's service: leases with their ends, and one key.
+/// The platform's service: leases with their expiry times, and one key.
 #[derive(Default)]
 struct Store {
     leases: BTreeMap<u64, Time>,
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Tick(usize),
-    /// The service gets the oldest call; its answer is lost if so told.
+    /// The service handles the oldest call; the flag loses the answer.
     Serve(usize, bool),
     Answer(usize),
     Advance(u64),
@@ -82,7 +82,7 @@
     process.calls.extend(calls.into_iter().filter(is_call));
 }
 
-/// Runs the steps and counts in how many states somebody could act.
+/// Runs the steps and returns in how many states a process could act.
 fn check(steps: &[Step]) -> Result<usize, TestCaseError> {
     let (mut now, mut store, mut acting) = (Time::from_millis(1), Store::default(), 0);
     let process = |seed| Process {
@@ -109,7 +109,7 @@
             Step::Serve(..) | Step::Answer(_) => {}
             Step::Advance(millis) => now = now + Duration::from_millis(millis),
         }
-        // A paused process counts: it is as if it woke and acted now.
+        // A paused process counts too, as if it resumed and acted now.
         let tokens: Vec<Token> = processes.iter().filter_map(|p| p.holder.token(now)).collect();
         prop_assert!(tokens.len() <= 1, "{tokens:?} act at once");
         if let Some(&token) = tokens.first() {
@@ -121,46 +121,48 @@
     Ok(acting)
 }
 
-// Symptom: two processes act as the holder at once.
-// Sequence: any of pauses between sending, answer and act, lost answers, and
-// renewals that reach the service late.
-// Cause: a holder that trusts an answer more than its clock.
+// Two processes must never act as the holder at once, whatever pauses occur
+// between sending, answer and action, whichever answers are lost, and however
+// late renewals reach the service. A holder that trusts an answer more than its
+// clock fails this.
 #[test]
-fn token_any_interleaving_one_holder() {
-    let runs = Runs { cases: 2_000, failure_persistence: None, ..Runs::default() };
+fn token_any_interleaving_has_one_holder() {
+    let test_config =
+        TestConfig { cases: 2_000, failure_persistence: None, ..TestConfig::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let acting = std::cell::Cell::new(0);
-    let outcome =
-        TestRunner::new_with_rng(runs, rng).run(&prop::collection::vec(step(), 30..150), |steps| {
+    let outcome = TestRunner::new_with_rng(test_config, rng).run(
+        &prop::collection::vec(step(), 30..150),
+        |steps| {
             acting.set(acting.get() + check(&steps)?);
             Ok(())
-        });
+        },
+    );
     outcome.unwrap_or_else(|failure| panic!("{failure}"));
     assert!(acting.get() > 5_000, "only {} states with a holder", acting.get());
 }
 
-// Symptom: a holder goes on after its lease was given to another.
-// Sequence: a renewal is sent; the process is paused beyond the TTL; it wakes,
-// and the first thing it finds is the good answer to that renewal.
-// Cause: time counted from the answer.
+// A renewal is sent, and the process is paused beyond the TTL; when it resumes,
+// it first sees the successful answer. A holder that measured its lease from
+// that answer would act although another process has the lease.
 #[test]
-fn on_event_answer_after_a_pause_stops() {
+fn on_event_answer_after_pause_stops_holder() {
     let mut holder = Holder::new(Config::new().ttl(TTL), 1);
     let at = Time::from_millis;
     holder.on_event(at(0), Event::Tick);
     holder.on_event(at(1), Event::Store(Answer::Granted { lease: 1 }));
     holder.on_event(at(2), Event::Store(Answer::PutDone { revision: 2 }));
     assert_eq!(holder.on_event(at(3_000), Event::Tick), [Action::Renew { lease: 1 }]);
-    let woken = holder.on_event(at(20_000), Event::Store(Answer::Renewed));
-    assert_eq!(woken, [Action::Stopped, Action::Revoke { lease: 1 }, Action::Grant]);
+    let resumed = holder.on_event(at(20_000), Event::Store(Answer::Renewed));
+    assert_eq!(resumed, [Action::Stopped, Action::Revoke { lease: 1 }, Action::Grant]);
     assert_eq!(holder.token(at(20_000)), None);
 }
 
-// Symptom: two processes act as the holder, for as long as an answer travels.
-// Sequence: a renewal reaches the service at once; its answer takes seconds.
-// Cause: the holder's time counted from the answer, the service's from the call.
+// A renewal reaches the service at once, but the answer takes seconds. A lease
+// measured from the answer would outlast the service's, which is measured from
+// the call, and two processes would act.
 #[test]
-fn token_slow_answer_counts_from_the_call() {
+fn token_slow_answer_is_measured_from_the_call() {
     let mut holder = Holder::new(Config::new().ttl(TTL), 1);
     let at = Time::from_millis;
     holder.on_event(at(0), Event::Tick);
@@ -169,5 +171,5 @@
     holder.on_event(at(3_000), Event::Tick);
     holder.on_event(at(8_000), Event::Store(Answer::Renewed));
     assert_eq!(holder.token(at(11_099)), Some(Token(2)));
-    assert_eq!(holder.token(at(11_100)), None); // 3 s and 9 s less a tenth
+    assert_eq!(holder.token(at(11_100)), None); // 3 s plus 9 s less a tenth
 }
--- a/crates/coord/tests/register.rs
+++ b/crates/coord/tests/register.rs
@@ -1,18 +1,18 @@
-//! The register, and the waits of the backoff.
+//! Registers and backoff.
 
 use std::time::Duration;
 
 use corianderfork_coord::backoff::{Backoff, Config, spread};
 use corianderfork_coord::register::{Offer, Register};
 use proptest::prelude::*;
-use proptest::test_runner::{Config as Runs, RngSeed};
+use proptest::test_runner::{Config as TestConfig, RngSeed};
 
 proptest! {
-    #![proptest_config(Runs { rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..Runs::default() })]
+    #![proptest_config(TestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..TestConfig::default() })]
 
-    // Symptom: a configuration that was in force is undone by nobody.
-    // Sequence: revisions arrive by watch, read and peers, late and crossed.
-    // Cause: the message heard last is taken for the newest.
+    // Revisions arrive by watch, read and peers, late and out of order. If the
+    // last message to arrive won, a delayed one would undo a configuration that
+    // is in force.
     #[test]
     fn offer_any_order_never_goes_back(offers in prop::collection::vec(0u64..20, 1..60)) {
         let mut register = Register::default();
@@ -27,7 +27,7 @@
     }
 
     #[test]
-    fn next_wait_any_seed_stays_in_its_half(seed: u64) {
+    fn next_wait_any_seed_stays_in_upper_half(seed: u64) {
         let config = Config::new().first(Duration::from_millis(100)).max(Duration::from_secs(1));
         let mut backoff = Backoff::new(config, seed);
         for longest in [100, 200, 400, 800, 1_000, 1_000].map(Duration::from_millis) {
@@ -39,11 +39,10 @@
     }
 }
 
-// Symptom: the platform's service falls over again as soon as it is back.
-// Sequence: an outage ends; each process calls as soon as it notices.
-// Cause: all notice in the same moment.
+// All processes notice the end of an outage at the same moment. If they called
+// at once, they would overload the platform's service again.
 #[test]
-fn spread_of_many_fills_the_window() {
+fn spread_many_seeds_fill_the_window() {
     let window = Duration::from_secs(10);
     let mut tenths = [0; 10];
     for seed in 0..1_000 {
--- a/crates/coord/tests/simulation/mod.rs
+++ b/crates/coord/tests/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! A store with compare-and-swap and some owners of one shard, stepped by hand.
+//! A store with compare-and-swap and several owners of one shard, stepped by
+//! the test.
 
-#![allow(dead_code)] // each test file uses a part of it
+#![allow(dead_code)] // each test file uses only a part
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -12,7 +13,7 @@
 };
 use corianderfork_model::{Name, Time};
 
-/// Well after the origin, so that clocks may be behind.
+/// Far from the epoch, so that clocks may be behind.
 pub const START: Time = Time::from_millis(1_700_000_000_000);
 
 #[derive(Default)]
@@ -40,7 +41,7 @@
                 Answer::Deleted { segment }
             }
             Action::Put { segment, expect, ref value } => self.put(segment, expect, value),
-            _ => unreachable!("not a call"),
+            _ => unreachable!("the action is not a call to the store"),
         }
     }
 
@@ -60,7 +61,7 @@
         Answer::PutDone { segment, revision: self.revision }
     }
 
-    /// Whether the journal holds the claim, or holds that its id is forgotten.
+    /// Whether the journal contains the claim or declares its id forgotten.
     fn remembers(&self, id: Id, attempt: Attempt) -> bool {
         let mut segments = self.segments.values().map(|(_, segment)| segment);
         self.claimed.contains(&(id, attempt))
@@ -77,51 +78,51 @@
     pub machine: Machine,
     pub calls: Vec<Action>,
     pub deposed: bool,
-    /// What its clock is ahead or behind, in milliseconds.
+    /// Its clock offset, in milliseconds.
     pub skew: i64,
 }
 
-/// What a proxy knows of its attempt.
+/// The state of an attempt at its proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Run {
-    Asked,
+    Requested,
     Running,
-    GivenUp,
+    Cancelled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// The call takes effect, its answer is lost.
+    /// The call takes effect, but its answer is lost.
     LostAnswer,
     /// The call is refused.
-    Down,
-    /// The call is said to be refused, but takes effect.
-    Lying,
-    /// The call times out and takes effect at some later time.
-    Late,
+    Refused,
+    /// The call takes effect, but is reported as refused.
+    FalseRefusal,
+    /// The call times out and takes effect later.
+    Delayed,
 }
 
-pub struct World {
+pub struct Simulation {
     pub config: Config,
     pub now: Time,
     pub store: Store,
     pub processes: Vec<Process>,
-    pub late: Vec<Action>,
+    pub delayed: Vec<Action>,
     pub runs: BTreeMap<(Id, Attempt), Run>,
     pub replies: Vec<(Id, Attempt, Verdict)>,
-    asks: BTreeMap<u64, (Id, Attempt)>,
+    requests: BTreeMap<u64, (Id, Attempt)>,
     tokens: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(config: Config) -> Self {
-        let (store, processes, late) = (Store::default(), Vec::new(), Vec::new());
-        let (runs, replies, asks) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
-        Self { config, now: START, store, processes, late, runs, replies, asks, tokens: 0 }
+        let (store, processes, delayed) = (Store::default(), Vec::new(), Vec::new());
+        let (runs, replies, requests) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
+        Self { config, now: START, store, processes, delayed, runs, replies, requests, tokens: 0 }
     }
 
-    /// A new process begins a takeover under a higher token.
+    /// Starts a process that takes over under a higher token.
     pub fn start(&mut self, skew: i64) -> usize {
         self.tokens += 1;
         let writer = Writer::new(Name::new("entry").expect("a name"), self.tokens);
@@ -131,16 +132,16 @@
     }
 
     pub fn event(&mut self, process: usize, event: Event) {
-        let it = &mut self.processes[process];
-        let now = Time::from_millis(self.now.as_millis().saturating_add_signed(it.skew));
-        let actions = match &mut it.machine {
+        let target = &mut self.processes[process];
+        let now = Time::from_millis(self.now.as_millis().saturating_add_signed(target.skew));
+        let actions = match &mut target.machine {
             Machine::Takeover(takeover) => takeover.on_event(now, event),
             Machine::Owner(owner) => owner.on_event(now, event),
         };
-        if let Machine::Takeover(takeover) = &mut it.machine
+        if let Machine::Takeover(takeover) = &mut target.machine
             && let Some(owner) = takeover.take_owner()
         {
-            it.machine = Machine::Owner(Box::new(owner));
+            target.machine = Machine::Owner(Box::new(owner));
         }
         for action in actions {
             match action {
@@ -155,13 +156,13 @@
         self.event(process, Event::Tick);
     }
 
-    pub fn ask(&mut self, process: usize, id: Id, attempt: Attempt) {
-        if self.runs.get(&(id, attempt)) == Some(&Run::GivenUp) {
-            return; // a proxy never asks again with it
+    pub fn request(&mut self, process: usize, id: Id, attempt: Attempt) {
+        if self.runs.get(&(id, attempt)) == Some(&Run::Cancelled) {
+            return; // a proxy never reuses a cancelled attempt
         }
-        self.runs.entry((id, attempt)).or_insert(Run::Asked);
-        let key = self.asks.len() as u64;
-        self.asks.insert(key, (id, attempt));
+        self.runs.entry((id, attempt)).or_insert(Run::Requested);
+        let key = self.requests.len() as u64;
+        self.requests.insert(key, (id, attempt));
         self.event(process, Event::Request(Request { key, id, attempt }));
     }
 
@@ -169,8 +170,8 @@
         let run = self.runs.get(&(id, attempt)).copied();
         match (run, end) {
             (Some(Run::Running), End::Done) => {}
-            (Some(Run::Asked | Run::Running), End::Abandoned) => {
-                self.runs.insert((id, attempt), Run::GivenUp);
+            (Some(Run::Requested | Run::Running), End::Abandoned) => {
+                self.runs.insert((id, attempt), Run::Cancelled);
             }
             _ => return,
         }
@@ -185,22 +186,22 @@
         let call = self.processes[process].calls.remove(0);
         let answer = match fault {
             Fault::None => self.store.serve(&call),
-            Fault::Down => failed(&call, false),
-            Fault::LostAnswer | Fault::Lying => {
+            Fault::Refused => failed(&call, false),
+            Fault::LostAnswer | Fault::FalseRefusal => {
                 self.store.serve(&call);
                 failed(&call, fault == Fault::LostAnswer)
             }
-            Fault::Late => {
+            Fault::Delayed => {
                 let answer = failed(&call, true);
-                self.late.push(call);
+                self.delayed.push(call);
                 answer
             }
         };
         self.event(process, Event::Store(answer));
     }
 
-    /// Ticks and serves a process until it has nothing to do.
-    pub fn settle_down(&mut self, process: usize) {
+    /// Ticks and serves a process until it has no calls left.
+    pub fn run_until_idle(&mut self, process: usize) {
         for _ in 0..100 {
             self.tick(process);
             if self.processes[process].calls.is_empty() {
@@ -208,7 +209,7 @@
             }
             self.serve(process, Fault::None);
         }
-        panic!("the process never comes to rest");
+        panic!("the process never becomes idle");
     }
 
     pub fn advance(&mut self, millis: u64) {
@@ -218,7 +219,7 @@
     pub fn owner(&self, process: usize) -> &Owner {
         match &self.processes[process].machine {
             Machine::Owner(owner) => owner,
-            Machine::Takeover(_) => panic!("the takeover isn't complete"),
+            Machine::Takeover(_) => panic!("the takeover is not complete"),
         }
     }
 
@@ -226,19 +227,22 @@
         self.replies.last().expect("a reply").2
     }
 
-    /// The history's check, at each reply.
+    /// Checks the history at each reply.
     fn on_reply(&mut self, key: u64, verdict: Verdict) {
-        let (id, attempt) = self.asks[&key];
+        let (id, attempt) = self.requests[&key];
         self.replies.push((id, attempt, verdict));
-        let run = self.runs.get_mut(&(id, attempt)).expect("it asked");
+        let run = self.runs.get_mut(&(id, attempt)).expect("the attempt sent a request");
         match (verdict, *run) {
             (Verdict::Granted, _) => {
-                assert!(self.store.remembers(id, attempt), "granted {id}, not in the journal");
-                if *run == Run::Asked {
+                assert!(
+                    self.store.remembers(id, attempt),
+                    "granted {id}, which is not in the journal"
+                );
+                if *run == Run::Requested {
                     *run = Run::Running;
                 }
             }
-            (_, Run::Asked) => *run = Run::GivenUp,
+            (_, Run::Requested) => *run = Run::Cancelled,
             _ => {}
         }
         let running = self.runs.iter().filter(|(key, run)| key.0 == id && **run == Run::Running);
