--- a/crates/entry/src/absence.rs
+++ b/crates/entry/src/absence.rs
@@ -1,20 +1,19 @@
-//! VMs that the fleet's list no longer names.
+//! VMs that are missing from the fleet's list.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-/// How long a VM has to be missing from one list after the other before it
-/// counts as taken away. The list is read in pages while it changes, and lags by
-/// about a second: a VM that moves from one page to another in between is on
-/// neither.
+/// How long a VM has to be missing from consecutive lists before it counts as removed. The
+/// list lags by about a second and changes while its pages are read: a VM that moves from
+/// one page to another meanwhile is on neither.
 const GONE: Duration = Duration::from_millis(3_000);
 
-/// Since when VMs are missing. Pure.
+/// Records since when VMs are missing; it does no I/O.
 ///
-/// Without it a wave is told to be completed as soon as one list lacks its last
-/// VM, which then is never maintained.
+/// If a single list counted, a wave would be completed as soon as one list lacks its last
+/// VM, which would never be maintained.
 ///
 /// ```
 /// use corianderfork_entry::absence::Absence;
@@ -32,7 +31,7 @@
 }
 
 impl Absence {
-    /// Takes in a list: which of `wanted` it names.
+    /// Records which of the `wanted` VMs a list contains.
     pub fn note<'a>(
         &mut self,
         now: Time,
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,10 +1,10 @@
-//! The write that accepts jobs, in the pools that their queues are in.
+//! The transaction that accepts jobs in their queues' pools.
 //!
-//! Pure: [`Admission`] builds the write and reads its conflicts. A job is accepted
-//! only if it is in no pool of its queue and the queue's record is as it is known:
-//! all in one write. Were the earlier pools read before the write, a gateway whose
-//! configuration is older, or a write that is carried out late, could accept the
-//! job there in between, and it would run twice.
+//! [`Admission`] does no I/O: it builds the transaction and interprets its conflicts. One
+//! transaction both checks that the job is in no pool of its queue and that the queue's
+//! record is unchanged, and stores the job. If the earlier pools were read before the write,
+//! a gateway with an older configuration or a late write could accept the job there in
+//! between, and it would run twice.
 
 use std::collections::BTreeMap;
 
@@ -14,29 +14,29 @@
 use crate::lookup::{job_key, run_key};
 use crate::placement::{Entry, Placement, Way, queue_key};
 
-/// Rows of one job in its pool: two conditions and a value.
+/// Rows of one job in its pool: two conditions and one value.
 const JOB_ROWS: usize = 3;
 /// Rows of one job for each earlier pool: two conditions.
 const EARLIER_ROWS: usize = 2;
-/// Rows of one queue whose record changes: a condition and a value.
+/// Rows of one queue whose record changes: one condition and one value.
 const QUEUE_ROWS: usize = 2;
-/// Earlier pools that the write of a single job has room for.
+/// The most earlier pools that fit into the write of a single job.
 const MOST_EARLIER: usize = (MAX_ROWS - QUEUE_ROWS - JOB_ROWS) / EARLIER_ROWS;
 
-/// A job that is handed in.
+/// A submitted job.
 #[derive(Clone, Debug)]
 pub struct Offer {
     /// Its queue.
     pub queue: String,
-    /// Where the queue is sent, as far as the gateway knows.
+    /// The pool to which the gateway's configuration routes the queue.
     pub way: Way,
     /// Its id.
     pub id: String,
-    /// The record of its acceptance.
+    /// Its acceptance record, encoded.
     pub value: Vec<u8>,
 }
 
-/// Jobs that go together in one write.
+/// Jobs that are accepted in one transaction.
 ///
 /// ```
 /// use corianderfork_entry::admission::{Admission, Offer};
@@ -59,8 +59,8 @@
 }
 
 impl Admission {
-    /// Takes as many of `offers` as fit one write, from the first one on. `table`
-    /// has the queues' records as they are known.
+    /// Takes as many of `offers`, from the first one on, as fit into one transaction.
+    /// `table` has the known records of the queues.
     pub fn new<'a>(offers: impl IntoIterator<Item = &'a Offer>, table: &Table) -> Self {
         let mut admission = Self::default();
         for offer in offers {
@@ -74,7 +74,7 @@
     fn take(&mut self, offer: &Offer, table: &Table) -> bool {
         if let Some((way, placement)) = self.queues.get(&offer.queue) {
             let rows = self.rows + job_rows(placement);
-            // Two configurations would have the record say two things.
+            // Two configurations could ask for different changes of the queue's record.
             if rows > MAX_ROWS || *way != offer.way {
                 return false;
             }
@@ -94,12 +94,12 @@
         true
     }
 
-    /// How many of the jobs fit.
+    /// Returns how many of the jobs fit.
     pub const fn count(&self) -> usize {
         self.count
     }
 
-    /// The write, for those of the jobs taken that are still to be stored.
+    /// Returns the transaction for those of the jobs that are still to be stored.
     pub fn txn<'a>(&self, offers: impl IntoIterator<Item = &'a Offer>) -> Txn {
         let mut txn = Txn::default();
         for (queue, (_, placement)) in &self.queues {
@@ -121,20 +121,20 @@
         txn
     }
 
-    /// The pool in which a job is accepted.
+    /// Returns the pool in which a job is accepted.
     pub fn pool<'a>(&'a self, offer: &'a Offer) -> &'a str {
         self.queues.get(&offer.queue).map_or(&offer.way.pool, |(_, placement)| &placement.pool)
     }
 
-    /// Earlier pools for which the write has no room: they are read before it.
-    /// Nothing is accepted there meanwhile, since that would change the queue's
-    /// record, of which the write expects that it is as it was before the reads.
+    /// Returns the earlier pools that don't fit into the transaction and are read before it.
+    /// No job can be accepted there in between: that would change the queue's record, which
+    /// the transaction expects to be unchanged.
     pub fn unchecked(&self, offer: &Offer) -> &[String] {
         let earlier = self.queues.get(&offer.queue).map(|(_, placement)| &placement.earlier);
         earlier.and_then(|earlier| earlier.get(MOST_EARLIER..)).unwrap_or_default()
     }
 
-    /// Whether a conflict says that a job was accepted before.
+    /// Whether a conflict shows that a job was accepted before.
     pub fn is_stored(&self, offer: &Offer, items: &[Item]) -> bool {
         let Some((_, placement)) = self.queues.get(&offer.queue) else { return false };
         std::iter::once(&placement.pool).chain(&placement.earlier).any(|pool| {
@@ -143,13 +143,13 @@
         })
     }
 
-    /// The queues' records that a conflict shows to be others than was known.
+    /// Returns the queues' records that a conflict shows to differ from what was known.
     pub fn seen(&self, items: &[Item]) -> Vec<(String, Entry)> {
         let seen = self.queues.iter().filter_map(|(queue, (_, placement))| {
             let item = items.iter().find(|item| item.key == queue_key(queue));
             let entry = match item {
                 Some(item) => Entry::read(&item.value, item.revision),
-                // It was there: another writer removed it.
+                // It existed: another writer removed it.
                 None => Entry::Damaged { revision: 0 },
             };
             (entry.revision() != placement.revision).then(|| (queue.clone(), entry))
@@ -157,7 +157,7 @@
         seen.collect()
     }
 
-    /// The queues' records that the write changed, at its revision.
+    /// Returns the queues' records that the transaction changed, at its revision.
     pub fn written(&self, revision: u64) -> Vec<(String, Entry)> {
         let changed = self.queues.iter().filter_map(|(queue, (_, placement))| {
             let places = placement.change.clone()?;
--- a/crates/entry/src/arrivals.rs
+++ b/crates/entry/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! VMs on their way to a pool, and what the pool has with them.
+//! VMs on their way to a pool, and the pool's stock including them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -7,46 +7,45 @@
 use corianderfork_jobs::pool::Load;
 use corianderfork_model::Time;
 
-/// How long a VM counts as coming at most after the list has it in its new pool,
-/// if the pool's owner doesn't count its worker: it registers, is written down and
-/// looked at, which takes some hundreds of milliseconds.
+/// How long a VM counts as coming after the list shows it in its new pool, unless the
+/// pool's owner counts its worker earlier: registering, storing and polling the worker
+/// takes some hundreds of milliseconds.
 const ARRIVAL: Duration = Duration::from_millis(2_500);
-/// How long an order for a move counts as under way though the list, which lags,
-/// has the VM where it was.
+/// How long an ordered move counts as in progress although the lagging list still shows
+/// the VM in its old pool.
 const LAG: Duration = Duration::from_millis(1_500);
 
 struct Coming {
     pool: String,
     ordered: Time,
     arrived: Option<Time>,
-    /// The life of its worker, once it is there.
+    /// The instance id of its worker, once it has arrived.
     worker: String,
 }
 
-/// VMs that were ordered to a pool and that its owner doesn't count yet. Pure.
+/// VMs that were ordered to a pool and that its owner doesn't count yet. It does no I/O.
 ///
-/// A VM is either among these or among the workers that the owner counts, never
-/// both. One that counted twice for half a second after it had come had its pool
-/// give up as many workers as had just come: VMs went back in the middle of the
-/// ramp that had sent for them.
+/// A VM is either among these or among the workers that the owner counts, never both. When
+/// arrived VMs counted twice for half a second, their pool gave up as many workers as had
+/// just arrived: VMs were sent back in the middle of the ramp-up that had requested them.
 #[derive(Default)]
 pub struct Arrivals {
     coming: HashMap<String, Coming>,
 }
 
 impl Arrivals {
-    /// A VM was ordered to a pool.
+    /// Records that a VM was ordered to a pool.
     pub fn order(&mut self, now: Time, vm: &str, pool: &str) {
         let (pool, worker) = (pool.to_owned(), String::new());
         self.coming.insert(vm.to_owned(), Coming { pool, ordered: now, arrived: None, worker });
     }
 
-    /// The order was not carried out.
+    /// Records that the order was not carried out.
     pub fn cancel(&mut self, vm: &str) {
         self.coming.remove(vm);
     }
 
-    /// Takes in a list of all VMs that was asked for at `listed`.
+    /// Updates the VMs by a list of the fleet that was requested at `listed`.
     pub fn settle(&mut self, listed: Time, vms: &BTreeMap<String, Vm>) {
         self.coming.retain(|name, coming| {
             let Some(vm) = vms.get(name) else { return false };
@@ -61,19 +60,19 @@
         });
     }
 
-    /// Lives of workers that have come to a pool and that its owner is not known to
-    /// count.
+    /// Returns the instance ids of workers that have arrived in a pool and that its owner
+    /// isn't known to count.
     pub fn uncounted(&self, pool: &str) -> Vec<String> {
         let is_there = |coming: &&Coming| coming.pool == pool && !coming.worker.is_empty();
         self.coming.values().filter(is_there).map(|coming| coming.worker.clone()).collect()
     }
 
-    /// The owner of a pool counts these lives.
+    /// Records that the owner of a pool counts these worker instances.
     pub fn counted(&mut self, pool: &str, lives: &[String]) {
         self.coming.retain(|_, coming| coming.pool != pool || !lives.contains(&coming.worker));
     }
 
-    /// How many VMs are on their way to a pool.
+    /// Returns how many VMs are on their way to a pool.
     pub fn number(&self, pool: &str) -> usize {
         self.coming.values().filter(|coming| coming.pool == pool).count()
     }
@@ -83,13 +82,13 @@
         self.coming.contains_key(vm)
     }
 
-    /// The pool that a VM is on its way to.
+    /// Returns the pool that a VM is on its way to.
     pub fn pool_of(&self, vm: &str) -> Option<&str> {
         self.coming.get(vm).map(|coming| coming.pool.as_str())
     }
 }
 
-/// What a pool has.
+/// The workers of a pool, present and coming.
 ///
 /// ```
 /// use corianderfork_entry::arrivals::Stock;
@@ -101,25 +100,25 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stock {
-    /// Workers there; those too that are to run empty, since they take work again
-    /// as soon as the pool is to keep more.
+    /// Workers present, including those being vacated: they take work again as soon as the
+    /// pool should keep more.
     pub there: usize,
     /// VMs on their way.
     pub coming: usize,
 }
 
 impl Stock {
-    /// What a pool of this load has with `coming` on their way.
+    /// Returns the stock of a pool with this load and `coming` VMs on their way.
     pub fn new(load: &Load, coming: usize) -> Self {
         Self { there: (load.workers + load.surplus) as usize, coming }
     }
 
-    /// How many VMs are to be ordered for the pool to have `target`.
+    /// Returns how many more VMs have to be ordered for the pool to have `target`.
     pub fn missing(&self, target: usize) -> usize {
         target.saturating_sub(self.there + self.coming)
     }
 
-    /// How many of its workers the pool is to keep; `None` for all.
+    /// Returns how many of its workers the pool should keep; `None` for all.
     pub fn keep(&self, target: usize) -> Option<usize> {
         let keep = target.saturating_sub(self.coming);
         (keep < self.there).then_some(keep)
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -1,23 +1,22 @@
-//! Whether a job that is refused is certain never to run.
+//! Tracking of whether a refused job is certain never to run.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-/// How long a write without an answer may yet be carried out: the platform names
-/// some seconds, and callers ask again within as many.
+/// How long a write without a response may still be carried out: the platform documents
+/// some seconds, and callers retry within that time.
 const UNSURE: Duration = Duration::from_secs(15);
-/// Jobs that are remembered as unsure at most, this entry VM's and those that it
-/// remembers for others: some hundreds of kilobytes. Past them a later try may be told
-/// 503.
+/// The most jobs remembered as unsure, this entry VM's and those that it remembers for
+/// others: some hundreds of kilobytes. Beyond that a later attempt may get a 503.
 const MOST_UNSURE: usize = 4_096;
 
-/// Tries to have jobs stored, by one entry VM, and what it remembers of others'. Pure.
+/// Attempts to store jobs by one entry VM, and what it remembers of others'. It does no I/O.
 ///
-/// A refusal promises that the job never runs. One try of a job may be refused
-/// unwritten while the write of another one is on its way, or was given up on: the
-/// job may be stored by that, and the refusal untrue.
+/// A refusal promises that the job never runs. One attempt may be refused unwritten while
+/// the write of another attempt of the same job is in flight or was given up: that write may
+/// store the job and make the refusal untrue.
 ///
 /// ```
 /// use corianderfork_entry::attempts::Tries;
@@ -36,20 +35,19 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Tries {
-    /// Tries of a job that wait, and writes under way that hold it.
+    /// Waiting attempts of a job plus writes in flight that include it.
     under_way: HashMap<String, usize>,
-    /// Jobs of which it was told that nobody knows whether they were stored, and
-    /// when.
+    /// Jobs with a write that was given up, and when.
     unsure: HashMap<String, Time>,
 }
 
 impl Tries {
-    /// A try of the job begins, or a write that holds it goes out.
+    /// Records that an attempt of the job starts, or that a write including it is sent.
     pub fn begins(&mut self, id: &str) {
         *self.under_way.entry(id.to_owned()).or_default() += 1;
     }
 
-    /// That try has an answer; it is known how that write ended, or it is given up.
+    /// Records that such an attempt or write is finished or given up.
     pub fn ends(&mut self, id: &str) {
         let left = self.under_way.get(id).map_or(0, |count| count - 1);
         if left == 0 {
@@ -59,7 +57,7 @@
         }
     }
 
-    /// A write of the job was given up on that may yet be carried out.
+    /// Records that a write of the job was given up that may still be carried out.
     pub fn note_unsure(&mut self, now: Time, id: &str) {
         self.unsure.retain(|_, at| now - *at < UNSURE);
         if self.unsure.len() < MOST_UNSURE {
@@ -67,7 +65,7 @@
         }
     }
 
-    /// Whether some try of the job may have it stored, now or later.
+    /// Whether any attempt may have stored the job or may still do so.
     pub fn may_be_stored(&self, now: Time, id: &str) -> bool {
         let is_unsure = self.unsure.get(id).is_some_and(|at| now - *at < UNSURE);
         is_unsure || self.under_way.contains_key(id)
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,15 +1,15 @@
-//! The two clocks of the daemon.
+//! The daemon's clocks.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use corianderfork_model::Time;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time since the VM started, counting the time that it was suspended.
+/// Returns the time since the VM started, including time spent suspended.
 ///
-/// The usual steady clock stands still in a suspension. An owner that was
-/// suspended past its lease would go on by it as if nothing had happened, and
-/// grant leases on workers that a successor took long ago.
+/// The usual monotonic clock stops during a suspension. With it, an owner that was suspended
+/// past its lease would continue as if nothing had happened, and would grant leases on
+/// workers that a successor took over long ago.
 pub fn now() -> Time {
     let now = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
@@ -17,7 +17,7 @@
     Time::from_millis(seconds * 1_000 + millis)
 }
 
-/// The time of day, in milliseconds since the Unix epoch. It may jump.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. It may jump.
 pub fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(0)
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -1,8 +1,8 @@
-//! Who does what: each pool's work and the fleet's planning have one holder.
+//! Assigns duties to members: each pool's work and the fleet's planning have one holder.
 //!
-//! Pure: the state that all see in the store goes in, who should take what comes
-//! out. Whoever decides to take a duty writes itself into its record by
-//! compare-and-swap; the revision of that write is its fence.
+//! This module does no I/O: it takes the state that all members read from the store and
+//! returns which duties a member should take. A member takes a duty by writing itself into
+//! the duty's record with compare-and-swap; the revision of that write is its fence.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -15,116 +15,116 @@
 use crate::placement::Entry;
 use crate::rendezvous::score;
 
-/// The prefix of members' records; the name follows.
+/// The key prefix of members' records; the name follows.
 pub const MEMBERS: &str = "entry/member/";
-/// The prefix of duties' records; the name follows.
+/// The key prefix of duties' records; the name follows.
 pub const DUTIES: &str = "entry/duty/";
-/// The prefix of both.
+/// The common prefix of members' and duties' records.
 pub const PREFIX: &str = "entry/";
 /// The duty of planning for the fleet.
 pub const FLEET: &str = "fleet";
 
-/// How long a holder's member record may be missing before it counts as dead.
-/// When the store comes back from an outage in which leases ran out, all members
-/// register anew within one renewal; without this pause the first one back would
-/// take everything from holders that live.
+/// How long a holder's member record may be missing before the holder counts as dead.
+/// After an outage of the store in which leases expired, all members register again
+/// within one renewal; without this pause the first one back would take over duties
+/// from holders that are alive.
 const ABSENT: Duration = Duration::from_millis(900);
-/// How much later the next in line tries, when those before it don't.
+/// The extra delay of each further candidate, in case those before it don't take the duty.
 const NEXT: Duration = Duration::from_millis(700);
 
-/// How long a holder grants leases that may have been replaced: as long as it holds on
-/// while the store answers nobody, and as long as its lease of before.
+/// How long a replaced holder may go on granting leases: as long as it continues without
+/// the store, plus its previous lease.
 const GOES_ON: Duration = HOLD_ON.saturating_add(TTL);
-/// Holders of before that a record names at most.
+/// The most former holders that a record names.
 const FORMERS: usize = 4;
 
-/// How long after a restart others are expected to be restarted too.
+/// How long after the restart of a member further restarts are expected.
 const ROLLING: Duration = Duration::from_secs(10);
-/// Duties for a whole core, in millionths, above which a young member is passed
-/// over: three for a quarter of a core.
+/// Load above which a recently restarted member is passed over, in millionths of a duty
+/// per thousandth of a core: three duties for a quarter of a core.
 const CROWDED: u64 = 13_000;
 
-/// A process that lives.
+/// A live process, as its record in the store describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// A number of this one start.
+    /// A number that is unique to this start of the process.
     pub boot: u64,
-    /// Where peers reach it.
+    /// The address for requests of peers.
     pub peers: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// What it can carry, in thousandths of a core; its network counts too.
+    /// Its capacity in thousandths of a core, limited by its network too.
     pub capacity: u64,
     /// The revision of its record.
     #[serde(skip)]
     pub revision: u64,
-    /// When this start of it was first seen here.
+    /// When this start of the process was first seen here.
     #[serde(skip)]
     pub seen: Time,
 }
 
-/// Who holds a duty; nobody if `name` is empty.
+/// The holder of a duty; nobody if `name` is empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The member's name.
     pub name: String,
-    /// Its start.
+    /// The boot number of its process.
     pub boot: u64,
-    /// Where peers reach it.
+    /// Its address for requests of peers.
     pub peers: Option<SocketAddr>,
-    /// Those before it that were not known to have ended when it took over.
+    /// Former holders that were not known to have ended when it took over.
     #[serde(default)]
     pub before: Vec<Former>,
 }
 
 impl Former {
-    /// Whether both name one process, wherever it was reached.
+    /// Whether both name the same process; the address is ignored.
     pub fn is_same(&self, other: &Self) -> bool {
         self.name == other.name && self.boot == other.boot
     }
 }
 
 impl Holder {
-    /// It and those before it.
+    /// Returns this holder and those before it, newest first.
     fn all(&self) -> impl Iterator<Item = Former> + '_ {
         let last = Former { name: self.name.clone(), boot: self.boot, peers: self.peers };
         std::iter::once(last).chain(self.before.iter().cloned())
     }
 }
 
-/// One that held a duty.
+/// A process that held a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Former {
     /// Its name.
     pub name: String,
-    /// Its start.
+    /// The boot number of its process.
     pub boot: u64,
-    /// Where peers reach it, if that is known.
+    /// Its address for requests of peers, if known.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
 }
 
-/// What one that takes a duty has to know of those before it.
+/// What a new holder of a duty has to know of the former ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Past {
-    /// Those that held it, newest first. One without a name has handed it over.
+    /// The former holders, newest first. One without a name handed the duty over.
     pub formers: Vec<Former>,
-    /// Whether no former holder is missing among them.
+    /// Whether the list names every former holder that may still grant leases.
     pub is_complete: bool,
-    /// How much longer it, or one before it, may grant leases if it doesn't answer.
+    /// How much longer any of them may grant leases if none responds.
     pub may_grant: Duration,
 }
 
-/// A duty's record.
+/// The record of a duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
     /// The holder.
     pub holder: Holder,
-    /// The revision; 0 if there is none.
+    /// The revision; 0 if there is no record.
     pub revision: u64,
 }
 
-/// Members and duties as the store tells of them.
+/// Members, duties and queues as read from the store.
 #[derive(Debug, Default)]
 pub struct Table {
     /// Members by name.
@@ -133,14 +133,14 @@
     pub duties: BTreeMap<String, Record>,
     /// Queues' records by queue.
     pub queues: BTreeMap<String, Entry>,
-    /// Since when a duty has no live holder, by duty.
+    /// When a duty lost its live holder, and the pause before it may be taken, by duty.
     vacant: HashMap<String, (Time, Duration)>,
-    /// When a duty's record was first seen here, and its revision.
+    /// The revision of each duty's record and when it was first seen here.
     seen: HashMap<String, (u64, Time)>,
 }
 
 impl Table {
-    /// Takes in a queue's record, unless a newer one is known. Whether it is news.
+    /// Updates a queue's record unless a newer one is known. Returns whether it changed.
     pub fn learn(&mut self, queue: &str, entry: Entry) -> bool {
         let known = self.queues.entry(queue.to_owned()).or_default();
         let is_removed = entry == Entry::Damaged { revision: 0 };
@@ -151,12 +151,12 @@
         is_news
     }
 
-    /// The pools that have an owner, or had one.
+    /// Returns the pools that have or had an owner.
     pub fn owned(&self) -> impl Iterator<Item = &str> {
         self.duties.keys().map(String::as_str).filter(|duty| *duty != FLEET)
     }
 
-    /// Takes in a duty's record.
+    /// Updates a duty's record.
     pub fn put_duty(&mut self, now: Time, duty: &str, record: Record) {
         if self.seen.get(duty).is_none_or(|(revision, _)| *revision != record.revision) {
             self.seen.insert(duty.to_owned(), (record.revision, now));
@@ -164,30 +164,30 @@
         self.duties.insert(duty.to_owned(), record);
     }
 
-    /// Whether a process is known to have ended: another start of it has registered.
+    /// Whether another start of a process has registered, so that this one has ended.
     pub fn has_restarted(&self, name: &str, boot: u64) -> bool {
         self.members.get(name).is_some_and(|member| member.boot != boot)
     }
 
-    /// What is known of those that hold a duty up to now.
+    /// Returns what is known of the holders of a duty up to now.
     pub fn past(&self, now: Time, duty: &str) -> Past {
         let may_grant = self.may_grant(now, duty);
         let Some(Record { holder, .. }) = self.duties.get(duty) else {
             return Past { may_grant, ..Past::default() };
         };
-        // A record that can't be read names nobody, and has no address either.
+        // A record that can't be read has neither a name nor an address.
         let is_read = !holder.name.is_empty() || holder.peers.is_some();
         let is_complete = is_read && holder.before.len() < FORMERS;
         Past { formers: holder.all().collect(), is_complete, may_grant }
     }
 
-    /// How much longer those that held a duty up to now may grant leases on its
-    /// workers, if none of them answers.
+    /// Returns how much longer the holders of a duty up to now may grant leases on its
+    /// workers if none of them responds.
     ///
-    /// One that has started anew grants nothing more. But it may have held the duty
-    /// for a moment only, and the one before it, which was cut off, goes on without
-    /// the store for as long as it may hold on: what that one grants meanwhile was
-    /// taken to be over, and tasks on workers that it alone reaches ran twice.
+    /// A holder that has restarted grants nothing more. But it may have held the duty only
+    /// briefly, and its predecessor, if cut off from the store, goes on for the whole outage
+    /// grace period. Ignoring that predecessor's grants made tasks run twice on workers
+    /// that only it could reach.
     pub fn may_grant(&self, now: Time, duty: &str) -> Duration {
         let record = self.duties.get(duty).cloned().unwrap_or_default();
         let Record { holder, revision } = record;
@@ -202,7 +202,7 @@
         seen.map_or(GOES_ON, |(_, at)| GOES_ON.saturating_sub(now - *at))
     }
 
-    /// Those whom the next holder of a duty names as before it.
+    /// Returns the former holders that the next holder of a duty names in its record.
     pub fn formers(&self, duty: &str) -> Vec<Former> {
         let Some(Record { holder, .. }) = self.duties.get(duty) else { return Vec::new() };
         let is_meant = |former: &Former| {
@@ -211,20 +211,19 @@
         holder.all().filter(is_meant).take(FORMERS).collect()
     }
 
-    /// Whether the holder of a record is known to live.
+    /// Whether the holder of a record is known to be alive.
     pub fn is_live(&self, holder: &Holder) -> bool {
         self.members.get(&holder.name).is_some_and(|member| member.boot == holder.boot)
     }
 
-    /// Which of `duties` the member `me` is to take now.
+    /// Returns those of `duties` that the member `me` should take now.
     ///
-    /// Vacant duties go to members with few duties for their processors, drawn
-    /// by a hash so that all see the same order without talking. The first in
-    /// line takes at once, the next ones later and only if it didn't.
+    /// Vacant duties go to members with few duties for their capacity, ordered by a hash
+    /// so that all members compute the same order without communication. The first
+    /// candidate takes a duty at once, later ones only if those before them didn't.
     ///
-    /// While members are restarted one after the other, the youngest comes
-    /// first: it has been restarted already, and a duty that goes to one that is
-    /// still to be restarted is handed over twice.
+    /// During a rolling restart the youngest members come first: a duty that goes to a
+    /// member that is still to be restarted is handed over twice.
     pub fn due_for(&mut self, now: Time, me: &str, duties: &[String]) -> Vec<String> {
         let mut held = self.held();
         let mut mine = Vec::new();
@@ -250,7 +249,7 @@
             self.vacant.remove(duty);
             return None;
         }
-        // Nobody holds it, or its holder has started anew: no need to wait.
+        // If nobody holds it or its holder has restarted, there is no need to wait.
         let is_certain =
             record.holder.name.is_empty() || self.members.contains_key(&record.holder.name);
         let pause = if is_certain { Duration::ZERO } else { ABSENT };
@@ -267,7 +266,7 @@
         held
     }
 
-    /// Members in the order in which they are to take `duty`.
+    /// Returns the members in the order in which they should take `duty`.
     fn line(&self, now: Time, duty: &str, held: &HashMap<String, u64>) -> Vec<String> {
         let is_young = |member: &Member| now - member.seen < ROLLING;
         let is_rolling =
@@ -279,7 +278,7 @@
             .map(|(name, member)| {
                 let duties = held.get(name).copied().unwrap_or(0) + 1;
                 let load = duties * 1_000_000 / member.capacity.max(1);
-                // Young or not, a weak member comes after the strong ones.
+                // Weak members come after the strong ones even if they are young.
                 if is_rolling && member.capacity * 2 >= most {
                     return (load / CROWDED, u64::MAX - member.revision, name);
                 }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -1,32 +1,33 @@
-//! Giving a worker up for another life of a VM.
+//! Release of a pool's worker in exchange for another worker instance.
 
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-/// How long a pool is asked to give a worker up: longer than most tasks take, so
-/// that one runs empty.
+/// How long a pool is asked to release a worker: longer than most tasks take, so that one
+/// worker becomes empty.
 const GIVING: Duration = Duration::from_millis(5_000);
-/// The pause after a worker was given up: as long as its VM takes to be sent away,
-/// come back and be asked about.
+/// The pause after a release: as long as its VM takes to be sent away, to return and to be
+/// checked by the advice service.
 const PAUSE: Duration = Duration::from_millis(4_000);
-/// Workers that are given up one after the other before the pause grows: where one
-/// life in three may not run a step, so many are all refused once in 6,500 times.
+/// Releases in a row before the pause grows. If one instance in three may not run a step,
+/// this many are all refused once in 6,500 times.
 const QUICK: u32 = 8;
 /// The longest pause.
 const LONGEST: Duration = Duration::from_millis(80_000);
-/// How often the pause doubles at most, which takes it past the longest.
+/// The most doublings of the pause, which exceed [`MAX_PAUSE`].
 const MOST_DOUBLED: u32 = 5;
 
-/// Whether a pool gives a worker up so that another one may come. Pure.
+/// Decides whether a pool releases a worker so that another one may come. It does no I/O.
 ///
-/// A service may allow a step on none of a pool's workers. It judges lives of
-/// workers: where all VMs are in pools already, only another life can help, and
-/// without one an accepted job waits for ever. One sees `pool sized` with `refused`
-/// above 0, and no move to the pool.
+/// A service may allow a step on none of a pool's workers. It judges worker instances: if all
+/// VMs are in pools already, only another instance can help, and without one an accepted job
+/// waits forever. The log shows this as `pool sized` with `refused` above 0 and no move to
+/// the pool.
 ///
-/// One worker goes at a time. After some that were all refused the pause doubles with
-/// each: a service that allows a step nowhere must not have the fleet moved about.
+/// One worker is released at a time. After several in a row that were all refused, the pause
+/// doubles with each one: a service that allows a step nowhere must not keep the whole fleet
+/// moving.
 ///
 /// ```
 /// use corianderfork_entry::exchange::Exchange;
@@ -42,17 +43,17 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Exchange {
-    /// Since when a worker is to be given up.
+    /// Since when a worker is to be released.
     giving: Option<Time>,
-    /// Until when none is.
+    /// Until when none is released.
     rests_until: Time,
-    /// Workers given up one after the other.
+    /// The number of releases in a row.
     given: u32,
 }
 
 impl Exchange {
-    /// Whether the pool is to give a worker up now. `is_stuck`: whether a step is
-    /// allowed on none of its workers, and it can't have one more.
+    /// Whether the pool should release a worker now. `is_stuck`: whether a step is allowed
+    /// on none of its workers and it can't get another one.
     pub fn gives(&mut self, now: Time, is_stuck: bool) -> bool {
         if self.giving.is_some_and(|since| now - since >= GIVING) {
             self.rest(now);
@@ -68,7 +69,8 @@
         self.giving.is_some()
     }
 
-    /// A worker of the pool was ordered away. Whether it is one that was given up.
+    /// Records that a worker of the pool was ordered away. Returns whether this was a
+    /// release.
     pub fn gave(&mut self, now: Time) -> bool {
         let is_given = self.giving.is_some();
         if is_given {
--- a/crates/entry/src/explain.rs
+++ b/crates/entry/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a job waits, as operators ask for it.
+//! Explanations for operators of why a job waits.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 use crate::node::Node;
 use crate::server::Told;
 
-/// Where a job stands and why, if this daemon owns its pool; else who owns which
-/// pool.
+/// Returns the state of a job and its reason if this daemon owns its pool; otherwise the
+/// owners of all pools.
 pub fn explain(node: &Rc<Node>, id: &str) -> Told {
     let Ok(id) = id.parse::<JobId>() else {
         return Told::new(400, caller::error("a job's id has 16 hexadecimal digits"));
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows keys of the store: a read of all, then what changes.
+//! Following of keys in the store: one read of all, then a watch of changes.
 
 use std::collections::btree_map::Entry;
 use std::rc::Rc;
@@ -18,32 +18,32 @@
 use crate::placement::{self, QUEUES};
 use crate::store::Error;
 
-/// How long a watch waits. Its end is what shows that it still works: one whose
-/// connection went silent is noticed after this and the time for an answer, well
-/// inside the two seconds in which a configuration has to be in force.
+/// How long a watch waits. Its end shows that it still works: a dead connection is noticed
+/// after this and the response timeout, well within the two seconds in which a configuration
+/// has to be in force.
 const WAIT: Duration = Duration::from_millis(900);
-/// How long changes of workers' entries are gathered. Each heartbeat of each
-/// worker is one, some 30 a second on a site of 49: read one by one they were
-/// nine in ten of all calls to the store.
+/// How long changes of workers' entries are batched. Each heartbeat of each worker is a
+/// change, some 30 a second on a site of 49: read one by one they were nine in ten of all
+/// calls to the store.
 const BEATS: Duration = Duration::from_millis(200);
-/// The same while workers are expected: each waits to be seen for half of this on
-/// the average, and so does the work that it was sent for.
+/// The same while workers are expected: on average each of them waits half of this to be
+/// seen, and so does the work that it was sent for.
 const BEATS_EXPECTING: Duration = Duration::from_millis(40);
-/// The pause after the store didn't answer.
+/// The pause after the store didn't respond.
 const PAUSE: Duration = Duration::from_millis(150);
 
-/// News of followed keys.
+/// An update of followed keys.
 pub enum News {
-    /// All keys there are.
+    /// All existing keys.
     All(Vec<Item>),
-    /// One change.
+    /// A change of one key.
     Change(Event),
-    /// All that was written before this moment has been told.
+    /// All changes written before this time have been reported.
     Upto(Time),
 }
 
-/// Follows the keys with `prefix` for as long as `is_wanted`. After changes it
-/// waits for as long as `together` says, so that what comes meanwhile is read in one call.
+/// Follows the keys with `prefix` for as long as `is_wanted`. After changes it pauses for
+/// `batch_pause`, so that further changes are read in one call.
 pub async fn follow(
     node: Rc<Node>,
     prefix: String,
@@ -100,7 +100,7 @@
     );
 }
 
-/// Follows what operators write.
+/// Follows the keys that operators write.
 pub async fn operators(node: Rc<Node>) {
     let learner = node.clone();
     let learn = move |news: News| match news {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Follows members, duties and queues' records.
+/// Follows the records of members, duties and queues.
 pub async fn entries(node: Rc<Node>) {
     let learner = node.clone();
     let learn = move |news: News| {
@@ -151,8 +151,8 @@
                 let mut table = learner.table.borrow_mut();
                 table.members.retain(|name, _| there(format!("{MEMBERS}{name}")));
                 table.duties.retain(|name, _| there(format!("{DUTIES}{name}")));
-                // Queues' records stay: this reading may have been sent before a job
-                // was accepted here, and one that is gone shows in the next write.
+                // Queues' records stay: this read may be older than a job accepted here,
+                // and a record that was removed shows in the next write.
                 drop(table);
                 for item in items {
                     put(&learner, &item.key, Some(&item.value), item.revision);
@@ -186,14 +186,14 @@
             None => drop(table.members.remove(name)),
         }
     } else if let Some(name) = key.strip_prefix(DUTIES) {
-        // A record that can't be read names no holder: who takes the duty writes
-        // over it.
+        // A record that can't be decoded names no holder: whoever takes the duty
+        // overwrites it.
         let holder = value.and_then(|value| readable(node, key, value, revision));
         let revision = if value.is_some() { revision } else { 0 };
         let record = duty::Record { holder: holder.unwrap_or_default(), revision };
         table.put_duty(clock::now(), name, record);
     } else if let Some(name) = key.strip_prefix(QUEUES) {
-        // No daemon removes one: without it, nobody knows where the jobs are.
+        // No daemon removes such a record: without it, the queue's pools are unknown.
         let removed = placement::Entry::Damaged { revision: 0 };
         let entry = value.map_or(removed, |value| placement::Entry::read(value, revision));
         if value.is_some() && entry.pools().is_empty() {
@@ -203,7 +203,7 @@
     }
 }
 
-/// Reads an entry; one that can't be read is told and counts as none.
+/// Decodes an entry; one that can't be decoded is logged and counts as missing.
 fn readable<T: DeserializeOwned>(node: &Node, key: &str, value: &[u8], revision: u64) -> Option<T> {
     match serde_json::from_slice(value) {
         Ok(entry) => Some(entry),
@@ -214,14 +214,13 @@
     }
 }
 
-/// Tells of an entry that can't be read. The log bounds how many such lines
-/// there are.
+/// Logs and counts an entry that can't be decoded. The log limits the number of such lines.
 fn unreadable(node: &Node, key: &str, revision: u64, why: &str) {
     node.metrics.event("entry unreadable");
     node.trace.line("entry unreadable", json!({ "key": key, "revision": revision, "why": why }));
 }
 
-/// Follows workers while this daemon owns the work of a pool.
+/// Follows the workers' entries while this daemon owns a pool.
 pub async fn workers(node: Rc<Node>) {
     loop {
         if node.owners.borrow().is_empty() {
@@ -259,9 +258,9 @@
     }
 }
 
-/// Takes in a worker's entry, or that there is none. One that can't be read
-/// names no worker: nothing new is sent there, and what runs there is kept by
-/// its lease as for any worker that is no longer listed.
+/// Updates or removes a worker by its entry. One that can't be decoded names no worker:
+/// nothing new is sent there, and its running tasks are kept by their lease, as for any
+/// worker that is no longer listed.
 fn put_worker(node: &Rc<Node>, key: &str, value: Option<&[u8]>, revision: u64) {
     let id = key.strip_prefix(worker::PREFIX).unwrap_or(key);
     let listed = value.and_then(|value| match worker::listed(key, value, revision) {
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Callers: jobs handed in, asked for and taken back, at any entry VM.
+//! The callers' API at any entry VM: submission, state and cancellation of jobs.
 
 mod accept;
 mod lookup_log;
@@ -27,24 +27,24 @@
 use crate::server::{Asked, Told};
 use accept::{Accepted, Waiting, patience};
 
-/// When a caller that is refused is told to come back, in seconds.
+/// The `Retry-After` of refused requests, in seconds.
 const RETRY_AFTER: u64 = 1;
-/// What a caller is told of a job that isn't there yet, and may be in a moment.
+/// The error for a job that isn't stored yet but may be in a moment.
 const UNANSWERED: &str = "a write of the job has no answer yet; ask again";
-/// How long an owner may take over a cancellation.
+/// How long an owner may take to cancel a job.
 const CANCEL: Duration = Duration::from_millis(2_600);
 
-/// Answers callers.
+/// Handles callers' requests.
 pub struct Gateway {
     node: Rc<Node>,
     waiting: RefCell<VecDeque<Waiting>>,
     writing: Cell<usize>,
-    /// Jobs handed in so far.
+    /// The number of jobs submitted so far.
     offers: Cell<u64>,
 }
 
 impl Gateway {
-    /// The gateway of a daemon.
+    /// Returns the gateway of a daemon.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
         Rc::new(Self {
             node,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Answers a request.
+    /// Handles a request.
     pub async fn answer(self: &Rc<Self>, asked: Asked) -> Told {
         let begun = clock::now();
         let config = self.node.config.borrow().clone();
@@ -84,7 +84,7 @@
     fn log(&self, asked: &Asked, begun: Time, told: Told, why: &'static str) -> Told {
         let took = clock::now() - begun;
         self.node.metrics.request(&asked.method, told.status, took);
-        // What a caller asks again and again is told in the metrics alone.
+        // Successful reads are frequent and are only counted in the metrics.
         if asked.method != "GET" || told.status >= 400 {
             self.node.trace.line(
                 "request answered",
@@ -129,14 +129,14 @@
                 (Told::new(200, b"{}".to_vec()), "stored")
             }
             Accepted::Known => (Told::new(200, b"{}".to_vec()), "known"),
-            // The store may have begun to turn calls away after it took the job.
+            // The store may have accepted the job before it started rejecting calls.
             Accepted::NotStored if self.is_owned(route, id).await => {
                 (Told::new(200, b"{}".to_vec()), "known")
             }
             Accepted::NotStored if !self.may_be_stored(id).await => {
                 (refuse("the store took no job; come back"), "not stored")
             }
-            // By another try, whose end was noted or is to be: this one adds no doubt.
+            // Another attempt of the job is uncertain, and it records that itself.
             Accepted::NotStored => unknown(),
             Accepted::Unknown => {
                 self.note_unsure(id).await;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// What a job gets while the store is away: it can't be accepted, but it may
+    /// Handles a submission while the store is down: the job can't be accepted, but it may
     /// have been before.
     async fn submit_while_away(&self, route: &Route, id: &str) -> (Told, &'static str) {
         let (is_owned, may_be_stored) =
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Whether an owner of a queue's pools knows a job.
+    /// Whether an owner of one of the queue's pools knows a job.
     async fn is_owned(&self, route: &Route, id: &str) -> bool {
         for pool in self.node.pools_of(&route.name, &route.pool) {
             let ask = Ask::State { pool: pool.clone(), id: id.to_owned() };
@@ -172,7 +172,7 @@
         false
     }
 
-    /// Refuses what the store is needed for while it is away: nothing was written.
+    /// Refuses a submission that needs the store while it is down: nothing was written.
     fn refuse_away(&self, id: &str) -> Told {
         let (silent, failures) = self.node.store.evidence();
         self.node.trace.line(
@@ -182,7 +182,7 @@
         refuse("the store is away; nothing was done; come back")
     }
 
-    /// Tells the owner at once; its watch would, a moment later.
+    /// Notifies the owner of an accepted job, sooner than its watch would.
     fn tell_owner(self: &Rc<Self>, pool: &str, id: &str, record: Record, revision: u64) {
         let (node, pool) = (self.node.clone(), pool.to_owned());
         let ask = Ask::Accepted {
@@ -192,7 +192,7 @@
             revision,
         };
         spawn_local(async move {
-            // If it doesn't arrive the owner's watch brings the job.
+            // If this fails, the owner learns of the job from its watch.
             let _ = node.ask_owner(&pool, ask, peer::ANSWER).await;
         });
     }
@@ -214,7 +214,8 @@
                     let why = "the cancellation could not be written; ask again";
                     return (refuse(why), "not written");
                 }
-                // Its write may be carried out yet: then it would run, taken back.
+                // A pending write of the job may still be carried out, and the cancelled job
+                // would run.
                 Step::Absent if self.may_be_stored(id).await => {
                     return (refuse(UNANSWERED), "unanswered");
                 }
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Jobs of a queue that wait, in all of its pools, if all owners tell.
+    /// Counts the queued jobs of a queue in all of its pools; `None` if any owner fails.
     async fn count_queued(&self, route: &Route) -> Option<usize> {
         let mut all = 0;
         for pool in self.node.pools_of(&route.name, &route.pool) {
@@ -250,8 +251,7 @@
     }
 }
 
-/// What a caller gets whose job may be stored yet: 503 would promise that it never
-/// runs.
+/// The response for a job that may still be stored: 503 would promise that it never runs.
 fn unknown() -> (Told, &'static str) {
     let why = "it is not known whether the job was stored; send it again";
     (Told::new(504, caller::error(why)), "unknown")
--- a/crates/entry/src/gateway/accept.rs
+++ b/crates/entry/src/gateway/accept.rs
@@ -1,4 +1,4 @@
-//! Jobs on their way into the store.
+//! Storing of submitted jobs.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,17 +20,18 @@
 use crate::server::Asked;
 use crate::store::Error;
 
-/// How long the store is asked to take a job before the caller is told that it
-/// did not. Within a quarter of the time that callers wait.
+/// How long storing a job is attempted before the caller is told that it wasn't stored.
+/// This is within a quarter of the time that callers wait.
 const ACCEPT: Duration = Duration::from_millis(700);
-/// The part of the time that a caller waits in which its job is to be stored.
+/// The fraction of a caller's deadline within which its job is to be stored, as a divisor.
 const PATIENCE: u32 = 4;
-/// The pause between two tries.
+/// The pause between two attempts.
 const PAUSE: Duration = Duration::from_millis(40);
-/// Writes of jobs under way at once: a second one goes out while the first
-/// waits for its answer.
+/// The most writes of jobs in flight: further ones are sent while the first waits for its
+/// response.
 const WRITES: usize = 4;
-/// What became of a job handed in.
+
+/// The outcome of a submission.
 pub(super) enum Accepted {
     /// It is stored in this pool, at this revision.
     Stored(String, u64),
@@ -38,25 +39,25 @@
     Known,
     /// It was not stored and never will be.
     NotStored,
-    /// Nobody knows.
+    /// It is not known whether it was stored.
     Unknown,
 }
 
 /// A job that waits for its write.
 pub(super) struct Waiting {
-    /// Tells tries of one job apart.
+    /// Identifies this attempt among those of the same job.
     number: u64,
     offer: Offer,
     until: Time,
-    /// Whether a write of it may have been done though nobody said so.
+    /// Whether a write of it may have been carried out unconfirmed.
     maybe: bool,
     told: oneshot::Sender<Accepted>,
-    /// Kept while a write holds it.
+    /// Held while a write includes the job.
     under_way: Option<UnderWay>,
 }
 
-/// Counts a try of a job, or a write that holds it, until it is dropped: a write goes
-/// on when its caller's time is over.
+/// Counts an attempt to store a job, or a write that includes it, until dropped. A write
+/// continues after its caller's time is over.
 struct UnderWay {
     tries: Rc<RefCell<Tries>>,
     id: String,
@@ -76,7 +77,7 @@
 }
 
 impl Gateway {
-    /// Has a job stored, within a part of the time that its caller waits.
+    /// Stores a job; gives up after `within`.
     pub(super) async fn store(self: &Rc<Self>, offer: Offer, within: Duration) -> Accepted {
         let (told, accepted) = oneshot::channel();
         let (number, until) = (self.offers.get(), clock::now() + within);
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Gives a job up whose time is over. One that still waits for its write is
-    /// certainly not stored; a write that is under way may yet be carried out.
+    /// Gives up on a job whose time is over. If it still waits for its write, it is
+    /// certainly not stored; a write in flight may still be carried out.
     fn withdraw(&self, number: u64) -> Accepted {
         let mut waiting = self.waiting.borrow_mut();
         let before = waiting.len();
@@ -100,8 +101,8 @@
         if waiting.len() < before { Accepted::NotStored } else { Accepted::Unknown }
     }
 
-    /// Starts a write of what waits, unless enough are under way: what comes
-    /// meanwhile goes together in the next.
+    /// Starts a write of waiting jobs, unless enough writes are in flight. Jobs that arrive
+    /// meanwhile go into the next one together.
     fn write_some(self: &Rc<Self>) {
         if self.writing.get() >= WRITES || self.waiting.borrow().is_empty() {
             return;
@@ -120,27 +121,27 @@
         });
     }
 
-    /// What of some jobs goes together in one write, by what is known of their
+    /// Returns the admission of the jobs that fit in one write, given what is known of their
     /// queues.
     fn admission<'a>(&self, jobs: impl Iterator<Item = &'a Waiting>) -> Admission {
         let table = self.node.table.borrow();
         Admission::new(jobs.map(|job| &job.offer), &table)
     }
 
-    /// Takes in queues' records. Whether any of them is news.
+    /// Updates queues' records. Returns whether any of them changed.
     fn learn(&self, entries: Vec<(String, Entry)>) -> bool {
         let mut table = self.node.table.borrow_mut();
         entries.into_iter().fold(false, |is_news, (queue, entry)| {
-            // Each is taken in, also behind the first that is news.
+            // `learn` comes first so that every record is updated.
             table.learn(&queue, entry) || is_news
         })
     }
 
-    /// Writes jobs until each is known to be stored or its time is over.
+    /// Retries a write of jobs until each is known to be stored or its time is over.
     async fn write(self: &Rc<Self>, mut jobs: Vec<Waiting>) {
         while !jobs.is_empty() {
             let admission = self.admission(jobs.iter());
-            // A queue that has just come to another pool takes more of a write.
+            // Jobs of a queue that was just moved to another pool need more rows.
             for mut job in jobs.drain(admission.count()..).rev() {
                 job.under_way = None;
                 self.waiting.borrow_mut().push_front(job);
@@ -156,7 +157,7 @@
                     self.learn(admission.written(revision));
                     for job in jobs {
                         let pool = admission.pool(&job.offer).to_owned();
-                        // A caller that left finds its job when it asks again.
+                        // A caller that left finds its job when it retries.
                         let _ = job.told.send(Accepted::Stored(pool, revision));
                     }
                     return;
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Tells those that are known in a pool for which their write has no room, and
-    /// keeps the others. Where that can't be read, a caller is told to come back.
+    /// Checks the earlier pools that don't fit into the write. Reports the jobs found there
+    /// and returns the others; where a pool can't be read, the job is given up.
     async fn sift(self: &Rc<Self>, admission: &Admission, jobs: Vec<Waiting>) -> Vec<Waiting> {
         let mut rest = Vec::new();
         'jobs: for job in jobs {
@@ -205,8 +206,7 @@
         rest
     }
 
-    /// Answers those whose time is over, or all if the store is away, and keeps the
-    /// others.
+    /// Gives up jobs whose time is over, or all if the store is down. Returns the others.
     fn give_up(self: &Rc<Self>, jobs: Vec<Waiting>, is_away: bool) -> Vec<Waiting> {
         let now = clock::now();
         let is_over = |job: &Waiting| is_away || now >= job.until;
@@ -214,7 +214,7 @@
         for job in over {
             let accepted = if job.maybe { Accepted::Unknown } else { Accepted::NotStored };
             let is_heard = job.told.send(accepted).is_ok();
-            // Its caller left, and asks again elsewhere.
+            // The caller left and may retry at another entry VM.
             if job.maybe && !is_heard {
                 let gateway = self.clone();
                 spawn_local(async move { gateway.note_unsure(&job.offer.id).await });
@@ -226,13 +226,13 @@
 
 fn tell_known(jobs: Vec<Waiting>) {
     for job in jobs {
-        // A caller that left finds its job when it asks again.
+        // A caller that left finds its job when it retries.
         let _ = job.told.send(Accepted::Known);
     }
 }
 
-/// How long a caller's job may wait to be stored: a part of the time that the
-/// caller waits. One that is close to its deadline is told before it.
+/// Returns how long a job may wait to be stored: a fraction of the caller's deadline, so
+/// that a caller with a short deadline gets its response before it.
 pub(super) fn patience(asked: &Asked) -> Duration {
     let deadline = asked.deadline_ms.map_or(ACCEPT, |ms| Duration::from_millis(ms) / PATIENCE);
     ACCEPT.min(deadline).max(PAUSE)
--- a/crates/entry/src/gateway/lookup_log.rs
+++ b/crates/entry/src/gateway/lookup_log.rs
@@ -1,4 +1,4 @@
-//! What was asked and read to tell where a job stands, for the log.
+//! Log of the lookups behind the reported state of a job.
 
 use corianderfork_model::Time;
 use serde::Serialize;
@@ -12,11 +12,11 @@
 #[derive(Debug, Serialize)]
 pub(super) struct Sought {
     pool: String,
-    /// What the pool's owner said.
+    /// What the pool's owner replied.
     owner: &'static str,
-    /// How long it took over that, in milliseconds.
+    /// How long the reply took, in milliseconds.
     owner_ms: u64,
-    /// What the store was asked after that, in order.
+    /// The reads of the store after that, in order.
     reads: Vec<Read>,
 }
 
@@ -24,26 +24,26 @@
 #[derive(Debug, Serialize)]
 struct Read {
     key: String,
-    /// What is there; none if the store didn't answer.
+    /// Whether the key exists; `None` if the store didn't respond.
     there: Option<bool>,
-    /// The store's revision as it was read, if it was told.
+    /// The store's revision at the read, if known.
     revision: Option<u64>,
     took_ms: u64,
 }
 
 impl Sought {
-    /// The owner of `pool`, asked at `begun`, answered so.
+    /// Records the owner's reply to a request sent at `begun`.
     pub fn new(pool: &str, begun: Time, answer: &Result<Reply, Failed>) -> Self {
         let owner_ms = ms(clock::now() - begun);
         Self { pool: pool.to_owned(), owner: said(answer), owner_ms, reads: Vec::new() }
     }
 
-    /// The owner of `pool` isn't asked.
+    /// Records that the owner of `pool` isn't asked.
     pub fn unasked(pool: &str) -> Self {
         Self { pool: pool.to_owned(), owner: "not asked", owner_ms: 0, reads: Vec::new() }
     }
 
-    /// A key was read, from `begun` on; `there` is none if there was no answer.
+    /// Records a read that started at `begun`; `there` is `None` if it failed.
     pub fn note(&mut self, key: String, begun: Time, there: Option<bool>, revision: Option<u64>) {
         self.reads.push(Read { key, there, revision, took_ms: ms(clock::now() - begun) });
     }
--- a/crates/entry/src/gateway/state.rs
+++ b/crates/entry/src/gateway/state.rs
@@ -1,5 +1,4 @@
-//! Where a job stands: asked of its pool's owner, and read from the store where
-//! that can't say.
+//! The state of a job: from its pool's owner, or from the store if the owner doesn't know.
 
 use corianderfork_adapter::caller;
 use corianderfork_adapter::config::Route;
@@ -15,7 +14,7 @@
 use crate::server::Told;
 use crate::store::Error;
 
-/// The event of a caller that is told that there is no such job.
+/// The event logged when a caller is told that a job doesn't exist.
 const UNKNOWN: &str = "job told unknown";
 
 impl Gateway {
@@ -50,7 +49,7 @@
                 }
                 _ if self.node.store.is_away() => search.unclear(),
                 _ => match self.look_up(&pool, id, &mut row).await {
-                    // The record of a job's first tasks is written behind their starts.
+                    // The record of a job's first tasks is written after they start.
                     Ok(Next::Found(State::Queued)) if has_begun => {
                         return (Told::new(200, caller::state(State::Running)), "owner");
                     }
@@ -67,12 +66,12 @@
         (Told::new(410, caller::error("no such job")), "unknown job")
     }
 
-    /// Tells what an answer rests on that names no state.
+    /// Logs the lookups behind a response that reports no state.
     fn log_sought(&self, event: &'static str, route: &Route, id: &str, sought: &[Sought]) {
         self.node.metrics.event(event);
         let fields =
             json!({ "job": id, "queue": route.name, "pool": route.pool, "sought": sought });
-        // Seldom, and not to be lost among lines on what isn't.
+        // Bypasses the rate limit: this is rare, and it must not be dropped in a burst.
         if event == UNKNOWN {
             self.node.trace.key(event, fields);
         } else {
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Where a job stands by the store: what the owner can't say, or not yet.
+    /// Reads the state of a job from the store.
     pub(super) async fn look_up(
         &self,
         pool: &str,
--- a/crates/entry/src/gateway/uncertain.rs
+++ b/crates/entry/src/gateway/uncertain.rs
@@ -1,4 +1,4 @@
-//! Jobs of which nobody knows whether they are stored, as entry VMs tell each other.
+//! Jobs that may or may not be stored, as entry VMs report them to each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 use crate::peer::{self, Ask, Reply};
 use crate::rendezvous::draw;
 
-/// Entry VMs that remember such a job for all: one of them may be away.
+/// How many entry VMs remember such a job for all: one of them may be down.
 const KEEPERS: usize = 2;
-/// How long they may take: an answer takes some milliseconds, and a caller waits.
+/// How long they may take to reply: it takes milliseconds, and a caller waits.
 const PROMPT: Duration = Duration::from_millis(100);
 
-/// The entry VMs that remember a job, seen from one of all.
+/// The entry VMs that remember a job, seen from one of all entry VMs.
 struct Keepers {
-    /// Whether this one is among them.
+    /// Whether this VM is among them.
     is_one: bool,
-    /// Where the others are.
+    /// The addresses of the others.
     others: Vec<SocketAddr>,
 }
 
 impl Gateway {
-    /// Notes that a write of a job has no answer, here and at the entry VMs that
+    /// Records that a write of a job had no response, here and at the entry VMs that
     /// remember it for all.
     ///
-    /// Its caller asks again at any entry VM. One that takes the store to be away would
-    /// tell it 503, which promises that the job never runs, while the write may be
-    /// carried out: the caller gives up a job that runs.
+    /// The caller retries at any entry VM. One that considers the store down would respond
+    /// with 503, which promises that the job never runs, while the write may still be
+    /// carried out: the caller would give up on a job that runs.
     pub(super) async fn note_unsure(&self, id: &str) {
         self.node.tries.borrow_mut().note_unsure(clock::now(), id);
         let told = self.ask_all(&self.keepers(id).others, &Ask::Unsure { id: id.to_owned() });
@@ -44,17 +44,17 @@
         }
     }
 
-    /// Whether a job that is refused here, or isn't found, may be stored by another try
-    /// of it, under way here or without an answer anywhere.
+    /// Whether a job that is refused or not found here may be stored by another attempt, in
+    /// progress here or without a response anywhere.
     ///
-    /// Where none of the entry VMs that would know answers, it may.
+    /// If none of the entry VMs that would know replies, it may be.
     pub(super) async fn may_be_stored(&self, id: &str) -> bool {
         if self.node.tries.borrow().may_be_stored(clock::now(), id) {
             return true;
         }
         let keepers = self.keepers(id);
         let asked = self.ask_all(&keepers.others, &Ask::Tried { id: id.to_owned() });
-        // Nobody else is known: what is known here is all that there is.
+        // Without other keepers, the local record is all there is.
         let mut answers = usize::from(keepers.is_one || asked.is_empty());
         let mut is_unsure = false;
         for answer in asked {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Asks peers, all at once.
+    /// Sends a request to peers concurrently.
     fn ask_all(&self, peers: &[SocketAddr], ask: &Ask) -> Vec<JoinHandle<Result<Reply, Failed>>> {
         let ask_one = |peer: &SocketAddr| {
             let (client, peer, ask) = (self.node.peers.clone(), *peer, ask.clone());
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP/1.1, on connections that are kept.
+//! An HTTP/1.1 client with persistent connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,16 +18,15 @@
 
 use crate::clock;
 
-/// The largest answer that is read: a page of the store is about 1 MB, written
-/// as text.
+/// The largest response body: a page of the store is about 1 MB, encoded as text.
 const MAX_ANSWER: usize = 8 << 20;
-/// How long a connection is kept unused. Less than the usual time-outs of the
-/// far sides, so that a call seldom meets a connection that was just closed.
+/// How long a connection is kept unused. This is less than the usual timeouts of servers, so
+/// that a call seldom meets a connection that was just closed.
 const IDLE: Duration = Duration::from_secs(20);
-/// Unused connections kept for one address: as many as are used at once where
-/// most are, at the fleet's service.
+/// Unused connections kept for one address: as many as the busiest one, the fleet service,
+/// has in use at once.
 const KEPT: usize = 24;
-/// How long opening a connection may take.
+/// The timeout for opening a connection.
 const CONNECT: Duration = Duration::from_millis(500);
 /// The longest gap between two chunks of a body that may be large.
 const STALL_TIMEOUT: Duration = Duration::from_millis(800);
@@ -35,23 +34,23 @@
 /// link of 10 Mbit/s.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failed {
-    /// Nothing of it was sent.
+    /// Nothing of the call was sent.
     #[error("no connection; nothing was sent")]
     Unsent,
-    /// It may have been carried out, or may still be.
+    /// The call may have been carried out, or may still be.
     #[error("no answer; it may have been done")]
     Lost,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Timeouts of one request and its answer.
+/// Timeouts of one request and its response.
 #[derive(Clone, Copy)]
 struct Timeouts {
-    /// From sending the request to receiving the head of the answer.
+    /// From sending the request to receiving the head of the response.
     head: Duration,
     /// Between two chunks of the body.
     stall: Duration,
@@ -73,12 +72,12 @@
     }
 }
 
-/// Makes calls.
+/// An HTTP client.
 pub struct Client {
     idle: RefCell<HashMap<SocketAddr, Vec<(Sender, Time)>>>,
     /// Unused connections kept for one address.
     kept: usize,
-    /// Answers that timed out after part of their body had arrived.
+    /// Responses that timed out after part of their body had arrived.
     answers_cut_off: Cell<usize>,
 }
 
@@ -89,23 +88,22 @@
 }
 
 impl Client {
-    /// A client that keeps `kept` unused connections for each address.
+    /// Returns a client that keeps `max_idle` unused connections for each address.
     pub fn keeping(kept: usize) -> Self {
         Self { idle: RefCell::default(), kept, answers_cut_off: Cell::new(0) }
     }
 
-    /// The number of answers that timed out after part of their body had arrived.
+    /// Returns the number of responses that timed out after part of their body had arrived.
     pub fn answers_cut_off(&self) -> usize {
         self.answers_cut_off.get()
     }
 
-    /// Sends `call` to `address` and waits for the whole answer.
+    /// Sends `call` to `address` and waits for the whole response.
     ///
     /// # Errors
     ///
-    /// Fails if there is none within `within`. A connection on which an answer
-    /// is missing is closed: what comes later on it would be taken for the
-    /// answer to the next call.
+    /// Fails if there is none within `within`. The connection of a missing response is
+    /// closed: a late one would be taken for the response to the next call.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -116,13 +114,13 @@
         self.call_with_timeouts(address, call, timeouts, |_| {}).await
     }
 
-    /// Like [`Client::call`], for an answer that may be large: `within` bounds the time
+    /// Like [`Client::call`], for a response that may be large: `within` bounds the time
     /// until its head arrives; the body is then read while it makes progress. The whole
     /// exchange may take `within` and `BODY_TIMEOUT`. `on_head` is called with the status
     /// when the head arrives.
     ///
-    /// With a single timeout for the whole answer, one that takes longer to transfer
-    /// would never be received: each retry starts from its first byte.
+    /// With a single timeout, a response that takes longer to transfer would never be
+    /// received: each retry starts from its first byte.
     ///
     /// # Errors
     ///
@@ -163,8 +161,7 @@
                 if received.get() > 0 {
                     self.answers_cut_off.set(self.answers_cut_off.get() + 1);
                 }
-                // Connections to the same place that were idle may have gone
-                // silent together with this one.
+                // Idle connections to the same address may be dead too.
                 self.forget(address);
                 Err(Failed::Lost)
             }
@@ -200,11 +197,11 @@
 async fn connect(address: SocketAddr, within: Duration) -> Result<Sender, Failed> {
     let stream = timeout(within, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| Failed::Unsent)?.map_err(|_| Failed::Unsent)?;
-    // Small requests must not wait for the answer to the one before.
+    // Small requests must not wait for the response to the previous one.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| Failed::Unsent)?;
     spawn_local(async move {
-        // Its end shows at the sender.
+        // The sender notices when the connection ends.
         let _ = connection.await;
     });
     Ok(sender)
@@ -224,8 +221,8 @@
     request.body(Full::new(Bytes::from(call.body.clone()))).ok()
 }
 
-/// Sends a request and reads the answer. `received` holds the number of body bytes
-/// read so far, so that the caller can tell a partial answer from none on a timeout.
+/// Sends a request and reads the response. `received` holds the number of body bytes
+/// read so far, so that the caller can tell a partial response from none on a timeout.
 async fn exchange(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,10 +1,10 @@
-//! The daemon of an entry VM: takes jobs from callers, owns the work of some
-//! pools, and perhaps plans for the fleet. One process, all alike, that keeps
-//! nothing; see `docs/DEPLOYMENT.md`.
+//! The daemon of an entry VM: accepts jobs from callers, owns the work of some pools, and
+//! may plan for the fleet. All entry VMs run the same process, which stores nothing
+//! locally; see `docs/DEPLOYMENT.md`.
 //!
-//! What it decides is pure and lies in `corianderfork_jobs`, in [`duty`], in
-//! [`predecessor`] and in [`placement`]; the rest brings that and the world together,
-//! as tasks of one thread.
+//! Decisions are free of I/O and are made in `corianderfork_jobs`, [`duty`], [`predecessor`]
+//! and [`placement`]; the other modules connect them with the network and the store, as
+//! tasks on a single thread.
 
 pub mod absence;
 pub mod admission;
--- a/crates/entry/src/listen.rs
+++ b/crates/entry/src/listen.rs
@@ -1,4 +1,4 @@
-//! The addresses on which a daemon listens, and what it answers there.
+//! The daemon's listening addresses and their handlers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,27 +12,26 @@
 use crate::server::{self, Asked, Gauge, Handler, Told};
 use crate::{clock, explain, relay};
 
-/// Descriptors kept for calls to the store, workers and peers, and for the log.
+/// Descriptors reserved for calls to the store, workers and peers, and for the log.
 const OWN_FDS: usize = 300;
-/// Descriptors that the platform keeps for files: sockets share the others.
+/// Descriptors that the platform reserves for files: sockets share the others.
 const FILE_FDS: usize = 200;
-/// The part of the descriptors that peers' connections may take. Each entry VM asks
-/// the owners of pools, and keeps some connections to them (`PEER_KEPT` in `run`): an eighth
-/// of 4,100 is room for 128 entry VMs. The bound is apart from those of the balancer
-/// and of who reads metrics: with one for the three, an owner that many asked was
-/// taken for not ready, and nobody could read why.
+/// The fraction of the descriptors that peers' connections may take, as a divisor. Each
+/// entry VM sends requests to the owners of pools and keeps some connections to them
+/// (`MAX_IDLE_PER_PEER` in `run`): an eighth of 4,100 is enough for 128 entry VMs. The limit
+/// is separate from those of the balancer and of metrics clients: with one limit for all
+/// three, an owner with many peer connections appeared not ready, and nobody could read why.
 const PEER_SHARE: usize = 8;
-/// Connections of the balancer, and of who reads metrics: a few of each at once.
+/// Connections of the balancer, and of metrics clients: a few of each at once.
 const LOOKERS: usize = 32;
-/// The largest body of a peer: an answer of the store on its way.
+/// The largest body of a peer's request, which is a relayed call to the store.
 const PEER_BODY: usize = 8 << 20;
 /// The path of the metrics.
 const METRICS: &str = "/metrics";
-/// The path, on the address of the metrics, under which a job is explained; its
-/// id follows.
+/// The path under which jobs are explained, on the metrics address; the id follows.
 const JOBS: &str = "/jobs/";
 
-/// What is open on each address.
+/// The gauges of all addresses.
 #[derive(Clone)]
 pub struct Gauges {
     /// For callers.
@@ -43,7 +42,7 @@
 }
 
 impl Gauges {
-    /// Shares `max_fds` descriptors among the addresses.
+    /// Divides `max_fds` descriptors among the addresses.
     pub fn new(max_fds: usize) -> Self {
         let peers = max_fds / PEER_SHARE;
         let others = FILE_FDS + OWN_FDS + peers + 2 * LOOKERS;
@@ -56,11 +55,11 @@
         }
     }
 
-    /// Listens on all addresses of a daemon, and serves them.
+    /// Listens on all addresses of a daemon and serves them.
     ///
     /// # Errors
     ///
-    /// Fails if one of them can't be had.
+    /// Fails if one of them can't be bound.
     pub async fn open(&self, node: &Rc<Node>) -> std::io::Result<()> {
         let readiness = server::listen(node.settings.readiness).await?;
         let metrics = server::listen(node.settings.metrics).await?;
@@ -90,8 +89,8 @@
     })
 }
 
-/// What other paths get. A caller that reaches these addresses by mistake must
-/// not take an answer of theirs for one to its request.
+/// The response at any other path: a caller that reaches these addresses by mistake must
+/// not take their success for the response to its own request.
 fn nothing_here() -> Told {
     Told::new(404, caller::error("nothing is served at this path; see [listen] of the settings"))
 }
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -1,46 +1,46 @@
-//! Where a job stands by its two records in the store.
+//! The state of a job by its two records in the store.
 //!
-//! A job has a record of its acceptance and, once something happened to it, one
-//! of how far it is. Its end writes the second and removes the first in one
-//! write. Whoever reads both, one after the other, must read the first one
-//! first. Pure: [`Lookup`] says what to read next and concludes.
+//! A job has an acceptance record and, from its first change on, a progress record. When the
+//! job ends, one write updates the progress record and removes the acceptance record. A
+//! reader must therefore read the acceptance record first. [`Lookup`] does no I/O: it names
+//! the key to read next and interprets the values.
 
 use corianderfork_jobs::record::{Progress, State};
 
-/// The prefix of accepted jobs; pool and id follow.
+/// The key prefix of acceptance records; pool and id follow.
 pub const JOBS: &str = "job/";
-/// The prefix of how far jobs are; pool and id follow.
+/// The key prefix of progress records; pool and id follow.
 pub const RUNS: &str = "run/";
 
-/// The key of an accepted job.
+/// Returns the key of a job's acceptance record.
 pub fn job_key(pool: &str, id: &str) -> String {
     format!("{JOBS}{pool}/{id}")
 }
 
-/// The key of how far a job is.
+/// Returns the key of a job's progress record.
 pub fn run_key(pool: &str, id: &str) -> String {
     format!("{RUNS}{pool}/{id}")
 }
 
-/// What a [`Lookup`] asks for or found.
+/// The next step or the result of a [`Lookup`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Read this key and tell what is there.
+    /// Read this key and pass its value to [`Lookup::learn`].
     Read(String),
-    /// The job stands so.
+    /// The job exists and is in this state.
     Found(State),
     /// There is no such job.
     Absent,
-    /// There is one, and its record can't be read: where it stands isn't known.
+    /// The job exists, but its progress record can't be decoded.
     Unreadable,
 }
 
-/// Looks a job up.
+/// Looks up the state of a job.
 ///
-/// An end that is written between the two reads moves the job from the first key
-/// to the second. Read the other way round, both are found empty, and the caller
-/// of a job that has just completed is told that there is no such job. In this
-/// order a job that has left the first key is found under the second.
+/// An end that is written between the two reads moves the job from the first key to the
+/// second. In the opposite order both would be found empty, and the caller of a job that has
+/// just completed would be told that there is no such job. In this order a job that has left
+/// the first key is found under the second.
 ///
 /// ```
 /// use corianderfork_entry::lookup::{Lookup, Next};
@@ -62,12 +62,12 @@
 }
 
 impl Lookup {
-    /// Looks for the job `id` of a pool.
+    /// Starts a lookup of the job `id` of a pool.
     pub fn new(pool: &str, id: &str) -> Self {
         Self { pool: pool.to_owned(), id: id.to_owned(), is_accepted: None, found: None }
     }
 
-    /// What to read next, or what was found.
+    /// Returns the key to read next, or the result.
     pub fn next(&self) -> Next {
         match (&self.found, self.is_accepted) {
             (Some(found), _) => found.clone(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes in the value under the key that [`Lookup::next`] named.
+    /// Records the value of the key that [`Lookup::next`] named.
     pub fn learn(&mut self, value: Option<&[u8]>) {
         let Some(is_accepted) = self.is_accepted else {
             self.is_accepted = Some(value.is_some());
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry VM; see the library of the same name.
+//! The executable of the entry daemon; see the library of the same name.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/entry/src/member.rs
+++ b/crates/entry/src/member.rs
@@ -1,4 +1,4 @@
-//! This daemon among the others: its record under a lease, and what it takes on.
+//! This daemon's membership: its record and lease, and the duties that it takes on.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 
 /// How often the lease is renewed: four times in its length.
 const RENEW: Duration = Duration::from_millis(600);
-/// The pause after a renewal that failed.
+/// The pause after a failed renewal.
 const AGAIN: Duration = Duration::from_millis(150);
-/// How often duties are looked through though nothing changed.
+/// How often duties are checked even if nothing has changed.
 const TICK: Duration = Duration::from_millis(150);
 
-/// Keeps this daemon's record and lease.
+/// Keeps this daemon's record and lease alive until it stops.
 pub async fn keep(node: Rc<Node>) {
     let mut lease = None;
     while !node.stopping.get() {
@@ -54,7 +54,7 @@
         node.doubted.set(clock::now());
         return Ok(None);
     }
-    // The lease may live while its key was taken away.
+    // The record may be missing although the lease is alive.
     let name = node.settings.name.as_str();
     let is_there = node.table.borrow().members.get(name).is_some_and(|m| m.boot == node.boot);
     if !is_there && !put_record(node, lease).await? {
@@ -84,14 +84,14 @@
     Ok(matches!(node.store.txn(&txn).await?, Outcome::Written(_)))
 }
 
-/// Takes duties that nobody holds, and leaves those that another holds.
+/// Takes vacant duties and leaves those that another member holds.
 pub async fn attend(node: Rc<Node>) {
     node.attended.set(clock::now());
     while !node.stopping.get() {
         let now = clock::now();
         if node.is_frozen_since(now) {
-            // Frozen or suspended: others may have taken over meanwhile. No
-            // order goes out until the lease was renewed once more.
+            // While the process was frozen or suspended others may have taken over. No order
+            // is sent until the lease has been renewed again.
             node.trace
                 .key("was away", json!({ "for_ms": crate::owner::ms(now - node.attended.get()) }));
             node.renewed.set(Time::ZERO);
@@ -108,10 +108,10 @@
     let Some(config) = config.as_ref() else { return Vec::new() };
     let mut duties: Vec<String> =
         config.pools.iter().filter(|pool| !pool.spare).map(|pool| pool.name.clone()).collect();
-    // A pool that the configuration dropped may have jobs left.
+    // A pool that was removed from the configuration may have jobs left.
     let table = node.table.borrow();
     let left = table.owned();
-    // So may one that was dropped before anyone owned it.
+    // The same holds for a pool that was removed before it had an owner.
     let named = table.queues.values().flat_map(Entry::pools).map(String::as_str);
     for name in left.chain(named) {
         if !duties.iter().any(|duty| duty == name) {
@@ -159,8 +159,8 @@
     }
 }
 
-/// Goes on with duties that the store says are this daemon's: a write that took
-/// effect though its answer was lost.
+/// Resumes duties whose record names this daemon: the write took effect although its
+/// response was lost.
 fn resume(node: &Rc<Node>, duties: &[String]) {
     for duty in duties {
         let record = node.table.borrow().duties.get(duty).cloned();
@@ -204,7 +204,7 @@
         node.table.borrow_mut().put_duty(clock::now(), &duty, taken);
         begin(&node, &duty, fence, past);
     } else {
-        // The watch tells who holds it now.
+        // The watch reports the current holder.
         tokio::time::sleep(TICK * 2).await;
     }
     node.taking.borrow_mut().remove(&duty);
@@ -225,7 +225,7 @@
 pub async fn hand_over(node: &Rc<Node>) {
     let owners: Vec<(String, Rc<Owner>)> =
         node.owners.borrow().iter().map(|(name, owner)| (name.clone(), owner.clone())).collect();
-    // The planner leaves its duty by itself once it sees that this process stops.
+    // The planner leaves its duty by itself when it sees that the process is stopping.
     node.changed.notify_waiters();
     let mut left = Vec::new();
     for (name, owner) in owners {
@@ -237,15 +237,15 @@
         }));
     }
     for left in left {
-        // One that fails is taken over when this process is gone.
+        // A duty whose handover fails is taken over when this process is gone.
         let _ = left.await;
     }
 }
 
-/// Writes that nobody holds a duty any more.
+/// Writes that a duty has no holder any more.
 pub async fn vacate(node: Rc<Node>, (duty, fence): (String, u64)) {
     let key = format!("{DUTIES}{duty}");
-    // The address stays, for the successor to ask what was granted.
+    // The address stays, so that the successor can ask for the grants.
     let before = node.table.borrow().formers(&duty);
     let before = before.into_iter().filter(|former| former.boot != node.boot).collect();
     let holder = Holder { name: String::new(), before, ..node.holder() };
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,11 +1,11 @@
-//! What the daemon counts.
+//! The daemon's metrics.
 
 use std::time::Duration;
 
 use corianderfork_runtime::metrics;
 use prometheus::{HistogramVec, IntCounterVec, IntGaugeVec};
 
-/// Counters and histograms. Clones share the same numbers.
+/// Counters, gauges and histograms. Clones share the same values.
 #[derive(Clone)]
 pub struct Metrics {
     all: metrics::Metrics,
@@ -31,33 +31,33 @@
 }
 
 impl Metrics {
-    /// Counts a call to the store.
+    /// Records a call to the store.
     pub fn store(&self, kind: &str, outcome: &str, took: Duration) {
         self.store.with_label_values(&[kind, outcome]).observe(took.as_secs_f64());
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub fn request(&self, kind: &str, status: u16, took: Duration) {
         let status = status.to_string();
         self.requests.with_label_values(&[kind, &status]).observe(took.as_secs_f64());
     }
 
-    /// Counts a call to a worker.
+    /// Records a call to a worker.
     pub fn worker(&self, kind: &str, outcome: &str, took: Duration) {
         self.worker_calls.with_label_values(&[kind, outcome]).observe(took.as_secs_f64());
     }
 
-    /// Counts something that happened.
+    /// Counts an event.
     pub fn event(&self, event: &str) {
         self.events.with_label_values(&[event]).inc();
     }
 
-    /// Tells how much of something there is.
+    /// Sets a gauge.
     pub fn set(&self, what: &str, number: usize) {
         self.gauges.with_label_values(&[what]).set(i64::try_from(number).unwrap_or(i64::MAX));
     }
 
-    /// All as text.
+    /// Returns all metrics in the text format.
     pub fn text(&self) -> String {
         self.all.text()
     }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one daemon share.
+//! The state that the tasks of one daemon share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -25,35 +25,35 @@
 use crate::store::Store;
 use crate::trace::Trace;
 
-/// How long a member's lease is. After it a holder that died is replaced;
-/// renewals and their answers must fit into it several times.
+/// The length of a member's lease. A holder that died is replaced when it expires;
+/// several renewals with their round trips must fit into it.
 pub const TTL: Duration = Duration::from_millis(2_500);
-/// How long a holder goes on that was not renewed because the store answers
-/// nobody: while it is away, nobody else can take over either.
+/// How long a holder continues without a renewal while the store responds to nobody: during
+/// such an outage nobody else can take over either.
 pub const HOLD_ON: Duration = Duration::from_millis(8_000);
 
-/// A pause between two looks after duties that only a freeze of the process explains.
+/// A pause between two duty checks that only a freeze of the process explains.
 pub const FROZEN: Duration = Duration::from_millis(900);
 
-/// Grants of an owner that gives no more orders.
+/// The grants of an owner that has retired.
 pub struct Granted {
     /// The owner's fence.
     pub fence: u64,
-    /// When it ceased.
+    /// When it retired.
     pub at: Time,
-    /// How many milliseconds they held from then, by worker's life.
+    /// How many milliseconds the grants held from then, by worker instance.
     pub left_ms: BTreeMap<String, u64>,
 }
 
-/// The state of one daemon.
+/// The shared state of one daemon.
 pub struct Node {
-    /// What it was told at its start.
+    /// The settings read at startup.
     pub settings: Settings,
-    /// A number of this one start.
+    /// A number that is unique to this start of the process.
     pub boot: u64,
-    /// Calls over HTTP to the platform's services and to workers.
+    /// HTTP client for the platform's services and for workers.
     pub client: Rc<Client>,
-    /// Calls over HTTP to peers.
+    /// HTTP client for peers.
     pub peers: Rc<Client>,
     /// The platform's store.
     pub store: Store,
@@ -63,53 +63,53 @@
     pub metrics: Metrics,
     /// The configuration in force.
     pub config: RefCell<Option<Rc<Config>>>,
-    /// Waves, with the time at which they were first seen.
+    /// Waves by number, each with the time at which it was first seen.
     pub waves: RefCell<BTreeMap<u64, (Wave, Time)>>,
-    /// Members and duties.
+    /// Members, duties and queues.
     pub table: RefCell<Table>,
     /// The pools whose work this daemon owns.
     pub owners: RefCell<HashMap<String, Rc<Owner>>>,
-    /// Duties that another one said it has taken, with its fence.
+    /// Duties that another process reported to have taken, with its fence.
     pub given_up: RefCell<HashMap<String, u64>>,
-    /// What this daemon's last owner of a pool had granted when it gave no more orders.
+    /// The grants of this daemon's last retired owner of each pool.
     pub granted: RefCell<HashMap<String, Granted>>,
-    /// Duties that are being taken.
+    /// Duties whose takeover is in progress.
     pub taking: RefCell<HashSet<String>>,
-    /// The fence of the fleet's planner, while this daemon is it.
+    /// The fence of the fleet's planner, while this daemon holds that duty.
     pub planner: Cell<Option<u64>>,
-    /// Workers by the id of their life.
+    /// Listed workers by instance id.
     pub servers: RefCell<BTreeMap<String, Listed>>,
     /// Whether the workers have been read once.
     pub servers_known: Cell<bool>,
-    /// Until when workers are expected to register for a pool of this daemon's.
+    /// Until when workers are expected to register for a pool that this daemon owns.
     pub expects_until: Cell<Time>,
-    /// When the last renewal of the member's lease that succeeded was sent.
+    /// When the last successful renewal of the member's lease was sent.
     pub renewed: Cell<Time>,
-    /// When this process last looked after its duties: it does so all the time,
-    /// unless it is frozen.
+    /// When duties were last checked. This happens continually unless the process is
+    /// frozen.
     pub attended: Cell<Time>,
-    /// When something last happened after which another may hold this daemon's
-    /// duties: it was frozen, or its lease was lost.
+    /// When something last happened that may have cost this daemon its duties: a freeze or
+    /// the loss of its lease.
     pub doubted: Cell<Time>,
-    /// All that was written of duties before this is known.
+    /// All changes of duties before this time are known.
     pub duties_known: Cell<Time>,
-    /// Whether the daemon is to end.
+    /// Whether the daemon is shutting down.
     pub stopping: Cell<bool>,
-    /// Told when members, duties or the configuration change.
+    /// Notified when members, duties or the configuration change.
     pub changed: Notify,
-    /// Jobs that have not begun, as last heard.
+    /// The last known number of queued jobs of each queue.
     pub heard: RefCell<Heard>,
-    /// Tries to have jobs stored.
+    /// Attempts to store jobs.
     pub tries: Rc<RefCell<Tries>>,
 }
 
 impl Node {
-    /// Whether orders may go out: this daemon's lease holds, or the store
-    /// answers nobody and it has not been away itself.
+    /// Whether orders may be sent: this daemon's lease is valid, or the store responds to
+    /// nobody and this process wasn't frozen.
     ///
-    /// Asked right after a freeze, the silence of the store looks like that of an
-    /// outage. What another holder did meanwhile would be contradicted: a job that it
-    /// completed is told as waiting.
+    /// Right after a freeze, the silence of the store looks like an outage. Orders sent then
+    /// would contradict what another holder did meanwhile: a job that it completed would be
+    /// reported as queued.
     pub fn may_order(&self) -> bool {
         let now = clock::now();
         if self.is_frozen_since(now) {
@@ -123,43 +123,43 @@
         is_store_silent && since < HOLD_ON
     }
 
-    /// Whether more time has passed since this process last looked after its duties
-    /// than only a freeze explains.
+    /// Whether so much time has passed since the last duty check that the process must have
+    /// been frozen.
     pub fn is_frozen_since(&self, now: Time) -> bool {
         now - self.attended.get() > FROZEN
     }
 
-    /// Whether a duty taken with `fence` is still this daemon's, as far as it knows,
-    /// and nothing has happened since by which it may have lost it unheard.
+    /// Whether a duty taken with `fence` is still this daemon's as far as it knows, and
+    /// nothing has happened since by which it may have lost the duty unnoticed.
     ///
-    /// A lease that is taken anew says nothing of duties: while it was lost another
-    /// may have taken them, and the news of that may come behind it.
+    /// A new lease proves nothing about duties: while the old one was lost another member
+    /// may have taken them, and the news of that may arrive after the lease.
     pub fn is_sure_of(&self, duty: &str, fence: u64) -> bool {
         let is_named = self.table.borrow().duties.get(duty).is_some_and(|r| r.revision == fence);
         is_named && self.may_order() && self.duties_known.get() >= self.doubted.get()
     }
 
-    /// The name under which this daemon holds duties.
+    /// Returns the record by which this daemon holds duties.
     pub fn holder(&self) -> Holder {
         let name = self.settings.name.as_str().to_owned();
         Holder { name, boot: self.boot, peers: Some(self.settings.peers), before: Vec::new() }
     }
 
-    /// This start of this daemon, for peers.
+    /// Identifies this process to peers.
     pub fn process(&self) -> Former {
         let name = self.settings.name.as_str().to_owned();
         Former { name, boot: self.boot, peers: Some(self.settings.peers) }
     }
 
-    /// Whether a record names this start of this daemon.
+    /// Whether a record names this process.
     pub fn is_me(&self, holder: &Holder) -> bool {
         holder.boot == self.boot && holder.name == self.settings.name.as_str()
     }
 
-    /// Gives a duty up to one that says it has taken it, and tells what was granted.
+    /// Gives a duty up to a peer that says it has taken it, and returns the grants.
     ///
-    /// It is remembered, since the store's record may name this daemon a while yet: it
-    /// would begin anew with the fence of before, and grant beyond what it told here.
+    /// The new fence is remembered, since the store's record may still name this daemon for
+    /// a while: it would resume with its old fence and grant beyond what it returned here.
     pub fn give_way(&self, duty: &str, fence: u64) -> Option<BTreeMap<String, u64>> {
         let mut given_up = self.given_up.borrow_mut();
         let known = given_up.entry(duty.to_owned()).or_default();
@@ -177,21 +177,21 @@
         Some(granted.left_ms.iter().map(left).collect())
     }
 
-    /// Whether a duty's record of this revision is over: a later holder said so.
+    /// Whether a later holder has said that the duty's record of this revision is obsolete.
     pub fn has_given_up(&self, duty: &str, revision: u64) -> bool {
         self.given_up.borrow().get(duty).is_some_and(|fence| *fence > revision)
     }
 
-    /// The owner of a pool, if it is this daemon.
+    /// Returns the owner of a pool if it is this daemon and has loaded the pool.
     pub fn own(&self, pool: &str) -> Option<Rc<Owner>> {
         self.owners.borrow().get(pool).filter(|owner| owner.is_loaded()).cloned()
     }
 
-    /// Asks the owner of a pool, in this process or in another.
+    /// Sends a request to the owner of a pool, in this process or in another.
     ///
     /// # Errors
     ///
-    /// Fails if there is none that answers.
+    /// Fails if no owner is known or it doesn't respond.
     pub async fn ask_owner(
         self: &Rc<Self>,
         pool: &str,
@@ -230,7 +230,7 @@
         self.changed.notify_waiters();
     }
 
-    /// How queues are treated. Where no service gives advice, none is waited for.
+    /// Returns the queues' parameters. Without an advice service, no advice is waited for.
     pub fn queues(&self, config: &Config) -> HashMap<String, Queue> {
         let mut queues = config.queues();
         if self.settings.advice.is_none() {
@@ -239,13 +239,13 @@
         queues
     }
 
-    /// Begins to look for a job of a queue, which is sent to `pool` now.
+    /// Starts a search for a job of a queue that is now routed to `pool`.
     pub fn search(&self, queue: &str, pool: &str) -> Search {
         let table = self.table.borrow();
         Search::new(table.queues.get(queue).cloned().unwrap_or_default(), pool)
     }
 
-    /// Goes on with a search by the queue's record as the store has it.
+    /// Continues a search with the queue's record as read from the store.
     pub async fn read_record(&self, queue: &str, search: &mut Search) {
         let key = queue_key(queue);
         let read = if self.store.is_away() { None } else { self.store.get(&key).await.ok() };
@@ -257,7 +257,7 @@
         search.learn(entry);
     }
 
-    /// Where a queue's jobs may be, as far as is known here.
+    /// Returns the pools that may hold a queue's jobs, as far as known here.
     pub fn pools_of(&self, queue: &str, pool: &str) -> Vec<String> {
         let table = self.table.borrow();
         let mut pools = table.queues.get(queue).map_or_else(Vec::new, |e| e.pools().to_vec());
@@ -267,7 +267,7 @@
         pools
     }
 
-    /// The workers of a pool.
+    /// Returns the listed workers of a pool.
     pub fn workers_of(&self, pool: &str) -> Vec<corianderfork_jobs::worker::Entry> {
         let servers = self.servers.borrow();
         servers.values().filter(|s| s.pool == pool).map(|s| s.entry.clone()).collect()
--- a/crates/entry/src/outage.rs
+++ b/crates/entry/src/outage.rs
@@ -1,30 +1,29 @@
-//! Whether the store is away.
+//! Detection of outages of the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-/// How long a call may go without an answer before the store is taken to be away.
-/// It answers in milliseconds, in some 400 when it is at its slowest, and a store
-/// that is only slow must not be taken for one that is gone.
+/// How long a call may be pending before the store is considered down. The store responds
+/// in milliseconds, in some 400 when it is at its slowest, and a store that is only slow must
+/// not be taken for one that is down.
 const SILENT: Duration = Duration::from_millis(550);
-/// Calls that have to fail in a row, with no answer in between.
+/// How many calls have to fail in a row, with no response in between.
 const FAILURES: u32 = 2;
-/// How long there has to be no answer where calls fail at once: one process that
-/// is restarted resets all connections of a moment.
+/// How long there has to be no response if calls fail at once: a restart of one process
+/// resets all connections at one moment.
 const FAILING: Duration = Duration::from_millis(250);
 
-/// A call under way.
+/// A call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Call(u64);
 
-/// What is known of the store from calls to it, by whatever way. Pure.
+/// The availability of the store, as observed by calls through any route. It does no I/O.
 ///
-/// While it is away no job can be accepted. A caller whose job is written to it
-/// all the same is told after some hundreds of milliseconds that nobody knows
-/// whether it was stored, and asks again; one that is refused at once, unwritten,
-/// knows that its job was not run and when to come back.
+/// During an outage no job can be accepted. A caller whose job is written anyway is told
+/// after some hundreds of milliseconds that the outcome is unknown, and retries; one that is
+/// refused at once, unwritten, knows that its job was not run and when to come back.
 ///
 /// ```
 /// use corianderfork_entry::outage::Outage;
@@ -41,48 +40,49 @@
 #[derive(Clone, Debug, Default)]
 pub struct Outage {
     calls: u64,
-    /// Calls under way that have not been answered, and when they were sent.
+    /// Calls in flight, and when they were sent.
     pending: BTreeMap<Call, Time>,
-    /// Calls that failed since the last answer.
+    /// Calls that failed since the last response.
     failures: u32,
     answered: Time,
 }
 
 impl Outage {
-    /// A call is sent that is to be answered at once.
+    /// Records that a call was sent that should get a response at once.
     pub fn sent(&mut self, now: Time) -> Call {
         self.calls += 1;
         self.pending.insert(Call(self.calls), now);
         Call(self.calls)
     }
 
-    /// A call was answered.
+    /// Records that a call got a response.
     pub fn answered(&mut self, now: Time, call: Call) {
         self.pending.remove(&call);
         self.heard(now);
     }
 
-    /// The store was heard of by another way than a call that was [sent](Self::sent).
+    /// Records a response of the store to anything but a call that was
+    /// [sent](Self::sent).
     pub fn heard(&mut self, now: Time) {
         self.answered = now;
         self.failures = 0;
     }
 
-    /// A call ended without an answer, or was turned away.
+    /// Records that a call ended without a response or was rejected.
     pub fn failed(&mut self, call: Call) {
         self.pending.remove(&call);
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Whether the store is taken to be away.
+    /// Whether the store is considered down.
     pub fn is_away(&self, now: Time) -> bool {
-        // Calls that were sent before the last answer may have been lost alone.
+        // Calls sent before the last response may have been lost individually.
         let waits = |sent: &Time| *sent >= self.answered && now - *sent >= SILENT;
         let is_failing = self.failures >= FAILURES && now - self.answered >= FAILING;
         is_failing || self.pending.values().any(waits)
     }
 
-    /// How long ago it last answered, and how many calls have failed since.
+    /// Returns the time since the last response and the number of calls failed since.
     pub fn evidence(&self, now: Time) -> (Duration, u32) {
         (now - self.answered, self.failures)
     }
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of one pool's work: brings the pure [`Pool`] and the world together.
+//! The owner of one pool's work: connects the pure [`Pool`] with the network and the store.
 
 mod advise;
 mod load;
@@ -27,65 +27,64 @@
 use crate::peer::{Ask, Reply};
 use crate::predecessor::Tracker;
 
-/// The prefix of where a pool's workers are.
+/// The key prefix of the roster of a pool's workers.
 const ROSTERS: &str = "roster/";
-/// The prefix of the number of an owner's last write.
+/// The key prefix of the number of an owner's last write.
 const WRITES: &str = "write/";
 
-/// How long a lease on a worker is: longer than a takeover takes, so that what
-/// runs survives the death of an owner, and no longer, since the tasks of a
-/// worker that falls silent wait for it.
+/// The length of a lease on a worker: longer than a takeover, so that running tasks
+/// survive the death of an owner, and no longer, since the tasks of a worker that stops
+/// responding are only replaced when its lease has expired.
 const LEASE: Duration = Duration::from_millis(4_500);
-/// How long a cancelling caller waits for the write.
+/// How long a cancellation waits for its write.
 const CANCEL: Duration = Duration::from_millis(2_200);
-/// How long a worker stays vacated after the planner last asked.
+/// How long a worker stays vacated after the planner's last request.
 const VACATE: Duration = Duration::from_millis(2_500);
 
-/// How long workers are expected after the planner last said so.
+/// How long workers are expected after the planner last announced them.
 const EXPECTED: Duration = Duration::from_millis(500);
 
 /// Owns the work of a pool.
 pub struct Owner {
     node: Rc<Node>,
     name: String,
-    /// What is known and decided.
+    /// The state of the pool and its decisions.
     pub pool: RefCell<Pool>,
-    /// Those that owned the pool before.
+    /// The former owners of the pool.
     predecessors: RefCell<Tracker>,
-    /// Told when there is something to plan for.
+    /// Notified when there is something to plan for.
     pub wake: Notify,
-    /// Whether the list of workers changed.
+    /// Whether the list of workers has changed.
     pub list_changed: Cell<bool>,
     journal: Notify,
-    /// Whether nothing is ordered or asked any more, only written.
+    /// Whether orders and polls have stopped and only writes continue.
     halted: Cell<bool>,
-    /// Whether all is to be written, however fresh.
+    /// Whether everything is written at once, without waiting for more.
     flushing: Cell<bool>,
     loaded: Cell<bool>,
     retired: Cell<bool>,
     looking: RefCell<HashSet<worker::Key>>,
-    /// Entry VMs by way of which a question is under way.
-    advising: RefCell<HashSet<advise::Adviser>>,
-    /// Entry VMs by way of which no answer came, and until when they are left
-    /// alone.
-    silent: RefCell<HashMap<advise::Adviser, Time>>,
+    /// Advisers with a request in flight.
+    busy_advisers: RefCell<HashSet<advise::Adviser>>,
+    /// Advisers whose last request failed, and until when they are avoided.
+    failed_advisers: RefCell<HashMap<advise::Adviser, Time>>,
     waiting: RefCell<Vec<(JobId, oneshot::Sender<()>)>>,
-    /// The revision of the last write's number.
+    /// The store's revision of the record of the last write's number.
     write_revision: Cell<u64>,
     writes: Cell<u64>,
-    /// Jobs taken in.
+    /// The number of jobs accepted.
     taken: Cell<usize>,
 }
 
 impl Owner {
-    /// Begins to own the work of the pool `name`, with `fence`.
+    /// Starts to own the work of the pool `name`, with `fence`.
     pub fn start(node: &Rc<Node>, name: &str, fence: u64, past: Past) -> Rc<Self> {
         let lease = LEASE.min(node.settings.max_lease);
         let remember = node.settings.remember + Duration::from_secs(5);
         let now = clock::now();
         let Past { formers, is_complete, may_grant } = past;
         let mut predecessors = Tracker::new(now, formers, is_complete, lease);
-        // This process has no other owner of the pool.
+        // No other owner of the pool is left in this process.
         predecessors.end(now, &node.process());
         node.granted.borrow_mut().remove(name);
         let config = Config::new(fence, now + may_grant + worker::longest(lease))
@@ -105,8 +104,8 @@
             loaded: Cell::new(false),
             retired: Cell::new(false),
             looking: RefCell::default(),
-            advising: RefCell::default(),
-            silent: RefCell::default(),
+            busy_advisers: RefCell::default(),
+            failed_advisers: RefCell::default(),
             waiting: RefCell::default(),
             write_revision: Cell::new(0),
             writes: Cell::new(0),
@@ -116,22 +115,22 @@
         owner
     }
 
-    /// Whether it has read what was accepted before.
+    /// Whether it has loaded the jobs accepted before it and isn't retired.
     pub fn is_loaded(&self) -> bool {
         self.loaded.get() && !self.retired.get()
     }
 
-    /// The fence.
+    /// Returns the fence.
     pub fn fence(&self) -> u64 {
         self.pool.borrow().fence()
     }
 
-    /// Whether it gives no more orders.
+    /// Whether it has stopped giving orders.
     pub fn is_retired(&self) -> bool {
         self.retired.get()
     }
 
-    /// Gives no more orders.
+    /// Stops giving orders.
     pub fn retire(&self, why: &str) {
         if !self.retired.replace(true) {
             self.node
@@ -165,7 +164,7 @@
         self.plan_loop().await;
     }
 
-    /// Answers a peer, or this process itself.
+    /// Handles a request of a peer or of this process itself.
     pub async fn answer(&self, ask: Ask) -> Reply {
         match ask {
             Ask::Accepted { id, record, revision, .. } => {
@@ -176,9 +175,9 @@
             }
             Ask::State { id, .. } => self.state(&id),
             Ask::Cancel { id, .. } => self.cancel(&id).await,
-            // An owner that may have been replaced doesn't hear of new jobs: its
-            // count would say that none wait while its successor has hundreds. Nor
-            // does it hear of tasks that its successor started on workers it names empty.
+            // An owner that may have been replaced doesn't hear of new jobs: it would
+            // count none as queued while its successor has hundreds. Nor does it hear of
+            // tasks that its successor started on workers that it would report as empty.
             Ask::Queued { .. } | Ask::Vacate { .. } | Ask::Shrink { .. } if !self.is_sure() => {
                 Reply::NotOwner
             }
@@ -219,21 +218,21 @@
         }
     }
 
-    /// Whether the pool is still this owner's, as far as it can know.
+    /// Whether the pool is certain to be still this owner's, as far as it can know.
     fn is_sure(&self) -> bool {
         self.node.is_sure_of(&self.name, self.fence())
     }
 
-    /// Where a job stands. One whose end is decided and not known to be written is
-    /// told as such: another entry VM may have read that end in the store and told it,
-    /// and a caller would see a job that was completed run again.
+    /// Returns the state of a job. A job whose end is decided but not known to be written
+    /// is reported as ending: another entry VM may have read that end in the store and
+    /// reported it, and the caller would see a completed job run again.
     fn state(&self, id: &str) -> Reply {
         let Ok(id) = id.parse() else { return Reply::Unknown };
         let pool = self.pool.borrow();
         match pool.state(id) {
             Some(_) if pool.is_ending(id) => Reply::Ending,
-            // An end that is written stays; of anything else one that may have been
-            // replaced knows only what was. That the job was accepted stays true.
+            // A written end is final. Any other state may be out of date if this owner
+            // has been replaced; only that the job was accepted stays true.
             Some(state) if !state.is_final() && !self.is_sure() => Reply::Known,
             Some(state) => Reply::State { state },
             None => Reply::Unknown,
@@ -243,7 +242,7 @@
     async fn cancel(&self, text: &str) -> Reply {
         let Ok(id) = text.parse::<JobId>() else { return Reply::Unknown };
         if self.pool.borrow().state(id).is_none() {
-            // It may have been accepted a moment ago.
+            // It may have just been accepted.
             match self.node.store.get(&job_key(&self.name, text)).await {
                 Ok(Some(item)) => self.accept_item(&item.key, &item.value, None, item.revision),
                 Ok(None) => {
@@ -262,7 +261,7 @@
         self.waiting.borrow_mut().push((id, told));
         self.wake.notify_one();
         self.journal.notify_one();
-        // What runs is stopped all the same; the caller comes back for the word.
+        // Running tasks are stopped anyway; the caller retries for the confirmation.
         if self.node.store.is_away() {
             return Reply::Later;
         }
@@ -272,11 +271,11 @@
         }
     }
 
-    /// What is told of a job that isn't known here and whose acceptance isn't in
-    /// the store; nothing if it has become known.
+    /// Returns the reply for a job that is unknown here and has no acceptance record in
+    /// the store; `None` if it has become known meanwhile.
     ///
-    /// It may have become known and ended between the two looks, or another owner
-    /// took over and ended it: then the store has how far it is.
+    /// It may have become known and ended between the two lookups, or ended under another
+    /// owner: then the store has a record of its progress.
     async fn absence(&self, id: JobId, text: &str) -> Option<Reply> {
         if self.pool.borrow().state(id).is_some() {
             return None;
@@ -289,8 +288,8 @@
         }
     }
 
-    /// Ends for another holder with `fence`, unless that is an older one. Whether it has
-    /// ended.
+    /// Retires in favour of another holder with `fence`, unless that fence is older.
+    /// Returns whether this owner has retired.
     pub fn give_way(&self, fence: u64) -> bool {
         if fence > self.fence() {
             self.retire("another holder says so");
@@ -299,7 +298,7 @@
     }
 }
 
-/// Milliseconds, for the log.
+/// Converts to milliseconds, for the log.
 pub fn ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/entry/src/owner/advise.rs
+++ b/crates/entry/src/owner/advise.rs
@@ -1,8 +1,8 @@
-//! Questions about which workers may run a step.
+//! Requests for advice: which workers may run a step.
 //!
-//! The service that answers them takes one question at a time from each VM, so
-//! an owner asks by way of all entry VMs. *Measured:* a question takes 0.3 s and
-//! more; one VM alone asks three a second, seven ask twenty.
+//! The advice service handles one request at a time from each VM, so an owner sends its
+//! requests through all entry VMs. *Measured:* a request takes 0.3 s and more; one VM alone
+//! gets three answers a second, seven get twenty.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,20 +19,19 @@
 use crate::node::Node;
 use crate::peer::{self, Ask, Reply};
 
-/// How long an entry VM is not asked through that brought no answer.
+/// How long an entry VM is avoided after a request through it failed.
 const AVOID: Duration = Duration::from_millis(1_000);
-/// What a question may take beside the time that the service takes for it, on
-/// the way there and behind questions of other owners from the same VM.
+/// The time allowed for a request beyond the service's own: transfer, and waiting behind
+/// other owners' requests from the same VM.
 const SLACK: Duration = Duration::from_millis(500);
-/// Questions of other owners that may be before one's own at an entry VM.
+/// How many requests of other owners may be queued before this one at an entry VM.
 const BEFORE: u32 = 3;
 
-/// The entry VM by way of which a question goes; `None` for this one.
+/// The entry VM through which a request is sent; `None` for this one.
 pub(super) type Adviser = Option<SocketAddr>;
 
 impl Owner {
-    /// Sends as many questions as there are entry VMs without one of this
-    /// owner's.
+    /// Sends a request through each entry VM that has none of this owner's in flight.
     pub(super) fn ask_advice(self: &Rc<Self>) {
         if self.node.settings.advice.is_none() {
             return;
@@ -40,7 +39,7 @@
         let free = self.free_advisers();
         let questions = self.pool.borrow_mut().questions(clock::now(), free.len());
         for (question, adviser) in questions.into_iter().zip(free) {
-            self.advising.borrow_mut().insert(adviser);
+            self.busy_advisers.borrow_mut().insert(adviser);
             spawn_local(self.clone().advise(question, adviser));
         }
     }
@@ -51,9 +50,11 @@
         let table = self.node.table.borrow();
         let others = table.members.iter().filter(|(name, _)| *name != me);
         let all = std::iter::once(None).chain(others.map(|(_, member)| Some(member.peers)));
-        let (busy, mut silent) = (self.advising.borrow(), self.silent.borrow_mut());
-        silent.retain(|_, until| now < *until);
-        all.filter(|adviser| !busy.contains(adviser) && !silent.contains_key(adviser)).collect()
+        let (busy, mut failed_advisers) =
+            (self.busy_advisers.borrow(), self.failed_advisers.borrow_mut());
+        failed_advisers.retain(|_, until| now < *until);
+        all.filter(|adviser| !busy.contains(adviser) && !failed_advisers.contains_key(adviser))
+            .collect()
     }
 
     async fn advise(self: Rc<Self>, question: Question, adviser: Adviser) {
@@ -65,9 +66,9 @@
             Some(peer) => self.advise_through(peer, question.task, workers, within).await,
         };
         self.count("advice", begun, advice != Advice::Lost);
-        self.advising.borrow_mut().remove(&adviser);
+        self.busy_advisers.borrow_mut().remove(&adviser);
         if advice == Advice::Lost {
-            self.silent.borrow_mut().insert(adviser, clock::now() + AVOID);
+            self.failed_advisers.borrow_mut().insert(adviser, clock::now() + AVOID);
             self.node.trace.line(
                 "advice not told",
                 json!({ "job": question.task.job.to_string(), "step": question.task.step,
@@ -110,7 +111,7 @@
 }
 
 impl Node {
-    /// Asks which workers may run the step of `task`.
+    /// Asks the advice service which workers may run the step of `task`.
     pub async fn advise(&self, task: Name, workers: &[String], within: Duration) -> Advice {
         let Some(address) = self.settings.advice else { return Advice::Lost };
         let call = wire::ask(task, workers);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Asks for a peer.
+    /// Asks the advice service on behalf of a peer.
     pub async fn advise_peer(
         &self,
         (job, occurrence, step): (&str, u32, u32),
--- a/crates/entry/src/owner/load.rs
+++ b/crates/entry/src/owner/load.rs
@@ -1,4 +1,4 @@
-//! What an owner begins with, and the jobs that it hears of.
+//! Loading of the jobs that an owner starts with, and of those accepted later.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,8 +16,8 @@
 use crate::lookup::{JOBS, RUNS};
 use crate::store::Error;
 
-/// How long changes of accepted jobs are gathered: the entry VM that took a job
-/// tells the owner itself, and the watch is there for what got lost.
+/// How long changes of accepted jobs are batched. The entry VM that accepted a job notifies
+/// the owner itself; the watch only covers lost notifications.
 const JOBS_TOGETHER: Duration = Duration::from_millis(250);
 
 impl Owner {
@@ -52,8 +52,7 @@
         let seats = roster.and_then(|item| serde_json::from_slice(&item.value).ok());
         let write = store.get(&format!("{WRITES}{}", self.name)).await?;
         self.write_revision.set(write.map_or(0, |item| item.revision));
-        // Jobs first: one that ends is moved from the one to the other, and by
-        // this owner alone.
+        // Jobs first: when a job ends, only this owner moves it from one to the other.
         let (jobs, _) = store.range(&format!("{JOBS}{}/", self.name)).await?;
         let (runs, _) = store.range(&format!("{RUNS}{}/", self.name)).await?;
         Ok((seats.unwrap_or_default(), jobs, runs))
@@ -104,10 +103,10 @@
         }
     }
 
-    /// Takes in an accepted job.
+    /// Adds an accepted job.
     pub fn accept(&self, id: JobId, record: &Record, progress: Option<&Progress>, revision: u64) {
         let age = Duration::from_millis(clock::wall_ms().saturating_sub(record.accepted_ms));
-        // The time of day may have jumped since; a job is no older than this.
+        // The wall clock may have jumped since; a job's age is capped at 30 s.
         let age = age.min(Duration::from_secs(30));
         let now = clock::now();
         let mut pool = self.pool.borrow_mut();
@@ -115,7 +114,7 @@
             pool.accept(now, age, id, record, progress, revision);
             drop(pool);
             self.taken.set(self.taken.get() + 1);
-            // What a takeover reads is told as one line.
+            // The jobs read by a takeover are logged in a single line.
             if self.loaded.get() {
                 self.node.trace.line(
                     "job taken in",
--- a/crates/entry/src/owner/predecessors.rs
+++ b/crates/entry/src/owner/predecessors.rs
@@ -1,4 +1,4 @@
-//! What an owner learns of those that owned its pool before.
+//! Communication with the former owners of a pool.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::node::Node;
 use crate::peer::{self, Ask, Reply};
 
-/// How long a former owner may take over its answer.
+/// How long a former owner may take to respond.
 const ANSWER: Duration = Duration::from_millis(250);
-/// The pause until former owners that didn't answer are asked again.
+/// The pause before former owners that didn't respond are asked again.
 const PAUSE: Duration = Duration::from_millis(500);
 
 impl Owner {
-    /// Tells former owners that they are replaced, and hears until when what they granted
-    /// holds. Those that don't answer are waited out instead.
+    /// Tells former owners that they are replaced, and learns until when their grants hold.
+    /// For those that don't respond, the longest possible lease is waited out.
     pub(super) async fn ask_predecessors(&self) {
         let formers = self.formers_to_ask();
         let ask = Ask::Retire { duty: self.name.clone(), fence: self.fence() };
@@ -46,7 +46,7 @@
         let mut predecessors = self.predecessors.borrow_mut();
         match process {
             Some(process) if process.boot != former.boot => {
-                // At its address another machine may answer.
+                // Another machine may respond at its address.
                 if process.name == former.name {
                     predecessors.end(now, former);
                 }
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Waits no longer for former owners than what is known of them asks for. Whether all
-    /// of them are accounted for.
+    /// Shortens the wait for former owners to what is known of their grants. Returns
+    /// whether all of them are accounted for.
     pub(super) fn limit_inherited(&self) -> bool {
         let mut predecessors = self.predecessors.borrow_mut();
         predecessors.observe(clock::now(), &self.node.table.borrow());
@@ -66,7 +66,7 @@
         true
     }
 
-    /// Learns of former owners until all are accounted for, or all waits are over.
+    /// Queries former owners until all are accounted for or the wait is over.
     pub(super) async fn follow_predecessors(self: Rc<Self>) {
         let begun = clock::now();
         while !self.retired.get() && !self.limit_inherited() {
--- a/crates/entry/src/owner/workers.rs
+++ b/crates/entry/src/owner/workers.rs
@@ -1,4 +1,4 @@
-//! Looks at workers and orders to them.
+//! Polls of workers, and orders to them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,27 +15,25 @@
 use crate::clock;
 use crate::http::Failed;
 
-/// How long a worker may take over an answer, beside what it was asked to wait.
+/// How long a worker may take to respond, beyond the time that it is asked to wait.
 const ANSWER: Duration = Duration::from_millis(700);
-/// How long a worker may take over an answer that is not known to answer: a
-/// takeover waits for the first look at each.
+/// The same for a worker that hasn't responded before: a takeover waits for the first
+/// poll of each worker.
 const FIRST_ANSWER: Duration = Duration::from_millis(300);
-/// How often the pool is planned though nothing happened.
+/// How often the pool is planned without any event.
 const TICK: Duration = Duration::from_millis(60);
-/// The least time between two plannings: what happens together is planned for
-/// together.
+/// The shortest time between two plans, so that simultaneous events are planned together.
 const TOGETHER: Duration = Duration::from_millis(3);
-/// The pause after a look that brought ends: the next ends come together. For
-/// each worker of the pool it grows by [`AFTER_ENDS_EACH`], so that the looks of
-/// an owner are bounded as its pool grows: 250 workers that end 11 tasks a second
-/// each would be looked at 2,750 times a second, which is 0.13 of a core at the
-/// 46 us that a call is charged.
+/// The pause after a poll that returned ended tasks, so that the next ones come together.
+/// It grows by [`POLL_PAUSE_PER_WORKER`] for each worker of the pool, which bounds the
+/// polls of an owner: 250 workers that each end 11 tasks a second would be polled 2,750
+/// times a second, which is 0.13 of a core at the 46 us that a call is charged.
 const AFTER_ENDS: Duration = Duration::from_millis(10);
-/// See [`AFTER_ENDS`].
+/// See [`POLL_PAUSE_AFTER_ENDS`].
 const AFTER_ENDS_EACH: Duration = Duration::from_micros(250);
-/// The pause after a look that brought only ends that are being written.
+/// The pause after a poll that returned only ends that are already being written.
 const NOTHING_NEW: Duration = Duration::from_millis(40);
-/// The pause after a look without an answer.
+/// The pause after a poll that failed.
 const AFTER_SILENCE: Duration = Duration::from_millis(200);
 
 impl Owner {
@@ -43,7 +41,7 @@
         while !self.retired.get() && !self.halted.get() {
             self.plan();
             tokio::time::sleep(TOGETHER).await;
-            // A tick without news is as good as news.
+            // Without an event, the pool is planned after PLAN_INTERVAL.
             let _ = timeout(TICK, self.wake.notified()).await;
         }
     }
@@ -108,8 +106,7 @@
             self.wake.notify_one();
             match &answer {
                 Answer::Done(report) if report.ended.is_empty() => {
-                    // A worker that answers at once though asked to wait must
-                    // not be asked without a pause.
+                    // Pauses even if a worker responds at once although it was asked to wait.
                     if clock::now() - sent < AFTER_ENDS {
                         tokio::time::sleep(AFTER_ENDS).await;
                     }
--- a/crates/entry/src/owner/write.rs
+++ b/crates/entry/src/owner/write.rs
@@ -1,4 +1,4 @@
-//! What an owner writes, in order, until it is known to be written.
+//! The owner's writes: in order, and each retried until it is confirmed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::duty::DUTIES;
 use crate::lookup::{job_key, run_key};
 
-/// Rows of a write besides those of the batch: the duty, the number of the
-/// write twice, the roster.
+/// Rows of a write besides those of the batch: the duty, the write's number twice, and
+/// the roster.
 const FIXED_ROWS: usize = 4;
-/// How far ahead of its time all is written at a planned stop.
+/// How far ahead of their due time changes are written at a planned stop.
 const FLUSH_AHEAD: Duration = Duration::from_secs(2);
-/// How often, and how many times, a planned stop looks whether all is written.
+/// How often, and how many times, a planned stop checks whether everything is written.
 const FLUSH_LOOK: Duration = Duration::from_millis(15);
 const FLUSH_LOOKS: u32 = 40;
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Writes what is due. Whether there may be more.
+    /// Writes what is due. Returns whether there may be more.
     async fn write_once(&self) -> bool {
         let ahead = if self.flushing.get() { FLUSH_AHEAD } else { Duration::ZERO };
         let now = clock::now() + ahead;
@@ -60,9 +60,9 @@
         is_written
     }
 
-    /// Tells at which revision of the store jobs ended: a reading of the store
-    /// that found no such job is held against it. A line a write, and one write goes
-    /// out at a time: it is told also where a busy owner's other lines are too many.
+    /// Logs the store's revision at which jobs ended, to compare with reads of the store
+    /// that found no such job. It is one line per write, with one write at a time, so it
+    /// bypasses the rate limit that a busy owner's other lines exceed.
     fn log_ends(&self, batch: &Batch, took: Duration) {
         let ended = batch.rows.iter().filter(|row| row.progress.state.is_final());
         let jobs: Vec<String> = ended.map(|row| row.id.to_string()).collect();
@@ -79,9 +79,8 @@
         let write_key = format!("{WRITES}{}", self.name);
         let mut txn = Txn::default();
         txn.expect.push((format!("{DUTIES}{}", self.name), self.fence()));
-        // A write whose answer was lost may be carried out seconds later. Each
-        // one is bound to the number of the one before, so that it can't undo
-        // a newer one.
+        // A write without a response may be applied seconds later. Each write expects the
+        // revision of the previous one's number, so that it can't undo a newer one.
         txn.expect.push((write_key.clone(), self.write_revision.get()));
         txn.set.push((write_key, token.as_bytes().to_vec(), 0));
         if let Some(seats) = roster {
@@ -100,7 +99,7 @@
         txn
     }
 
-    /// Writes until it is known to be written, or another holds the duty.
+    /// Retries a write until it is confirmed or another holder has the duty.
     async fn commit(&self, txn: &Txn, token: &str) -> bool {
         let mut failures = 0;
         while !self.retired.get() {
@@ -125,8 +124,8 @@
         false
     }
 
-    /// A condition didn't hold: because this very write was done before, or
-    /// because the duty is another's.
+    /// Handles a failed condition: either this very write was applied before, or another
+    /// holder has the duty.
     fn resolve(&self, items: &[Item], token: &str) -> bool {
         let key = format!("{WRITES}{}", self.name);
         let duty = format!("{DUTIES}{}", self.name);
@@ -138,7 +137,7 @@
         if items.iter().any(|item| item.key == duty && item.revision != self.fence()) {
             self.retire("the store names another holder");
         } else if let Some(item) = items.iter().find(|item| item.key == key) {
-            // A late write of the holder before: go on behind it.
+            // A late write of the previous holder: continue after its revision.
             self.write_revision.set(item.revision);
         }
         false
@@ -149,7 +148,7 @@
         let pool = self.pool.borrow();
         for (id, told) in waiting {
             if pool.is_written(id) {
-                // One that no longer waits doesn't matter.
+                // The receiver may have stopped waiting.
                 let _ = told.send(());
             } else {
                 self.waiting.borrow_mut().push((id, told));
@@ -157,7 +156,7 @@
         }
     }
 
-    /// Writes what is left, for a planned stop.
+    /// Writes everything that is left, for a planned stop.
     pub async fn flush(&self) {
         self.halted.set(true);
         self.flushing.set(true);
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -1,7 +1,7 @@
-//! What entry daemons ask of each other.
+//! Requests between entry daemons.
 //!
-//! One JSON message a request, over the same HTTP as everything else here: a
-//! second stack for a handful of small messages would cost memory that is billed.
+//! Each request is one JSON message over the same HTTP client as all other calls: a second
+//! protocol stack for a few small messages would cost memory that is billed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,17 +18,17 @@
 use crate::duty::Former;
 use crate::http::{Client, Failed};
 
-/// How long a peer may take over an answer.
+/// How long a peer may take to respond.
 pub const ANSWER: Duration = Duration::from_millis(700);
-/// How long a peer may take over what is asked again and again: an answer takes
-/// a few milliseconds, and the next question comes a moment later.
+/// The timeout of requests that are repeated often: a response takes a few milliseconds,
+/// and the next request follows soon.
 pub const PROMPT: Duration = Duration::from_millis(250);
 
-/// A question.
+/// A request to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum Ask {
-    /// A job was accepted; to the owner of its pool.
+    /// Notifies the owner of a pool of an accepted job.
     Accepted {
         /// The pool.
         pool: String,
@@ -36,69 +36,69 @@
         id: String,
         /// The job.
         record: Box<Record>,
-        /// The store's revision.
+        /// The store's revision of the acceptance.
         revision: u64,
     },
-    /// Where does a job stand? To the owner of its pool.
+    /// Asks the owner of a pool for the state of a job.
     State {
         /// The pool.
         pool: String,
         /// The job's id.
         id: String,
     },
-    /// Take a job back; to the owner of its pool.
+    /// Asks the owner of a pool to cancel a job.
     Cancel {
         /// The pool.
         pool: String,
         /// The job's id.
         id: String,
     },
-    /// How many jobs have not begun? To the owner of the pool.
+    /// Asks the owner of a pool how many jobs of a queue have not started.
     Queued {
         /// The pool.
         pool: String,
         /// The queue.
         queue: String,
     },
-    /// Empty workers and tell how far you are; to the owner of their pool.
+    /// Asks the owner of a pool to vacate workers and to report which are empty.
     Vacate {
         /// The pool.
         pool: String,
-        /// The workers' lives.
+        /// The workers' instance ids.
         workers: Vec<String>,
     },
-    /// Workers' VMs were moved or maintained; to the owner of their pool.
+    /// Notifies the owner of a pool that workers' VMs were moved or maintained.
     Gone {
         /// The pool.
         pool: String,
-        /// The workers' lives.
+        /// The workers' instance ids.
         workers: Vec<String>,
     },
-    /// How busy is the pool? To its owner.
+    /// Asks the owner of a pool for its load.
     Load {
         /// The pool.
         pool: String,
-        /// Lives that have come to the pool of late.
+        /// Instance ids of workers that have recently arrived in the pool.
         arrived: Vec<String>,
         /// Whether VMs are on their way to the pool.
         expects: bool,
     },
-    /// Keep so many workers and empty the others; to the owner of the pool.
+    /// Asks the owner of a pool to keep some workers and to vacate the others.
     Shrink {
         /// The pool.
         pool: String,
-        /// How many.
+        /// How many workers to keep.
         keep: u32,
     },
-    /// Somebody else holds the duty now; to the one that held it before.
+    /// Notifies a former holder that the duty has a new holder.
     Retire {
         /// The duty.
         duty: String,
         /// The fence of the new holder.
         fence: u64,
     },
-    /// Ask for me which workers may run a step: the service that tells takes one
-    /// question at a time from each VM.
+    /// Asks a peer to request advice: the advice service handles one request at a time
+    /// from each VM.
     Advise {
         /// The job's id.
         job: String,
@@ -106,22 +106,23 @@
         occurrence: u32,
         /// The step.
         step: u32,
-        /// The workers' lives.
+        /// The workers' instance ids.
         workers: Vec<String>,
         /// How long it may take, in milliseconds.
         within_ms: u64,
     },
-    /// A write of a job has no answer: remember that it may be stored.
+    /// Asks a peer to remember that a job may be stored, since a write of it had no
+    /// response.
     Unsure {
         /// The job's id.
         id: String,
     },
-    /// May a job be stored by a try of it that nobody knows the end of?
+    /// Asks whether a job may be stored by an attempt whose outcome is unknown.
     Tried {
         /// The job's id.
         id: String,
     },
-    /// Call the store for me, which turns me away.
+    /// Asks a peer to call the store, which rejects the sender.
     Store {
         /// The method.
         method: String,
@@ -135,7 +136,7 @@
 }
 
 impl Ask {
-    /// The pool whose owner is asked; empty for what others are asked.
+    /// Returns the pool whose owner the request is for; empty if it is for no owner.
     pub fn pool(&self) -> &str {
         match self {
             Self::Accepted { pool, .. }
@@ -155,86 +156,86 @@
     }
 }
 
-/// An answer.
+/// A reply of a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "reply", rename_all = "kebab-case")]
 pub enum Reply {
-    /// It is done.
+    /// The request was carried out.
     Done,
-    /// The one asked doesn't own the pool.
+    /// The receiver doesn't own the pool.
     NotOwner,
-    /// There is no such job, or none that is known here.
+    /// The job doesn't exist or isn't known here.
     Unknown,
-    /// Where a job stands.
+    /// The state of a job.
     State {
         /// The state.
         state: State,
     },
-    /// The job is over, and whether that is written isn't known: the store says
-    /// where it stands.
+    /// The job has ended, and whether that is written isn't known: the state has to be
+    /// read from the store.
     Ending,
-    /// The job was accepted; where it stands another one may know better.
+    /// The job was accepted; another process may know a newer state.
     Known,
-    /// It could not be written in time; ask again.
+    /// The change could not be written in time; retry later.
     Later,
-    /// How many jobs have not begun.
+    /// How many jobs have not started.
     Queued {
         /// The number.
         jobs: usize,
     },
-    /// How far workers are emptied.
+    /// Which workers have been vacated.
     Vacated {
-        /// The lives of those that are empty.
+        /// The instance ids of the empty workers.
         empty: Vec<String>,
     },
-    /// How busy the pool is.
+    /// The load of the pool.
     Load {
         /// The load.
         load: Load,
-        /// Those of the lives asked for that are counted in it.
+        /// The requested instances that are included in the load.
         counted: Vec<String>,
     },
     /// Workers that are empty and may leave the pool.
     Spare {
-        /// Their lives.
+        /// Their instance ids.
         workers: Vec<String>,
     },
-    /// How long what was granted to workers holds, in milliseconds.
+    /// How long the grants on workers hold, in milliseconds.
     Retired {
-        /// By worker's life; `None` if the duty was not held.
+        /// By worker instance; `None` if the duty was not held.
         grants: Option<BTreeMap<String, u64>>,
-        /// The process that answers.
+        /// The process that responds.
         #[serde(default)]
         process: Option<Former>,
     },
     /// Which workers may run a step.
     Advised {
-        /// Their lives and tickets; `None` if nothing was told.
+        /// Their instance ids and tickets; `None` if no advice was received.
         good: Option<Vec<(String, String)>>,
-        /// How long the tickets hold, in milliseconds.
+        /// How long the tickets are valid, in milliseconds.
         valid_ms: u64,
     },
-    /// Whether a job may be stored though nobody was told so.
+    /// Whether a job may be stored although no attempt was confirmed.
     Tried {
-        /// Whether it may.
+        /// Whether it may be.
         is_unsure: bool,
     },
-    /// What the store said.
+    /// The store's response.
     Store {
-        /// The status; 0 for no answer.
+        /// The status; 0 for no response.
         status: u16,
-        /// Whether anything was sent.
+        /// Whether the call was sent.
         sent: bool,
         /// The body.
         body: String,
     },
 }
 
-/// Asks a peer.
+/// Sends a request to a peer and returns its reply.
 ///
 /// # Errors
 ///
-/// Fails if there is no answer that can be read.
+/// Fails if there is no valid reply.
 pub async fn ask(
     client: &Rc<Client>,
     peer: SocketAddr,
@@ -244,12 +245,12 @@
     parse_reply(client.call(peer, &build_call(ask), within).await?)
 }
 
-/// Asks a peer for something whose reply may be large: `within` bounds the time until
-/// the head of the answer arrives; see [`Client::call_large`].
+/// Like [`send`], for a reply that may be large: `within` bounds the time until the head of
+/// the response arrives; see [`Client::call_large`].
 ///
 /// # Errors
 ///
-/// Fails if there is no answer that can be read.
+/// Fails if there is no valid reply.
 pub async fn ask_large(
     client: &Rc<Client>,
     peer: SocketAddr,
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -1,25 +1,25 @@
-//! Which pools a queue's jobs may lie in, and when a job is known to be in none.
+//! The pools that may hold a queue's jobs, and when a job is known to be in none.
 //!
-//! A job stays in the pool in which it was accepted when operators send its queue
-//! to another one. The list of these pools is a record in the store: what one
-//! process remembers of earlier configurations is lost with it, and a daemon that
-//! starts later would take accepted jobs for unknown. Pure: [`Placement`] says
-//! where new jobs go, [`Search`] where to look for one and what may be concluded.
+//! A job stays in the pool in which it was accepted when operators route its queue to
+//! another one. The list of these pools is a record in the store: a process loses what it
+//! remembers of earlier configurations when it ends, and a daemon that starts later would
+//! take accepted jobs for unknown. This module does no I/O: [`Placement`] decides where new
+//! jobs go, [`Search`] where to look for a job and what follows.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// The prefix of queues' records; the name follows.
+/// The key prefix of queues' records; the name follows.
 pub const QUEUES: &str = "entry/queue/";
 
-/// The key of a queue's record.
+/// Returns the key of a queue's record.
 pub fn queue_key(queue: &str) -> String {
     format!("{QUEUES}{queue}")
 }
 
-/// The pools that a queue's jobs may lie in, as the store keeps them. A pool is
-/// added by the write that accepts the first job there, and none is removed.
+/// The pools that may hold a queue's jobs, as stored. A pool is added by the write that
+/// accepts the first job there, and none is removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Places {
     /// The version of the configuration that named the first pool.
@@ -28,20 +28,20 @@
     pub pools: Vec<String>,
 }
 
-/// What is known of a queue's record.
+/// A queue's record, as far as known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Entry {
-    /// There is none: nothing was accepted yet.
+    /// There is none: no job was accepted yet.
     #[default]
     Missing,
-    /// It can be read.
+    /// It could be decoded.
     Whole {
         /// Its revision.
         revision: u64,
-        /// What it says.
+        /// Its content.
         places: Places,
     },
-    /// Another writer laid something else there, or removed it (revision 0): the
+    /// Another writer overwrote it with something else or removed it (revision 0): the
     /// pools aren't known.
     Damaged {
         /// Its revision.
@@ -50,7 +50,7 @@
 }
 
 impl Entry {
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// ```
     /// use corianderfork_entry::placement::Entry;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The revision that a write expects; 0 if there is no record.
+    /// Returns the revision that a write expects; 0 if there is no record.
     pub const fn revision(&self) -> u64 {
         match self {
             Self::Missing => 0,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The pools that it names.
+    /// Returns the pools that it names.
     pub fn pools(&self) -> &[String] {
         match self {
             Self::Whole { places, .. } => &places.pools,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Where a configuration sends a queue.
+/// The pool to which a configuration routes a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Way {
     /// The configuration's version.
@@ -90,27 +90,26 @@
     pub pool: String,
 }
 
-/// Where a queue's new jobs go.
+/// The placement of a queue's new jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The revision that the queue's record must still have.
     pub revision: u64,
     /// The pool.
     pub pool: String,
-    /// The other pools in which a job may lie that is handed in again.
+    /// The other pools that may hold a job that is submitted again.
     pub earlier: Vec<String>,
-    /// What the record is to say from now on, if something else than it does.
+    /// The new content of the record, if it has to change.
     pub change: Option<Places>,
 }
 
 impl Placement {
-    /// Places jobs by what is known of the record. `all` are the pools that have
-    /// an owner: where the record is damaged, each may hold some of the queue's jobs.
+    /// Places jobs according to the known record. `all` are the pools that have an owner:
+    /// if the record is damaged, each may hold some of the queue's jobs.
     ///
-    /// A gateway whose configuration is older than the record's doesn't send the
-    /// queue back: it follows the record. Otherwise two gateways, of which one
-    /// hasn't heard of the newest configuration yet, would move the queue to and
-    /// fro.
+    /// A gateway whose configuration is older than the record follows the record. Otherwise
+    /// two gateways, one of which hasn't received the newest configuration yet, would move
+    /// the queue back and forth.
     ///
     /// ```
     /// use corianderfork_entry::placement::{Entry, Placement, Way};
@@ -141,7 +140,7 @@
     }
 }
 
-/// What a [`Search`] asks for or concludes.
+/// The next step or the result of a [`Search`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Look in this pool.
@@ -150,16 +149,16 @@
     Record,
     /// The job is in no pool.
     Absent,
-    /// It isn't known whether there is such a job.
+    /// It isn't known whether the job exists.
     Unclear,
 }
 
-/// Looks for a job in the pools of its queue.
+/// Searches for a job in the pools of its queue.
 ///
-/// What a daemon knows of the record may be older than the job. So before the
-/// search ends without a finding the record is read: a pool is in it before a job
-/// is in the pool. Without that, a caller whose job was just accepted by another
-/// entry VM, in the queue's new pool, is told that there is no such job.
+/// The record known to this daemon may be older than the job. So before the search concludes
+/// that the job is absent, the record is read: a pool is in it before a job is in the pool.
+/// Otherwise a caller whose job was just accepted by another entry VM, in the queue's new
+/// pool, would be told that there is no such job.
 ///
 /// ```
 /// use corianderfork_entry::placement::{Entry, Search, Step};
@@ -181,8 +180,8 @@
 }
 
 impl Search {
-    /// Looks in the pools of a record, as it is known so far, and in the pool to
-    /// which the queue is sent now.
+    /// Starts a search of the pools of a record as known so far, and of the pool to which the
+    /// queue is routed now.
     pub fn new(known: Entry, pool: &str) -> Self {
         let mut search = Self {
             known: Entry::Missing,
@@ -205,7 +204,7 @@
         }
     }
 
-    /// What to do next, or what is concluded.
+    /// Returns the next step, or the result.
     pub fn next(&self) -> Step {
         match self.left.front() {
             Some(pool) => Step::Pool(pool.clone()),
@@ -215,13 +214,13 @@
         }
     }
 
-    /// The job isn't in the pool that [`Search::next`] named.
+    /// Records that the job isn't in the pool that [`Search::next`] named.
     pub fn absent(&mut self) {
         self.searched.extend(self.left.pop_front());
     }
 
-    /// Whether the job is in the pool that [`Search::next`] named isn't known, or
-    /// the record could not be read from the store.
+    /// Records that it isn't known whether the job is in the pool that [`Search::next`]
+    /// named, or that the queue's record could not be read.
     pub fn unclear(&mut self) {
         self.is_unclear = true;
         if self.left.is_empty() {
@@ -230,10 +229,10 @@
         self.absent();
     }
 
-    /// Takes the record in, as it was just read from the store.
+    /// Records the queue's record as just read from the store.
     pub fn learn(&mut self, entry: Entry) {
         self.is_read = true;
-        // One that was there is never removed by a daemon.
+        // No daemon removes an existing record.
         let is_removed = entry == Entry::Missing && self.known != Entry::Missing;
         self.is_unclear |= is_removed || matches!(entry, Entry::Damaged { .. });
         self.add(entry.pools());
--- a/crates/entry/src/planner.rs
+++ b/crates/entry/src/planner.rs
@@ -1,4 +1,4 @@
-//! The fleet's planner: one daemon at a time that orders VMs to pools and to
+//! The fleet's planner: the one daemon that orders moves of VMs to pools and their
 //! maintenance.
 
 mod orders;
@@ -27,38 +27,37 @@
 use crate::node::Node;
 use crate::peer::{self, Ask, Reply};
 
-/// The prefix of how far waves are; the number follows.
+/// The key prefix of waves' progress; the number follows.
 const WAVES: &str = "fleet/wave/";
-/// The key of the VMs that were ordered of late.
+/// The key of the recently ordered VMs.
 const ORDERS: &str = "fleet/orders";
-/// How often sizes are decided: each moment before the begin of a queue's busy
-/// time is noticed is one more that its jobs wait. *Measured* against 0.25 s, on days
-/// of 34 s with a worker's heartbeats seen as soon: 0.008 and 0.013 of a day's worth.
+/// How often sizes are decided: any delay in noticing a queue's busy time makes its jobs
+/// wait longer. *Measured* against 0.25 s, on days of 34 s with a worker's heartbeats seen
+/// as soon: 0.008 and 0.013 of a day's worth.
 const TICK: Duration = Duration::from_millis(100);
-/// How often the fleet is listed. The list lags by more than this, and each page
-/// of it is a call that is priced and counted.
+/// How often the fleet is listed. The list lags by more than this, and each page of it is
+/// a call that is priced and counted.
 const LIST: Duration = Duration::from_millis(250);
-/// How long the fleet's service may take over an answer.
+/// How long the fleet service may take to respond.
 const ANSWER: Duration = Duration::from_millis(1_000);
-/// How long a VM whose maintenance was ordered counts as away though the list,
-/// which lags, shows it up.
+/// How long a VM whose maintenance was ordered counts as away although the lagging list
+/// shows it as up.
 const SETTLE: Duration = Duration::from_millis(1_200);
-/// How long an owner's word that a worker is empty is relied on: less than the time
-/// for which it keeps the worker empty. The write that announces an order takes
-/// seconds where the store is slow, and an order after that would end a task that
-/// was started meanwhile.
+/// How long an owner's report that a worker is empty is relied on: less than the time for
+/// which the owner keeps it empty. The write that records an order takes seconds when the
+/// store is slow, and an order sent later would end a task that was started meanwhile.
 const EMPTY: Duration = Duration::from_millis(1_500);
-/// VMs that are emptied ahead of those that may go now.
+/// How many VMs are vacated ahead of those that may be maintained now.
 const AHEAD: usize = 1;
 
-/// How far a wave is, as it is written.
+/// The progress of a wave, as stored.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Progress {
     /// VMs whose maintenance has begun or is over.
     done: BTreeSet<String>,
-    /// Whether all are.
+    /// Whether this is so for all VMs of the wave.
     completed: bool,
-    /// How long the wave had gone on when this was written, in milliseconds.
+    /// The age of the wave when this was written, in milliseconds.
     #[serde(default)]
     elapsed_ms: u64,
 }
@@ -70,36 +69,35 @@
     elapsed: Elapsed,
     /// VMs whose maintenance was ordered, and when.
     away: HashMap<String, Time>,
-    /// Waves that operators were told to be under way.
+    /// Waves whose start was reported to operators.
     told: BTreeSet<u64>,
     /// VMs on their way to a pool.
     coming: Arrivals,
-    /// What is known of each pool's size.
+    /// The sizing state of each pool.
     sizes: HashMap<String, size::Pool>,
-    /// VMs of waves that lists leave out.
+    /// VMs of waves that are missing from the list.
     absence: Absence,
-    /// VMs that the holder before ordered of late. An order of it may be on its
-    /// way still, and two holders' orders for one VM must not mix.
-    /// Until when they are left alone.
+    /// VMs that the previous holder ordered recently, and until when they are left alone:
+    /// its order may still be in flight, and orders of two holders for one VM must not mix.
     barred: BTreeMap<String, Time>,
-    /// VMs that this holder ordered of late.
+    /// VMs that this holder ordered recently.
     ordered: BTreeMap<String, Time>,
-    /// Orders that may go out, as of `allowed_at`.
+    /// Orders that may be sent, as of `order_budget_at`.
     allowed: f64,
     allowed_at: Time,
-    /// Whether pools asked for more VMs than there are when last looked at.
+    /// Whether pools wanted more VMs than there are at the last check.
     is_scarce: bool,
-    /// The last list of the fleet, and when it was asked for.
+    /// The last list of the fleet, and when it was requested.
     listed: Option<(Time, Rc<BTreeMap<String, Vm>>)>,
 }
 
-/// Calls the fleet's service.
+/// Calls the fleet service.
 async fn call(node: &Node, call: &Call) -> Option<(u16, hyper::body::Bytes)> {
     let address = node.settings.fleet?;
     node.client.call(address, call, ANSWER).await.ok()
 }
 
-/// Plans until another holds the duty.
+/// Plans until another process holds the duty.
 pub async fn plan(node: Rc<Node>, fence: u64) {
     let name = node.settings.name.as_str().to_owned();
     let holder = Holder { name, fence };
@@ -129,7 +127,7 @@
         if node.may_order() {
             planner.tick().await;
         }
-        // A stop of this process is told at once, and much else that may be late.
+        // Wakes early for a stop of this process; other changes may wait for the interval.
         let _ = timeout(TICK, node.changed.notified()).await;
     }
     node.trace.key("duty left", json!({ "duty": FLEET, "fence": fence }));
@@ -169,8 +167,8 @@
         }
     }
 
-    /// Tells the owners of pools that workers' lives are over. Nobody waits for
-    /// it: without it an owner notices by itself, once the lease is over.
+    /// Tells owners that workers of their pools are gone. This is best effort: otherwise an
+    /// owner notices when the worker's lease expires.
     fn tell_gone(&self, vms: &[Vm]) {
         let mut gone: BTreeMap<&str, Vec<String>> = BTreeMap::new();
         for vm in vms.iter().filter(|vm| !vm.worker.is_empty()) {
@@ -185,13 +183,13 @@
         }
     }
 
-    /// Asks the owners of pools, all at once; the answers in the order of the
-    /// questions.
+    /// Sends requests to owners of pools concurrently; the replies are in the order of the
+    /// requests.
     ///
-    /// One after the other, an owner that is cut off holds up all others by the
-    /// time that its answer may take, and the sizes of all pools are decided so
-    /// much later. *Measured* with a third of the entry VMs cut off and VMs to
-    /// be maintained: 0.8 to 2.2 s from one decision to the next, 0.3 s since.
+    /// Sent one after the other, a request to an owner that is cut off would delay all
+    /// others by its timeout, and with them the sizes of all pools. *Measured* with a third
+    /// of the entry VMs cut off and VMs to be maintained: 0.8 to 2.2 s from one decision to
+    /// the next, 0.3 s since.
     async fn ask_all(&self, asks: Vec<Ask>) -> Vec<Option<Reply>> {
         let ask = |ask: Ask| {
             let node = self.node.clone();
@@ -250,7 +248,7 @@
         }
     }
 
-    /// VMs that are up again are no longer away.
+    /// Forgets VMs under maintenance that are up again.
     fn settle(&mut self, listed_at: Time, vms: &BTreeMap<String, Vm>) {
         self.away.retain(|name, since| {
             let is_up = vms.get(name).is_none_or(|vm| vm.state == State::Up);
--- a/crates/entry/src/planner/orders.rs
+++ b/crates/entry/src/planner/orders.rs
@@ -1,4 +1,4 @@
-//! Which VMs were ordered of late, by whom, and how many more may be now.
+//! Recently ordered VMs of this and the previous holder, and the rate limit of orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 use crate::clock;
 use crate::duty::{DUTIES, FLEET};
 
-/// The share of the service's rate that is used: a holder before may have used
+/// The share of the service's rate limit that is used: the previous holder may have used
 /// some of this second's.
 const SHARE: f64 = 0.8;
 
 impl Planner {
-    /// Whether a VM may be ordered by this holder.
+    /// Whether this holder may order a VM.
     pub(super) fn may_order_vm(&self, vm: &str) -> bool {
         self.barred.get(vm).is_none_or(|until| clock::now() >= *until)
     }
 
-    /// Leaves alone for a while what the holder before ordered, by the ages of
-    /// its orders when it last wrote. How long ago that was isn't known.
+    /// Leaves the VMs that the previous holder ordered alone for a while, given the ages of
+    /// its orders when it last wrote them. How long ago that was isn't known.
     ///
-    /// These VMs count as away until the list, which lags, has had the time to show
-    /// them so. Without that a wave that is taken over has more VMs away at once than
-    /// it may: the list still shows up what was ordered a moment before.
+    /// These VMs count as away until the lagging list can show them so. Otherwise a wave
+    /// that is taken over would have more VMs away at once than allowed: the list still
+    /// shows a VM that was just ordered as up.
     pub(super) fn bar(&mut self, ages: BTreeMap<String, u64>) {
         let now = clock::now();
         self.away.extend(ages.keys().map(|vm| (vm.clone(), now)));
@@ -34,13 +34,13 @@
         self.barred = ages.into_iter().map(|(vm, age)| (vm, until(age))).collect();
     }
 
-    /// How far two holders' orders for a VM are kept apart: the platform's bound
-    /// and the time that an order may be on its way.
+    /// Returns the minimum time between two holders' orders for a VM: the platform's limit
+    /// plus the time that an order may be in flight.
     pub(super) fn gap(&self) -> Duration {
         self.node.settings.order_gap + Duration::from_millis(300)
     }
 
-    /// The ages of orders of late, this holder's and those before.
+    /// Returns the ages of recent orders of this holder and of those before it.
     pub(super) fn ages(&self) -> BTreeMap<String, u64> {
         let now = clock::now();
         let gap = self.gap();
@@ -53,8 +53,8 @@
         ages
     }
 
-    /// Writes which VMs are about to be ordered, so that a successor leaves them
-    /// alone for a while. Nothing may be ordered if this fails.
+    /// Records which VMs are about to be ordered, so that a successor leaves them alone for
+    /// a while. Nothing may be ordered if this fails.
     pub(super) async fn announce(&mut self, vms: &[String]) -> bool {
         let now = clock::now();
         let gap = self.gap();
@@ -80,8 +80,8 @@
         }
     }
 
-    /// How many orders may go out now: the service counts them by the second,
-    /// from all together, and turns away what is more.
+    /// Returns how many orders may be sent now. The service limits the orders per second of
+    /// all clients together and refuses any beyond that.
     pub(super) fn allowance(&mut self) -> usize {
         let now = clock::now();
         let rate = self.node.settings.fleet_orders * SHARE;
--- a/crates/entry/src/planner/size.rs
+++ b/crates/entry/src/planner/size.rs
@@ -1,5 +1,4 @@
-//! Sizes of pools: VMs follow the work, and leave for the spares when there is
-//! none.
+//! Pool sizing: VMs are moved to pools with work, and to the spare pools when idle.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -18,31 +17,31 @@
 use crate::exchange::Exchange;
 use crate::peer::{Ask, Reply};
 
-/// Orders under way at once.
+/// The most orders in flight at once.
 const AT_ONCE: usize = 24;
-/// Keeps all workers of a pool.
+/// Tells an owner to keep all workers.
 const ALL: u32 = u32::MAX;
 
-/// What is known of a pool's size.
+/// The sizing state of a pool.
 #[derive(Default)]
 pub(super) struct Pool {
     size: Size,
-    /// Whether it was last asked to shrink.
+    /// Whether its owner was last asked to shrink it.
     is_shrunk: bool,
-    /// What was decided last.
+    /// The last target size.
     target: usize,
     exchange: Exchange,
-    /// Whether it was last given fewer VMs than it asked for.
+    /// Whether it was last given fewer VMs than it needed.
     is_short: bool,
 }
 
-/// What a pool's owner told, and what follows.
+/// What a pool has and wants.
 struct Asked {
     pool: String,
     load: Load,
     stock: Stock,
     want: Want,
-    /// Whether the owner told; else this is what it told last.
+    /// Whether the owner reported this now; otherwise it is derived from its last report.
     is_told: bool,
 }
 
@@ -52,7 +51,7 @@
 }
 
 impl Planner {
-    /// Sends VMs where work waits, and those that idle to the spares.
+    /// Moves VMs to pools with waiting work, and idle ones to the spare pool.
     pub(super) async fn tick_sizes(&mut self, listed_at: Time, vms: &BTreeMap<String, Vm>) {
         self.coming.settle(listed_at, vms);
         let (pools, spares) = self.pools();
@@ -96,8 +95,8 @@
         }
     }
 
-    /// Sends orders for moves, all at once: one after the other, the last of a
-    /// pool's turn would come seconds late.
+    /// Sends orders for moves concurrently: one after the other, the last one of a pool
+    /// would be seconds late.
     async fn transfer_some(&mut self, moves: &[(String, String)], vms: &BTreeMap<String, Vm>) {
         let mut sent = Vec::new();
         for (name, pool) in moves {
@@ -138,8 +137,8 @@
         asked
     }
 
-    /// What pools want whose owners don't tell: VMs go on being sent to them, by the
-    /// list of what they have.
+    /// Returns the demands of pools whose owners don't respond. VMs are still sent to them,
+    /// based on the fleet's list of what they have.
     fn recalled(
         &self,
         pools: &[String],
@@ -185,7 +184,7 @@
         (names(pools), names(spares))
     }
 
-    /// VMs of the spares that may be moved.
+    /// Returns the names of spare VMs that may be moved.
     fn spare_vms(&self, vms: &BTreeMap<String, Vm>, spares: &[String]) -> Vec<String> {
         let is_free = |vm: &&Vm| {
             spares.contains(&vm.pool) && vm.state == State::Up && !self.is_ordered(&vm.name)
@@ -197,8 +196,8 @@
         self.coming.has(vm) || self.away.contains_key(vm) || !self.may_order_vm(vm)
     }
 
-    /// What the owner of a pool is to be told of its size, if anything: it keeps
-    /// all until it is told otherwise.
+    /// Returns the request that tells a pool's owner how many workers to keep, if needed:
+    /// it keeps all until told otherwise.
     fn keep(&mut self, asked: &Asked, target: usize) -> Option<Ask> {
         let known = self.sizes.get_mut(&asked.pool)?;
         let is_stuck = asked.load.refused > 0 && known.is_short;
@@ -213,7 +212,7 @@
         Some(Ask::Shrink { pool: asked.pool.clone(), keep })
     }
 
-    /// Notes which pools got fewer VMs than they asked for.
+    /// Records which pools got fewer VMs than they needed.
     fn note_short(&mut self, needs: &[Need], moves: &[(String, String)]) {
         for (pool, known) in &mut self.sizes {
             let missing = needs.iter().find(|need| need.pool == *pool).map_or(0, |n| n.missing);
@@ -221,7 +220,7 @@
         }
     }
 
-    /// Has owners empty what is too much; VMs that may leave now.
+    /// Asks owners to vacate surplus workers. Returns the VMs that may leave now.
     async fn shrink(&self, keeps: Vec<Ask>, vms: &BTreeMap<String, Vm>) -> Vec<String> {
         let mut empty: HashSet<String> = HashSet::new();
         for reply in self.ask_all(keeps).await {
@@ -269,24 +268,24 @@
     }
 }
 
-/// The room that most VMs have: what one more brings.
+/// Returns the room of a typical VM, which is what one more VM adds.
 fn usual_room(vms: &BTreeMap<String, Vm>) -> Option<Room> {
     let mut rooms: Vec<Room> = vms.values().map(|vm| vm.room).filter(|room| room.cpu > 0).collect();
     rooms.sort_by_key(|room| (room.cpu, room.memory_mb));
     rooms.get(rooms.len() / 2).copied()
 }
 
-/// How many VMs there are to share. Those on their way from one pool to another
-/// count, and those that empty: left out, each VM that a pool gives up would
-/// lower what all get, and so the pool's own share, until it has given up all.
+/// Returns the number of VMs to share among pools. This includes VMs that are moving or
+/// being vacated: without them each VM that a pool gives up would lower every pool's share,
+/// also its own, until it had given up all.
 fn there(vms: &BTreeMap<String, Vm>) -> u32 {
     let is_there = |vm: &&Vm| matches!(vm.state, State::Up | State::Moving);
     u32::try_from(vms.values().filter(is_there).count()).unwrap_or(u32::MAX)
 }
 
-/// Which VM goes where: the free ones to where most is missing, and what idles
-/// beyond that to the spares. None goes to the pool that it is in: that is no move,
-/// and a pool that gives one up for another life wants it gone first.
+/// Assigns VMs to pools: free ones to the pools that miss most, and remaining idle ones to
+/// the spare pool. No VM is assigned to its own pool: that would be no move, and a pool that
+/// exchanges a worker needs it to leave first.
 fn moves(
     needs: &[Need],
     free: &[String],
--- a/crates/entry/src/planner/wave.rs
+++ b/crates/entry/src/planner/wave.rs
@@ -1,4 +1,4 @@
-//! Waves: each VM of them is emptied and maintained in its time.
+//! Maintenance waves: each VM of a wave is vacated and maintained before the deadline.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use crate::owner::ms;
 use crate::peer::{Ask, Reply};
 
-/// How long one round of a wave takes: a VM is emptied, which takes as long as
-/// its longest task, and maintained for two seconds.
+/// How long one round of a wave takes: a VM is vacated, which takes as long as its longest
+/// task, and maintained for two seconds.
 const ROUND: Duration = Duration::from_millis(4_500);
-/// What is kept in reserve until a wave's deadline: lasting tasks leave a VM one
-/// after the other.
+/// The reserve kept before a wave's deadline: long-running tasks leave a VM one after the
+/// other.
 const RESERVE: Duration = Duration::from_millis(6_000);
 
 impl Planner {
@@ -52,9 +52,9 @@
             vm.state == State::Up && self.may_order_vm(&vm.name) && !self.coming.has(&vm.name)
         };
         let mut ready: Vec<&Vm> = left.into_iter().filter(is_ready).collect();
-        // VMs without a worker have nothing to be emptied of.
+        // VMs without a worker need no vacating and go first.
         ready.sort_by_key(|vm| (!vm.worker.is_empty(), vm.name.clone()));
-        // Those whose work would have to go elsewhere wait for a calmer moment.
+        // If there is time, VMs whose tasks would have to move wait for lower load.
         ready.retain(|vm| vm.worker.is_empty() || !may_wait);
         ready.truncate(may_go + AHEAD);
         let allowance = self.allowance();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether there is time enough to maintain the VMs that are left later.
+    /// Whether there is enough time to maintain the remaining VMs later.
     fn may_wait(&self, wave: &Wave, left: usize) -> bool {
         let rounds = u32::try_from(left.div_ceil(wave.most)).unwrap_or(u32::MAX);
         let needed = ROUND.saturating_mul(rounds).saturating_add(RESERVE);
@@ -86,8 +86,8 @@
         Some(self.elapsed.of(clock::now(), number, since))
     }
 
-    /// Those on which nothing runs, after asking the owners of their pools to
-    /// empty them.
+    /// Asks the owners of the VMs' pools to vacate them. Returns those on which nothing
+    /// runs.
     async fn empty_of<'a>(&self, vms: &[&'a Vm]) -> Vec<&'a Vm> {
         let mut by_pool: BTreeMap<&str, Vec<String>> = BTreeMap::new();
         for vm in vms.iter().filter(|vm| !vm.worker.is_empty()) {
@@ -106,7 +106,7 @@
         vms.iter().filter(is_empty).copied().collect()
     }
 
-    /// Orders the maintenance of VMs, all at once. Whether one more has begun.
+    /// Orders the maintenance of VMs concurrently. Returns whether any VM was newly done.
     async fn maintain_all(&mut self, wave: &Wave, vms: &[&Vm]) -> bool {
         let mut sent = Vec::new();
         for vm in vms {
@@ -125,7 +125,7 @@
 
     fn maintain(&mut self, wave: u64, vm: &Vm) -> JoinHandle<(Vm, Option<Answer>)> {
         let call = fleet::maintain(&vm.name, wave, &self.holder);
-        // Counted before it is sent: without an answer it may be carried out.
+        // Recorded before sending: an order without a response may still be carried out.
         self.away.insert(vm.name.clone(), clock::now());
         let (node, vm) = (self.node.clone(), vm.clone());
         spawn_local(async move {
@@ -149,7 +149,7 @@
             Some(Answer::Fenced) => self.node.planner.set(None),
             Some(Answer::Busy | Answer::Unavailable) => drop(self.away.remove(&vm.name)),
             Some(Answer::Refused) => {
-                // It is not of this wave any more: nothing is left to do.
+                // The VM is no longer part of this wave: nothing is left to do.
                 self.away.remove(&vm.name);
                 let progress = self.waves.entry(wave).or_default();
                 return progress.done.insert(vm.name.clone());
@@ -159,7 +159,7 @@
         false
     }
 
-    /// Writes how far a wave is, for a successor and for operators.
+    /// Writes a wave's progress, for a successor and for operators.
     async fn write(&mut self, number: u64, mut progress: Progress) {
         progress.elapsed_ms = self.elapsed_of(number).map_or(progress.elapsed_ms, ms);
         let value = serde_json::to_vec(&progress).unwrap_or_default();
@@ -181,7 +181,7 @@
             }
             Ok(_) => self.node.planner.set(None),
             Err(error) => {
-                // Told again with the next change, or by the next look.
+                // Written again with the next change, or at the next tick.
                 self.told.remove(&number);
                 self.node
                     .trace
--- a/crates/entry/src/predecessor.rs
+++ b/crates/entry/src/predecessor.rs
@@ -1,8 +1,8 @@
-//! Until when the former holders of a duty may grant leases on its workers.
+//! Tracks until when the former holders of a duty may grant leases on its workers.
 //!
-//! Pure: the former holders go in, and what is learned of each one. The time at which all
-//! of them would give up by themselves bounds the wait; a former holder that has ended, or
-//! that has given way, ends it earlier.
+//! This module does no I/O. The wait for former holders is bounded by the time after which
+//! all of them stop by themselves; it ends earlier once each is known to have ended or to
+//! have given way.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 
 use crate::duty::{Former, Table};
 
-/// Until when leases that were granted may hold, by worker.
+/// Until when granted leases may hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limit {
-    /// On any worker.
+    /// For any worker.
     pub until: Time,
-    /// By a worker's life, where that is later.
+    /// By worker instance, for those whose leases may hold longer.
     pub by_worker: BTreeMap<String, Time>,
 }
 
 /// What is known of a former holder's grants.
 #[derive(Clone, Debug)]
 enum Grants {
-    /// It may go on granting.
+    /// It may still be granting.
     Open,
-    /// It grants nothing more, and what it granted ends by then.
+    /// It grants nothing more, and its grants expire by then.
     Until(Time),
-    /// What it granted, and what holders before it did, ends by then.
+    /// Its grants and those of holders before it expire by then, by worker instance.
     ByWorker(BTreeMap<String, Time>),
 }
 
@@ -36,16 +36,16 @@
 #[derive(Debug)]
 pub struct Tracker {
     rows: Vec<(Former, Grants)>,
-    /// Whether no former holder is missing.
+    /// Whether the list names every former holder.
     is_complete: bool,
-    /// How long a lease that was just granted may hold.
+    /// The longest time for which a lease granted just now may hold.
     lease: Duration,
 }
 
 impl Tracker {
-    /// The former holders `formers`, newest first, whose leases are `lease` long. One
-    /// without a name has handed the duty over. Unless the list `is_complete`, nothing that
-    /// is learned ends the wait.
+    /// Tracks the former holders `formers`, newest first, whose leases are `lease` long. One
+    /// without a name has handed the duty over. If the list isn't complete, the grants of
+    /// the unlisted holders are only known once the oldest listed one has reported them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -56,7 +56,7 @@
     /// let former = Former { name: "e0".to_owned(), boot: 1, peers: None };
     /// let now = Time::from_millis(1_000);
     /// let mut tracker = Tracker::new(now, vec![former.clone()], true, Duration::from_secs(4));
-    /// assert!(tracker.limit().is_none(), "it may go on granting");
+    /// assert!(tracker.limit().is_none(), "it may still be granting");
     /// tracker.end(now, &former);
     /// assert_eq!(tracker.limit().unwrap().until, Time::from_millis(5_120));
     /// ```
@@ -69,7 +69,7 @@
         Self { rows, is_complete, lease }
     }
 
-    /// Former holders that may have more to tell of their grants.
+    /// Returns the former holders that may have more to report on their grants.
     pub fn to_ask(&self) -> Vec<Former> {
         let is_open = |row: &&(Former, Grants)| match row {
             (_, Grants::Open) => true,
@@ -79,7 +79,7 @@
         self.rows.iter().filter(is_open).map(|(former, _)| former.clone()).collect()
     }
 
-    /// Learns at `now` that a former holder has ended.
+    /// Records that a former holder is known at `now` to have ended.
     pub fn end(&mut self, now: Time, former: &Former) {
         let until = now + self.lease;
         let row = self.rows.iter_mut().find(|(known, _)| known.is_same(former));
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Learns which former holders have started anew by now.
+    /// Records which former holders have restarted by `now`.
     pub fn observe(&mut self, now: Time, table: &Table) {
         for former in self.to_ask() {
             if table.has_restarted(&former.name, former.boot) {
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Learns from a former holder that gave way how many milliseconds each worker's grants
-    /// hold at most. These cover what holders before it granted.
+    /// Records the report of a former holder that gave way: for how many more milliseconds
+    /// the grants on each worker hold. They cover those of the holders before it.
     pub fn learn(&mut self, now: Time, former: &Former, left_ms: &BTreeMap<String, u64>) {
         let position = self.rows.iter().position(|(known, _)| known.is_same(former));
         let Some(at) = position else { return };
@@ -107,9 +107,9 @@
         self.rows[at].1 = Grants::ByWorker(left_ms.iter().map(until).collect());
     }
 
-    /// Until when grants hold, once that is known of all former holders.
+    /// Returns until when grants hold, or `None` while any former holder's are unknown.
     pub fn limit(&self) -> Option<Limit> {
-        // Only the oldest row can cover holders that aren't listed.
+        // Only the oldest listed holder can cover holders that aren't listed.
         let is_covered = matches!(self.rows.last(), Some((_, Grants::ByWorker(_))));
         if !self.is_complete && !is_covered {
             return None;
--- a/crates/entry/src/queue_counts.rs
+++ b/crates/entry/src/queue_counts.rs
@@ -1,31 +1,30 @@
-//! Counts as last heard from their owners.
+//! The last known counts of queued jobs.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-/// How old a count may be that is passed on. Callers take it for at most two
-/// seconds old; beyond that none is told.
+/// The greatest age of a count that is reported. Callers assume that a count is at most two
+/// seconds old; older ones are not reported.
 const FRESH: Duration = Duration::from_millis(1_500);
 
-/// How many jobs of each queue have not begun, and when that was heard. Pure.
+/// The number of queued jobs of each queue, and when it was reported. It does no I/O.
 #[derive(Clone, Debug, Default)]
 pub struct Heard {
     counts: HashMap<String, (usize, Time)>,
 }
 
 impl Heard {
-    /// Notes what a queue's owner said.
+    /// Records the count that a queue's owner reported.
     pub fn note(&mut self, now: Time, queue: &str, jobs: usize) {
         self.counts.insert(queue.to_owned(), (jobs, now));
     }
 
-    /// The count, if it was heard a moment ago.
+    /// Returns the count if it is recent.
     ///
-    /// An older one is not passed on: while an owner is being replaced the jobs
-    /// of its queue go on waiting, and a count from before that says there are
-    /// none.
+    /// An older one is not reported: while an owner is being replaced the jobs of its queue
+    /// still wait, and an old count could say that there are none.
     pub fn recent(&self, now: Time, queue: &str) -> Option<usize> {
         let (jobs, at) = self.counts.get(queue)?;
         (now - *at <= FRESH).then_some(*jobs)
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! Calls to the store by way of peers, for a VM that it turns away.
+//! Calls to the store through peers, for a VM that the store rejects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::peer::{self, Ask, Reply};
 use crate::store::Relay;
 
-/// Peers asked to make a call to the store, one after the other.
+/// How many peers are tried for a call, one after the other.
 const RELAYS: usize = 2;
 
-/// Makes a call for a peer.
+/// Makes a call to the store for a peer.
 pub async fn relayed(
     node: &Rc<Node>,
     method: &str,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Calls the store by way of peers that reach it.
+/// Returns a function that calls the store through peers.
 pub fn relay(node: &Rc<Node>) -> Relay {
     let node = node.clone();
     Rc::new(move |call: Call, within: Duration| {
@@ -84,7 +84,7 @@
     Err(if is_lost { Failed::Lost } else { Failed::Unsent })
 }
 
-/// A number below `bound`, so that peers share what is relayed.
+/// Draws a number below `bound`, so that relayed calls are spread over peers.
 fn draw(bound: usize) -> usize {
     let seed = corianderfork_runtime::clock::seed() % (bound.max(1) as u64);
     usize::try_from(seed).unwrap_or(0)
--- a/crates/entry/src/rendezvous.rs
+++ b/crates/entry/src/rendezvous.rs
@@ -1,7 +1,7 @@
-//! Drawing some of the members for a thing by a hash, so that all of them draw the
-//! same without talking.
+//! Rendezvous hashing: selects members for a key so that all members agree without
+//! communication.
 
-/// The score of a member for a key; those with the least are drawn.
+/// Returns the score of a member for a key; members with the lowest scores are selected.
 ///
 /// FNV-1a over both names: the same in every process and version, unlike the
 /// standard library's hasher.
@@ -13,9 +13,9 @@
     mixed ^ (mixed >> 29)
 }
 
-/// The `count` members drawn for a key, or all where there are fewer.
+/// Returns the `count` members selected for a key, or all if there are fewer.
 ///
-/// When a member comes or goes, only the keys drawn for it go to others.
+/// When a member joins or leaves, only the keys that it is selected for change members.
 ///
 /// ```
 /// use corianderfork_entry::rendezvous::draw;
@@ -23,7 +23,7 @@
 /// let members = ["e1", "e2", "e3", "e4"];
 /// let drawn = draw(members.into_iter(), "5c0e7a21d94b36f8", 2);
 /// assert_eq!(drawn.len(), 2);
-/// // One that isn't drawn goes: the same two are drawn.
+/// // Without the others, the same two are selected.
 /// let others = members.into_iter().filter(|name| drawn.contains(name));
 /// assert_eq!(draw(others, "5c0e7a21d94b36f8", 2), drawn);
 /// ```
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! The daemon's start and its end.
+//! Startup and shutdown of the daemon.
 
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -22,16 +22,16 @@
 use crate::trace::Trace;
 use crate::{clock, follow, member, relay};
 
-/// Unused connections that are kept to each peer. A question takes milliseconds, and
-/// what all entry VMs keep is open at one of them. *Measured* on days of 44 entry VMs:
-/// with 24 each the owner of a busy pool had its 150 connections taken by unused ones.
+/// Unused connections kept to each peer. A request takes milliseconds, and each connection
+/// kept by any entry VM is open at the receiver. *Measured* on days of 44 entry VMs: with 24
+/// each, unused connections took all 150 connections of the owner of a busy pool.
 const PEER_KEPT: usize = 4;
-/// How often the settings file is looked at: it may change without a signal.
+/// How often the settings file is checked: it may change without a signal.
 const SETTINGS: Duration = Duration::from_secs(2);
-/// How long after SIGTERM new connections still come: the balancer notices
-/// after two looks of a second each.
+/// How long new connections still arrive after SIGTERM: the balancer notices after two
+/// checks of a second each.
 const NOTICED: Duration = Duration::from_millis(2_600);
-/// What is left of the grace period when the daemon ends at the latest.
+/// How long before the end of the grace period the daemon exits at the latest.
 const SPARE: Duration = Duration::from_millis(500);
 
 /// Runs the daemon.
@@ -110,8 +110,8 @@
     let Ok(mut term) = signal(SignalKind::terminate()) else {
         return std::future::pending().await;
     };
-    // SIGHUP says that the settings changed, which is looked at anyway; without
-    // a handler it would end the process.
+    // SIGHUP announces changed settings, which are polled anyway; without a handler it would
+    // end the process.
     let hup = signal(SignalKind::hangup());
     if let Ok(mut hup) = hup {
         spawn_local(async move { while hup.recv().await.is_some() {} });
@@ -119,8 +119,7 @@
     term.recv().await;
 }
 
-/// Looks whether the settings changed. What can change in a running process is
-/// told; an address can't.
+/// Logs changes of the settings file. They take effect at the next start.
 async fn watch_settings(node: Rc<Node>, path: PathBuf) {
     let mut last = node.settings.clone();
     loop {
@@ -138,8 +137,8 @@
     }
 }
 
-/// Ends gracefully: not ready at once, duties handed over at once, and every
-/// request on an open connection answered until the end.
+/// Shuts down gracefully: reports not ready, hands duties over, and answers requests on open
+/// connections until the end.
 async fn stop(node: &Rc<Node>, gauge: &Gauge, kept: tokio::task::JoinHandle<()>) {
     let begun = clock::now();
     node.trace.key(
@@ -149,7 +148,7 @@
     node.stopping.set(true);
     gauge.closing.set(true);
     member::hand_over(node).await;
-    // Its record goes last: peers still ask here what was granted.
+    // Its record is removed only then: peers still ask for the grants.
     let _ = kept.await;
     let last = node.settings.grace.saturating_sub(SPARE);
     loop {
@@ -164,6 +163,6 @@
         "stopped",
         json!({ "requests": gauge.requests.get(), "connections": gauge.connections.get() }),
     );
-    // The log's thread writes what is queued.
+    // Lets the log's thread write the queued lines.
     tokio::time::sleep(Duration::from_millis(30)).await;
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 on an address.
+//! An HTTP/1.1 server.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,68 +20,68 @@
 
 use crate::trace::Trace;
 
-/// How long a caller may take over the head of a request.
+/// How long a client may take to send the head of a request.
 const HEAD: Duration = Duration::from_secs(15);
-/// The pause after an accept failed, for want of descriptors as a rule.
+/// The pause after a failed accept, which usually means that descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request, read whole.
+/// A request with its whole body.
 #[derive(Debug)]
 pub struct Asked {
     /// The method.
     pub method: String,
-    /// The host that it names.
+    /// The requested host.
     pub host: String,
     /// The path.
     pub path: String,
-    /// How long the caller waits, if it says so, in milliseconds.
+    /// The caller's deadline in milliseconds, if it has one.
     pub deadline_ms: Option<u64>,
-    /// The body; `None` if it was longer than is taken.
+    /// The body; `None` if it was too long or incomplete.
     pub body: Option<Bytes>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Told {
     /// The status.
     pub status: u16,
     /// The body, as JSON or text.
     pub body: Vec<u8>,
-    /// When to come back, in seconds.
+    /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
 }
 
 impl Told {
-    /// An answer without a request to come back.
+    /// Returns a response without a `Retry-After` header.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self { status, body, retry_after: None }
     }
 }
 
-/// Answers requests.
+/// A request handler.
 pub type Handler = Rc<dyn Fn(Asked) -> Pin<Box<dyn Future<Output = Told>>>>;
 
-/// What is open on one address, and whether it is to be closed.
+/// The load and limits of one address.
 #[derive(Clone, Default)]
 pub struct Gauge {
-    /// What the address is for.
+    /// The purpose of the address.
     pub name: &'static str,
     /// Open connections.
     pub connections: Rc<Cell<usize>>,
-    /// Requests being answered.
+    /// Requests in progress.
     pub requests: Rc<Cell<usize>>,
-    /// Whether each answer is the last on its connection.
+    /// Whether connections are closed after their next response.
     pub closing: Rc<Cell<bool>>,
-    /// Most connections at once.
+    /// The most open connections.
     pub most: Rc<Cell<usize>>,
-    /// Connections that were closed unheard since there were so many.
+    /// Connections closed at once because of that limit.
     pub closed: Rc<Cell<usize>>,
-    /// The longest body that is taken.
+    /// The longest accepted body, in bytes.
     pub max_body: Rc<Cell<usize>>,
 }
 
 impl Gauge {
-    /// What is open on the address `name`, `most` connections at once.
+    /// Returns the gauge of the address `name`, which allows `limit` connections.
     pub fn new(name: &'static str, most: usize) -> Self {
         Self { name, most: Rc::new(Cell::new(most)), ..Self::default() }
     }
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the address can't be had.
+/// Fails if the address can't be bound.
 pub async fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
@@ -101,8 +101,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Past the bound a connection is closed at once: descriptors
-                // are needed for the store and the workers.
+                // Beyond the limit a connection is closed at once: descriptors are needed
+                // for the store and the workers.
                 if gauge.connections.get() < gauge.most.get() {
                     spawn_local(connection(stream, gauge.clone(), handler.clone()));
                 } else {
@@ -149,7 +149,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD)
         .serve_connection(TokioIo::new(stream), service);
-    // A caller that breaks off is no fault of ours.
+    // A connection broken by the client is not an error of this process.
     let _ = served.await;
 }
 
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the daemon is told at its start.
+//! The daemon's settings.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -7,9 +7,9 @@
 use corianderfork_model::Name;
 use corianderfork_runtime::settings::{Error, File};
 
-/// The share of a core that a Mbit/s of network is worth. An owner's calls to
-/// workers cost about 46 us of a core and 1.2 kB of network each, so that 0.25
-/// of a core goes with about 50 Mbit/s.
+/// The share of a core that corresponds to one Mbit/s of network. An owner's calls to workers
+/// cost about 46 us of a core and 1.2 kB of network each, so that 0.25 of a core corresponds
+/// to about 50 Mbit/s.
 const CORES_PER_MBPS: f64 = 0.005;
 
 /// The settings of an entry daemon.
@@ -19,35 +19,35 @@
     pub name: Name,
     /// Its data centre.
     pub data_centre: Name,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// The address for readiness checks of the balancer.
     pub readiness: SocketAddr,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peers: SocketAddr,
-    /// Where its metrics are read.
+    /// The address for metrics.
     pub metrics: SocketAddr,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The service that moves and maintains VMs, if there is one.
+    /// The address of the service that moves and maintains VMs, if any.
     pub fleet: Option<SocketAddr>,
-    /// The service that says which workers may run a step, if there is one.
+    /// The address of the advice service, which says which workers may run a step, if any.
     pub advice: Option<SocketAddr>,
-    /// How many orders that service takes a second, from all together.
+    /// How many orders a second the fleet service accepts from all clients together.
     pub fleet_orders: f64,
-    /// What it can carry, in thousandths of a core.
+    /// This VM's capacity, in thousandths of a core.
     pub capacity: u64,
-    /// Descriptors that it may have open.
+    /// The limit of open descriptors.
     pub max_fds: usize,
-    /// How long it has from SIGTERM to its end.
+    /// The time from SIGTERM to the end of the process.
     pub grace: Duration,
-    /// The longest lease that a worker takes.
+    /// The longest lease that a worker accepts.
     pub max_lease: Duration,
-    /// How many times as long a task takes away from the rack of its data.
+    /// The factor by which a task takes longer away from the rack of its data.
     pub remote: f64,
-    /// How long the state of a finished job is told.
+    /// How long the state of a finished job is kept.
     pub remember: Duration,
-    /// How long two holders' orders for a VM have to be apart.
+    /// The minimum time between two holders' orders for a VM.
     pub order_gap: Duration,
 }
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with all that is missing, wrong or unknown.
+    /// Fails with everything that is missing, wrong or unknown.
     pub fn read(path: &Path) -> Result<Self, Error> {
         Self::take(File::read(path)?)
     }
