--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as the daemon calls it.
+//! Client of the platform's store.
 
 mod routing;
 
@@ -19,49 +19,49 @@
 use crate::trace::Trace;
 use routing::WATCH;
 
-/// How long an answer of the store may take. It answers in milliseconds; when it
-/// is slow, in some hundreds.
+/// How long the store may take to respond. It takes milliseconds, or some hundreds of them
+/// when it is slow.
 const ANSWER: Duration = Duration::from_millis(800);
-/// How much longer than it was asked to wait a watch may take.
+/// How much longer a watch may take than the wait that it asks for.
 const WATCH_SLACK: Duration = Duration::from_millis(600);
-/// Pages of one read: a bound on a read that never ends.
+/// The most pages of one read, so that it always ends.
 const MAX_PAGES: usize = 2_000;
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing was done.
+    /// The call had no effect.
     #[error("{0}; nothing was done")]
     NotDone(String),
-    /// It may have been done, or may still be.
+    /// The call may have been carried out, or may still be.
     #[error("no answer from the store; it may have been done")]
     Unknown,
 }
 
-/// What else reaches the store when this VM is turned away: calls through peers.
+/// Makes a call through peers while the store rejects this VM.
 pub type Relay = Rc<dyn Fn(Call, Duration) -> RelayFuture>;
 /// The answer to a relayed call.
 pub type RelayFuture =
     std::pin::Pin<Box<dyn std::future::Future<Output = Result<(u16, Bytes), Failed>>>>;
 
-/// Calls the store.
+/// Client of the store.
 pub struct Store {
     address: SocketAddr,
     client: Rc<Client>,
     trace: Trace,
     metrics: Metrics,
     relay: RefCell<Option<Relay>>,
-    /// When it last answered, to this VM or through a peer.
+    /// When the store last responded, to this VM or through a peer.
     answered: Cell<Time>,
     /// Whether the last direct call was answered.
     is_direct: Cell<bool>,
-    /// When a direct call is tried again.
+    /// When the next direct call may be tried.
     retry_direct: Cell<Time>,
     outage: RefCell<Outage>,
 }
 
 impl Store {
-    /// The store at `address`.
+    /// Returns a client of the store at `address`.
     pub fn new(address: SocketAddr, client: Rc<Client>, trace: Trace, metrics: Metrics) -> Self {
         Self {
             address,
@@ -76,23 +76,23 @@
         }
     }
 
-    /// Sets how peers are asked to make a call.
+    /// Sets the function that makes calls through peers.
     pub fn set_relay(&self, relay: Relay) {
         *self.relay.borrow_mut() = Some(relay);
     }
 
-    /// When the store last answered.
+    /// Returns when the store last responded.
     pub fn answered(&self) -> Time {
         self.answered.get()
     }
 
-    /// Whether the store is taken to be away, for this VM and its peers.
+    /// Whether the store is considered down, for this VM and its peers.
     pub fn is_away(&self) -> bool {
         self.outage.borrow().is_away(clock::now())
     }
 
-    /// What [`Store::is_away`] rests on, for the log: how long ago it last
-    /// answered, and how many calls have failed since.
+    /// Returns the evidence for [`Store::is_away`], for the log: the time since the last
+    /// response and the number of calls that have failed since.
     pub fn evidence(&self) -> (Duration, u32) {
         self.outage.borrow().evidence(clock::now())
     }
@@ -101,27 +101,27 @@
     ///
     /// # Errors
     ///
-    /// Fails if the store doesn't answer.
+    /// Fails if the store doesn't respond.
     pub async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
         Ok(self.read(key).await?.item)
     }
 
-    /// Reads a key, and tells at which revision of the store.
+    /// Reads a key together with the store's revision.
     ///
     /// # Errors
     ///
-    /// Fails if the store doesn't answer.
+    /// Fails if the store doesn't respond.
     pub async fn read(&self, key: &str) -> Result<Reading, Error> {
         let (status, body) = self.call(&store::get(key), "get", ANSWER).await.map_err(failed)?;
         store::got(status, &body).map_err(fault)
     }
 
-    /// Reads all keys with a prefix, page by page. The revision is that of the
-    /// first page: what changed while reading is seen by a watch from there.
+    /// Reads all keys with a prefix, page by page. Returns the revision of the first page:
+    /// a watch from there sees all changes made while reading.
     ///
     /// # Errors
     ///
-    /// Fails if the store doesn't answer.
+    /// Fails if the store doesn't respond.
     pub async fn range(&self, prefix: &str) -> Result<(Vec<Item>, u64), Error> {
         let mut items: Vec<Item> = Vec::new();
         let mut revision = None;
@@ -140,11 +140,11 @@
         Ok((items, revision.unwrap_or(0)))
     }
 
-    /// Waits for changes, `wait` at most.
+    /// Waits for changes, for at most `wait`.
     ///
     /// # Errors
     ///
-    /// Fails if the store doesn't answer.
+    /// Fails if the store doesn't respond.
     pub async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Watched, Error> {
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(1_000);
         let call = store::watch(prefix, after, wait_ms);
@@ -152,21 +152,21 @@
         store::watched(status, &body).map_err(fault)
     }
 
-    /// Changes keys under conditions.
+    /// Applies a transaction: changes keys if its conditions hold.
     ///
     /// # Errors
     ///
-    /// Fails if the store doesn't answer.
+    /// Fails if the store doesn't respond.
     pub async fn txn(&self, txn: &Txn) -> Result<Outcome, Error> {
         let (status, body) = self.call(&store::txn(txn), "txn", ANSWER).await.map_err(failed)?;
         store::txn_done(status, &body).map_err(fault)
     }
 
-    /// Takes out a lease: its number and its time.
+    /// Creates a lease. Returns its number and its time to live.
     ///
     /// # Errors
     ///
-    /// Fails if the store doesn't answer.
+    /// Fails if the store doesn't respond.
     pub async fn lease(&self, ttl: Duration) -> Result<(u64, Duration), Error> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(1_000);
         let (status, body) =
@@ -175,17 +175,17 @@
         Ok((lease, Duration::from_millis(ttl_ms)))
     }
 
-    /// Renews a lease. Whether it still is.
+    /// Renews a lease. Returns whether it still exists.
     ///
     /// # Errors
     ///
-    /// Fails if the store doesn't answer.
+    /// Fails if the store doesn't respond.
     pub async fn keep(&self, lease: u64) -> Result<bool, Error> {
         let (status, _) = self.call(&store::keep(lease), "keep", ANSWER).await.map_err(failed)?;
         store::kept(status).map_err(fault)
     }
 
-    /// Ends a lease; it ends by itself if this fails.
+    /// Revokes a lease; if this fails, it expires.
     pub async fn end(&self, lease: u64) {
         let _ = self.call(&store::end(lease), "end", ANSWER).await;
     }
@@ -201,7 +201,7 @@
 fn fault(fault: Fault) -> Error {
     match fault {
         Fault::Refused(_) => Error::NotDone(fault.to_string()),
-        // Whatever it was, it isn't known that nothing was done.
+        // Any other failure leaves open whether the call was carried out.
         _ => Error::Unknown,
     }
 }
--- a/crates/entry/src/store/routing.rs
+++ b/crates/entry/src/store/routing.rs
@@ -1,5 +1,4 @@
-//! The ways by which calls reach the store: directly, or by way of peers while it
-//! turns this VM away.
+//! Routing of calls to the store: directly, or through peers while it rejects this VM.
 
 use std::time::Duration;
 
@@ -10,19 +9,19 @@
 use crate::clock;
 use crate::http::Failed;
 
-/// The kind of calls that wait for changes.
+/// The kind of watch calls.
 pub(super) const WATCH: &str = "watch";
-/// The pause between two probes while the store is away.
+/// The pause between two probes while the store is down.
 const PROBE: Duration = Duration::from_millis(200);
-/// A key that is read to see whether the store answers; it need not be there.
+/// A key that is read to see whether the store responds; it need not exist.
 const PROBE_KEY: &str = "entry/probe";
-/// How long a VM that was turned away uses its peers before it tries again.
+/// How long a rejected VM uses its peers before it tries directly again.
 const DETOUR: Duration = Duration::from_millis(700);
 
 impl Store {
-    /// Asks the store now and then while it is away, or turns this VM away, so that
-    /// its return is noticed by one small call and not by those of callers: such a call
-    /// takes as long as an answer may take, and its caller was told that nobody knows.
+    /// Probes the store while it is down or rejects this VM, so that its return is noticed
+    /// by one small call rather than by callers' requests: such a request would take the
+    /// whole timeout, and its caller would be told that the outcome is unknown.
     pub async fn probe(&self) {
         loop {
             tokio::time::sleep(PROBE).await;
@@ -36,22 +35,22 @@
         }
     }
 
-    /// Makes a call for a peer: once, and without a detour.
+    /// Makes a call for a peer: once, and only directly.
     pub async fn relayed(&self, call: &Call, within: Duration) -> Result<(u16, Bytes), Failed> {
         self.direct(call, "relayed", within).await
     }
 
-    /// Makes a call, by way of a peer if this VM is turned away.
+    /// Makes a call, through a peer if the store rejects this VM.
     ///
-    /// A call that may have been done is made again by the peer: all calls here
-    /// are reads or are bound to revisions, so that a second one does nothing.
+    /// The peer may repeat a call that was already carried out: all calls here are reads or
+    /// are conditional on revisions, so the second one has no effect.
     pub(super) async fn call(
         &self,
         call: &Call,
         kind: &'static str,
         within: Duration,
     ) -> Result<(u16, Bytes), Failed> {
-        // A watch is answered when something changes, and tells nothing by waiting.
+        // A watch may stay open until something changes, so its delay shows no outage.
         if kind == WATCH {
             let answer = self.call_any_way(call, kind, within).await;
             if is_answer(&answer) {
@@ -116,7 +115,7 @@
                 self.call_by_peers(call, within, is_lost).await
             };
         }
-        // Turned away, the probe alone tries the direct way, and calls that find no peer.
+        // While rejected, only the probe and calls that find no peer go directly.
         let answer = self.call_by_peers(call, within, false).await;
         if answer == Err(Failed::Unsent) && clock::now() >= self.retry_direct.get() {
             return self.call_directly(call, kind, within).await;
@@ -136,7 +135,7 @@
         answer
     }
 
-    /// Makes a call by way of peers. `is_lost`: whether it may have been done already.
+    /// Makes a call through peers. `is_lost`: whether it may have been carried out already.
     async fn call_by_peers(
         &self,
         call: &Call,
@@ -160,7 +159,7 @@
     }
 }
 
-/// Whether the store itself answered, rather than turned the call away.
+/// Whether the store itself responded rather than rejecting the call.
 fn is_answer(answer: &Result<(u16, Bytes), Failed>) -> bool {
     matches!(answer, Ok((status, _)) if !is_refusal(*status))
 }
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -1,4 +1,4 @@
-//! Structured lines on standard output, one a decision.
+//! The log: structured lines on standard output, one for each decision.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,15 +10,15 @@
 
 use crate::clock;
 
-/// Lines that may wait to be written. A reader of the output that stalls costs
-/// lines, which are counted, and never a caller's time.
+/// The most lines waiting to be written. If a reader of the output stalls, lines are dropped
+/// and counted; callers are never delayed.
 const QUEUE: usize = 2_048;
-/// Lines a second, in the long run: at about 200 bytes a line, 60 KB a second.
+/// The sustained rate of lines a second: at about 200 bytes a line, 60 KB a second.
 const RATE: f64 = 300.0;
-/// Lines at once.
+/// The most lines in a burst.
 const BURST: f64 = 1_500.0;
 
-/// Writes the log. Clones write to the same.
+/// Writes the log. Clones write to the same log.
 #[derive(Clone)]
 pub struct Trace {
     sender: SyncSender<String>,
@@ -28,7 +28,7 @@
 }
 
 impl Trace {
-    /// Starts the thread that writes: the output may block, the daemon must not.
+    /// Starts the writer thread: the output may block, the daemon must not.
     pub fn start(node: &str) -> Self {
         let (sender, receiver) = sync_channel(QUEUE);
         let started =
@@ -40,12 +40,12 @@
         Self { sender, dropped: Arc::default(), budget, node: node.into() }
     }
 
-    /// Writes a line that is seldom: starts, stops, duties, dependencies.
+    /// Writes a rare line, bypassing the rate limit: starts, stops, duties, dependencies.
     pub fn key(&self, event: &'static str, fields: Value) {
         self.send(event, &fields);
     }
 
-    /// Writes a line, unless there have been too many lately.
+    /// Writes a line unless the rate limit is exceeded.
     pub fn line(&self, event: &'static str, fields: Value) {
         if !self.take_budget() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -72,7 +72,7 @@
     }
 
     fn take_budget(&self) -> bool {
-        // Only the daemon's one thread takes this lock.
+        // Only the daemon's single thread takes this lock.
         let Ok(mut budget) = self.budget.lock() else { return false };
         let (left, at) = *budget;
         let now = Instant::now();
@@ -93,7 +93,7 @@
             lines.push_str(&line);
             lines.push('\n');
         }
-        // There is nobody to tell that the output is gone.
+        // There is nowhere to report that the output is gone.
         let _ = std::io::stdout().write_all(lines.as_bytes());
     }
 }
