--- a/crates/entry/src/absence.rs
+++ b/crates/entry/src/absence.rs
@@ -8,7 +8,7 @@
 /// How long a VM has to be missing from consecutive lists before it counts as removed. The
 /// list lags by about a second and changes while its pages are read: a VM that moves from
 /// one page to another meanwhile is on neither.
-const GONE: Duration = Duration::from_millis(3_000);
+const REMOVAL_DELAY: Duration = Duration::from_millis(3_000);
 
 /// Records since when VMs are missing; it does no I/O.
 ///
@@ -47,6 +47,6 @@
 
     /// Whether a VM was missing from all lists for long enough.
     pub fn is_gone(&self, now: Time, vm: &str) -> bool {
-        self.since.get(vm).is_some_and(|since| now - *since >= GONE)
+        self.since.get(vm).is_some_and(|since| now - *since >= REMOVAL_DELAY)
     }
 }
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -12,7 +12,7 @@
 
 use crate::duty::Table;
 use crate::lookup::{job_key, run_key};
-use crate::placement::{Entry, Placement, Way, queue_key};
+use crate::placement::{Placement, QueueRecord, QueueRoute, queue_key};
 
 /// Rows of one job in its pool: two conditions and one value.
 const JOB_ROWS: usize = 3;
@@ -21,15 +21,15 @@
 /// Rows of one queue whose record changes: one condition and one value.
 const QUEUE_ROWS: usize = 2;
 /// The most earlier pools that fit into the write of a single job.
-const MOST_EARLIER: usize = (MAX_ROWS - QUEUE_ROWS - JOB_ROWS) / EARLIER_ROWS;
+const MAX_EARLIER_POOLS: usize = (MAX_ROWS - QUEUE_ROWS - JOB_ROWS) / EARLIER_ROWS;
 
 /// A submitted job.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct Submission {
     /// Its queue.
     pub queue: String,
     /// The pool to which the gateway's configuration routes the queue.
-    pub way: Way,
+    pub queue_route: QueueRoute,
     /// Its id.
     pub id: String,
     /// Its acceptance record, encoded.
@@ -39,56 +39,57 @@
 /// Jobs that are accepted in one transaction.
 ///
 /// ```
-/// use corianderfork_entry::admission::{Admission, Offer};
+/// use corianderfork_entry::admission::{Admission, Submission};
 /// use corianderfork_entry::duty::Table;
-/// use corianderfork_entry::placement::Way;
+/// use corianderfork_entry::placement::QueueRoute;
 ///
-/// let way = Way { version: 1, pool: "alpha".to_owned() };
+/// let queue_route = QueueRoute { version: 1, pool: "alpha".to_owned() };
 /// let id = "0123456789abcdef".to_owned();
-/// let offer = Offer { queue: "q".to_owned(), way, id, value: b"{}".to_vec() };
-/// let admission = Admission::new([&offer], &Table::default());
-/// let txn = admission.txn([&offer]);
+/// let submission = Submission { queue: "q".to_owned(), queue_route, id, value: b"{}".to_vec() };
+/// let admission = Admission::new([&submission], &Table::default());
+/// let txn = admission.txn([&submission]);
 /// assert!(txn.expect.contains(&("entry/queue/q".to_owned(), 0)));
 /// assert!(txn.expect.contains(&("job/alpha/0123456789abcdef".to_owned(), 0)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    queues: BTreeMap<String, (Way, Placement)>,
+    queues: BTreeMap<String, (QueueRoute, Placement)>,
     count: usize,
     rows: usize,
 }
 
 impl Admission {
-    /// Takes as many of `offers`, from the first one on, as fit into one transaction.
+    /// Takes as many of `submissions`, from the first one on, as fit into one transaction.
     /// `table` has the known records of the queues.
-    pub fn new<'a>(offers: impl IntoIterator<Item = &'a Offer>, table: &Table) -> Self {
+    pub fn new<'a>(submissions: impl IntoIterator<Item = &'a Submission>, table: &Table) -> Self {
         let mut admission = Self::default();
-        for offer in offers {
-            if !admission.take(offer, table) {
+        for submission in submissions {
+            if !admission.take(submission, table) {
                 break;
             }
         }
         admission
     }
 
-    fn take(&mut self, offer: &Offer, table: &Table) -> bool {
-        if let Some((way, placement)) = self.queues.get(&offer.queue) {
+    fn take(&mut self, submission: &Submission, table: &Table) -> bool {
+        if let Some((queue_route, placement)) = self.queues.get(&submission.queue) {
             let rows = self.rows + job_rows(placement);
             // Two configurations could ask for different changes of the queue's record.
-            if rows > MAX_ROWS || *way != offer.way {
+            if rows > MAX_ROWS || *queue_route != submission.queue_route {
                 return false;
             }
             self.rows = rows;
         } else {
-            let entry = table.queues.get(&offer.queue).unwrap_or(&Entry::Missing);
-            let placement = Placement::new(entry, &offer.way, table.owned());
+            let entry = table.queues.get(&submission.queue).unwrap_or(&QueueRecord::Missing);
+            let placement = Placement::new(entry, &submission.queue_route, table.owned_pools());
             let queue_rows = if placement.change.is_some() { QUEUE_ROWS } else { 1 };
             let rows = self.rows + job_rows(&placement) + queue_rows;
             if rows > MAX_ROWS {
                 return false;
             }
             self.rows = rows;
-            self.queues.insert(offer.queue.clone(), (offer.way.clone(), placement));
+            self.queues
+                .insert(submission.queue.clone(), (submission.queue_route.clone(), placement));
         }
         self.count += 1;
         true
@@ -100,73 +101,75 @@
     }
 
     /// Returns the transaction for those of the jobs that are still to be stored.
-    pub fn txn<'a>(&self, offers: impl IntoIterator<Item = &'a Offer>) -> Txn {
+    pub fn txn<'a>(&self, submissions: impl IntoIterator<Item = &'a Submission>) -> Txn {
         let mut txn = Txn::default();
         for (queue, (_, placement)) in &self.queues {
             txn.expect.push((queue_key(queue), placement.revision));
-            if let Some(places) = &placement.change {
-                let value = serde_json::to_vec(places).unwrap_or_default();
+            if let Some(pool_list) = &placement.change {
+                let value = serde_json::to_vec(pool_list).unwrap_or_default();
                 txn.set.push((queue_key(queue), value, 0));
             }
         }
-        for offer in offers {
-            let Some((_, placement)) = self.queues.get(&offer.queue) else { continue };
-            let earlier = placement.earlier.iter().take(MOST_EARLIER);
+        for submission in submissions {
+            let Some((_, placement)) = self.queues.get(&submission.queue) else { continue };
+            let earlier = placement.earlier.iter().take(MAX_EARLIER_POOLS);
             for pool in std::iter::once(&placement.pool).chain(earlier) {
-                txn.expect.push((job_key(pool, &offer.id), 0));
-                txn.expect.push((run_key(pool, &offer.id), 0));
+                txn.expect.push((job_key(pool, &submission.id), 0));
+                txn.expect.push((run_key(pool, &submission.id), 0));
             }
-            txn.set.push((job_key(&placement.pool, &offer.id), offer.value.clone(), 0));
+            txn.set.push((job_key(&placement.pool, &submission.id), submission.value.clone(), 0));
         }
         txn
     }
 
     /// Returns the pool in which a job is accepted.
-    pub fn pool<'a>(&'a self, offer: &'a Offer) -> &'a str {
-        self.queues.get(&offer.queue).map_or(&offer.way.pool, |(_, placement)| &placement.pool)
+    pub fn pool<'a>(&'a self, submission: &'a Submission) -> &'a str {
+        self.queues
+            .get(&submission.queue)
+            .map_or(&submission.queue_route.pool, |(_, placement)| &placement.pool)
     }
 
     /// Returns the earlier pools that don't fit into the transaction and are read before it.
     /// No job can be accepted there in between: that would change the queue's record, which
     /// the transaction expects to be unchanged.
-    pub fn unchecked(&self, offer: &Offer) -> &[String] {
-        let earlier = self.queues.get(&offer.queue).map(|(_, placement)| &placement.earlier);
-        earlier.and_then(|earlier| earlier.get(MOST_EARLIER..)).unwrap_or_default()
+    pub fn unchecked_pools(&self, submission: &Submission) -> &[String] {
+        let earlier = self.queues.get(&submission.queue).map(|(_, placement)| &placement.earlier);
+        earlier.and_then(|earlier| earlier.get(MAX_EARLIER_POOLS..)).unwrap_or_default()
     }
 
     /// Whether a conflict shows that a job was accepted before.
-    pub fn is_stored(&self, offer: &Offer, items: &[Item]) -> bool {
-        let Some((_, placement)) = self.queues.get(&offer.queue) else { return false };
+    pub fn is_stored(&self, submission: &Submission, items: &[Item]) -> bool {
+        let Some((_, placement)) = self.queues.get(&submission.queue) else { return false };
         std::iter::once(&placement.pool).chain(&placement.earlier).any(|pool| {
-            let keys = [job_key(pool, &offer.id), run_key(pool, &offer.id)];
+            let keys = [job_key(pool, &submission.id), run_key(pool, &submission.id)];
             items.iter().any(|item| keys.contains(&item.key))
         })
     }
 
     /// Returns the queues' records that a conflict shows to differ from what was known.
-    pub fn seen(&self, items: &[Item]) -> Vec<(String, Entry)> {
-        let seen = self.queues.iter().filter_map(|(queue, (_, placement))| {
+    pub fn conflicting_records(&self, items: &[Item]) -> Vec<(String, QueueRecord)> {
+        let conflicting = self.queues.iter().filter_map(|(queue, (_, placement))| {
             let item = items.iter().find(|item| item.key == queue_key(queue));
             let entry = match item {
-                Some(item) => Entry::read(&item.value, item.revision),
+                Some(item) => QueueRecord::read(&item.value, item.revision),
                 // It existed: another writer removed it.
-                None => Entry::Damaged { revision: 0 },
+                None => QueueRecord::Damaged { revision: 0 },
             };
             (entry.revision() != placement.revision).then(|| (queue.clone(), entry))
         });
-        seen.collect()
+        conflicting.collect()
     }
 
     /// Returns the queues' records that the transaction changed, at its revision.
-    pub fn written(&self, revision: u64) -> Vec<(String, Entry)> {
+    pub fn written_records(&self, revision: u64) -> Vec<(String, QueueRecord)> {
         let changed = self.queues.iter().filter_map(|(queue, (_, placement))| {
-            let places = placement.change.clone()?;
-            Some((queue.clone(), Entry::Whole { revision, places }))
+            let pool_list = placement.change.clone()?;
+            Some((queue.clone(), QueueRecord::Valid { revision, pool_list }))
         });
         changed.collect()
     }
 }
 
 fn job_rows(placement: &Placement) -> usize {
-    JOB_ROWS + EARLIER_ROWS * placement.earlier.len().min(MOST_EARLIER)
+    JOB_ROWS + EARLIER_ROWS * placement.earlier.len().min(MAX_EARLIER_POOLS)
 }
--- a/crates/entry/src/arrivals.rs
+++ b/crates/entry/src/arrivals.rs
@@ -10,12 +10,12 @@
 /// How long a VM counts as coming after the list shows it in its new pool, unless the
 /// pool's owner counts its worker earlier: registering, storing and polling the worker
 /// takes some hundreds of milliseconds.
-const ARRIVAL: Duration = Duration::from_millis(2_500);
+const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long an ordered move counts as in progress although the lagging list still shows
 /// the VM in its old pool.
-const LAG: Duration = Duration::from_millis(1_500);
+const LIST_LAG: Duration = Duration::from_millis(1_500);
 
-struct Coming {
+struct Arrival {
     pool: String,
     ordered: Time,
     arrived: Option<Time>,
@@ -30,14 +30,14 @@
 /// just arrived: VMs were sent back in the middle of the ramp-up that had requested them.
 #[derive(Default)]
 pub struct Arrivals {
-    coming: HashMap<String, Coming>,
+    coming: HashMap<String, Arrival>,
 }
 
 impl Arrivals {
     /// Records that a VM was ordered to a pool.
     pub fn order(&mut self, now: Time, vm: &str, pool: &str) {
         let (pool, worker) = (pool.to_owned(), String::new());
-        self.coming.insert(vm.to_owned(), Coming { pool, ordered: now, arrived: None, worker });
+        self.coming.insert(vm.to_owned(), Arrival { pool, ordered: now, arrived: None, worker });
     }
 
     /// Records that the order was not carried out.
@@ -46,39 +46,41 @@
     }
 
     /// Updates the VMs by a list of the fleet that was requested at `listed`.
-    pub fn settle(&mut self, listed: Time, vms: &BTreeMap<String, Vm>) {
+    pub fn update(&mut self, listed: Time, vms: &BTreeMap<String, Vm>) {
         self.coming.retain(|name, coming| {
             let Some(vm) = vms.get(name) else { return false };
-            let is_there = vm.pool == coming.pool && vm.state == State::Up && !vm.worker.is_empty();
-            if is_there {
+            let has_arrived =
+                vm.pool == coming.pool && vm.state == State::Up && !vm.worker.is_empty();
+            if has_arrived {
                 let arrived = *coming.arrived.get_or_insert(listed);
                 coming.worker.clone_from(&vm.worker);
-                return listed - arrived < ARRIVAL;
+                return listed - arrived < ARRIVAL_TIMEOUT;
             }
-            let is_under_way = vm.state == State::Moving || listed - coming.ordered < LAG;
-            is_under_way && vm.state != State::Down
+            let is_in_progress = vm.state == State::Moving || listed - coming.ordered < LIST_LAG;
+            is_in_progress && vm.state != State::Down
         });
     }
 
     /// Returns the instance ids of workers that have arrived in a pool and that its owner
     /// isn't known to count.
     pub fn uncounted(&self, pool: &str) -> Vec<String> {
-        let is_there = |coming: &&Coming| coming.pool == pool && !coming.worker.is_empty();
-        self.coming.values().filter(is_there).map(|coming| coming.worker.clone()).collect()
+        let has_arrived = |coming: &&Arrival| coming.pool == pool && !coming.worker.is_empty();
+        self.coming.values().filter(has_arrived).map(|coming| coming.worker.clone()).collect()
     }
 
     /// Records that the owner of a pool counts these worker instances.
-    pub fn counted(&mut self, pool: &str, lives: &[String]) {
-        self.coming.retain(|_, coming| coming.pool != pool || !lives.contains(&coming.worker));
+    pub fn mark_counted(&mut self, pool: &str, instance_ids: &[String]) {
+        self.coming
+            .retain(|_, coming| coming.pool != pool || !instance_ids.contains(&coming.worker));
     }
 
     /// Returns how many VMs are on their way to a pool.
-    pub fn number(&self, pool: &str) -> usize {
+    pub fn count_coming(&self, pool: &str) -> usize {
         self.coming.values().filter(|coming| coming.pool == pool).count()
     }
 
     /// Whether a VM is on its way.
-    pub fn has(&self, vm: &str) -> bool {
+    pub fn contains(&self, vm: &str) -> bool {
         self.coming.contains_key(vm)
     }
 
@@ -93,7 +95,7 @@
 /// ```
 /// use corianderfork_entry::arrivals::Stock;
 ///
-/// let stock = Stock { there: 12, coming: 8 };
+/// let stock = Stock { present: 12, coming: 8 };
 /// assert_eq!(stock.missing(25), 5);
 /// assert_eq!(stock.keep(15), Some(7));
 /// assert_eq!(stock.keep(20), None);
@@ -102,7 +104,7 @@
 pub struct Stock {
     /// Workers present, including those being vacated: they take work again as soon as the
     /// pool should keep more.
-    pub there: usize,
+    pub present: usize,
     /// VMs on their way.
     pub coming: usize,
 }
@@ -110,17 +112,17 @@
 impl Stock {
     /// Returns the stock of a pool with this load and `coming` VMs on their way.
     pub fn new(load: &Load, coming: usize) -> Self {
-        Self { there: (load.workers + load.surplus) as usize, coming }
+        Self { present: (load.workers + load.surplus) as usize, coming }
     }
 
     /// Returns how many more VMs have to be ordered for the pool to have `target`.
     pub fn missing(&self, target: usize) -> usize {
-        target.saturating_sub(self.there + self.coming)
+        target.saturating_sub(self.present + self.coming)
     }
 
     /// Returns how many of its workers the pool should keep; `None` for all.
     pub fn keep(&self, target: usize) -> Option<usize> {
         let keep = target.saturating_sub(self.coming);
-        (keep < self.there).then_some(keep)
+        (keep < self.present).then_some(keep)
     }
 }
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -7,10 +7,10 @@
 
 /// How long a write without a response may still be carried out: the platform documents
 /// some seconds, and callers retry within that time.
-const UNSURE: Duration = Duration::from_secs(15);
+const UNSURE_TTL: Duration = Duration::from_secs(15);
 /// The most jobs remembered as unsure, this entry VM's and those that it remembers for
 /// others: some hundreds of kilobytes. Beyond that a later attempt may get a 503.
-const MOST_UNSURE: usize = 4_096;
+const MAX_UNSURE: usize = 4_096;
 
 /// Attempts to store jobs by one entry VM, and what it remembers of others'. It does no I/O.
 ///
@@ -19,55 +19,55 @@
 /// store the job and make the refusal untrue.
 ///
 /// ```
-/// use corianderfork_entry::attempts::Tries;
+/// use corianderfork_entry::attempts::Attempts;
 /// use corianderfork_model::Time;
 ///
 /// let at = Time::from_millis;
-/// let mut tries = Tries::default();
-/// assert!(!tries.may_be_stored(at(0), "a"));
-/// tries.begins("a");
-/// assert!(tries.may_be_stored(at(10), "a"));
-/// tries.ends("a");
-/// assert!(!tries.may_be_stored(at(20), "a"));
-/// tries.note_unsure(at(30), "a");
-/// assert!(tries.may_be_stored(at(15_000), "a"));
-/// assert!(!tries.may_be_stored(at(15_030), "a"));
+/// let mut attempts = Attempts::default();
+/// assert!(!attempts.may_be_stored(at(0), "a"));
+/// attempts.begin("a");
+/// assert!(attempts.may_be_stored(at(10), "a"));
+/// attempts.end("a");
+/// assert!(!attempts.may_be_stored(at(20), "a"));
+/// attempts.note_unsure(at(30), "a");
+/// assert!(attempts.may_be_stored(at(15_000), "a"));
+/// assert!(!attempts.may_be_stored(at(15_030), "a"));
 /// ```
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct Attempts {
     /// Waiting attempts of a job plus writes in flight that include it.
-    under_way: HashMap<String, usize>,
+    in_flight: HashMap<String, usize>,
     /// Jobs with a write that was given up, and when.
     unsure: HashMap<String, Time>,
 }
 
-impl Tries {
+impl Attempts {
     /// Records that an attempt of the job starts, or that a write including it is sent.
-    pub fn begins(&mut self, id: &str) {
-        *self.under_way.entry(id.to_owned()).or_default() += 1;
+    pub fn begin(&mut self, id: &str) {
+        *self.in_flight.entry(id.to_owned()).or_default() += 1;
     }
 
     /// Records that such an attempt or write is finished or given up.
-    pub fn ends(&mut self, id: &str) {
-        let left = self.under_way.get(id).map_or(0, |count| count - 1);
+    pub fn end(&mut self, id: &str) {
+        let left = self.in_flight.get(id).map_or(0, |count| count - 1);
         if left == 0 {
-            self.under_way.remove(id);
+            self.in_flight.remove(id);
         } else {
-            self.under_way.insert(id.to_owned(), left);
+            self.in_flight.insert(id.to_owned(), left);
         }
     }
 
     /// Records that a write of the job was given up that may still be carried out.
     pub fn note_unsure(&mut self, now: Time, id: &str) {
-        self.unsure.retain(|_, at| now - *at < UNSURE);
-        if self.unsure.len() < MOST_UNSURE {
+        self.unsure.retain(|_, at| now - *at < UNSURE_TTL);
+        if self.unsure.len() < MAX_UNSURE {
             self.unsure.insert(id.to_owned(), now);
         }
     }
 
     /// Whether any attempt may have stored the job or may still do so.
     pub fn may_be_stored(&self, now: Time, id: &str) -> bool {
-        let is_unsure = self.unsure.get(id).is_some_and(|at| now - *at < UNSURE);
-        is_unsure || self.under_way.contains_key(id)
+        let is_unsure = self.unsure.get(id).is_some_and(|at| now - *at < UNSURE_TTL);
+        is_unsure || self.in_flight.contains_key(id)
     }
 }
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -11,14 +11,14 @@
 use corianderfork_model::Time;
 use serde::{Deserialize, Serialize};
 
-use crate::node::{HOLD_ON, TTL};
-use crate::placement::Entry;
+use crate::node::{LEASE_TTL, OUTAGE_GRACE};
+use crate::placement::QueueRecord;
 use crate::rendezvous::score;
 
 /// The key prefix of members' records; the name follows.
-pub const MEMBERS: &str = "entry/member/";
+pub const MEMBER_PREFIX: &str = "entry/member/";
 /// The key prefix of duties' records; the name follows.
-pub const DUTIES: &str = "entry/duty/";
+pub const DUTY_PREFIX: &str = "entry/duty/";
 /// The common prefix of members' and duties' records.
 pub const PREFIX: &str = "entry/";
 /// The duty of planning for the fleet.
@@ -28,21 +28,21 @@
 /// After an outage of the store in which leases expired, all members register again
 /// within one renewal; without this pause the first one back would take over duties
 /// from holders that are alive.
-const ABSENT: Duration = Duration::from_millis(900);
+const ABSENCE_GRACE: Duration = Duration::from_millis(900);
 /// The extra delay of each further candidate, in case those before it don't take the duty.
-const NEXT: Duration = Duration::from_millis(700);
+const TAKEOVER_STAGGER: Duration = Duration::from_millis(700);
 
 /// How long a replaced holder may go on granting leases: as long as it continues without
 /// the store, plus its previous lease.
-const GOES_ON: Duration = HOLD_ON.saturating_add(TTL);
+const STALE_HOLDER_TIMEOUT: Duration = OUTAGE_GRACE.saturating_add(LEASE_TTL);
 /// The most former holders that a record names.
-const FORMERS: usize = 4;
+const MAX_FORMER_HOLDERS: usize = 4;
 
 /// How long after the restart of a member further restarts are expected.
-const ROLLING: Duration = Duration::from_secs(10);
+const RESTART_WINDOW: Duration = Duration::from_secs(10);
 /// Load above which a recently restarted member is passed over, in millionths of a duty
 /// per thousandth of a core: three duties for a quarter of a core.
-const CROWDED: u64 = 13_000;
+const CROWDED_LOAD: u64 = 13_000;
 
 /// A live process, as its record in the store describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,10 +74,10 @@
     pub peers: Option<SocketAddr>,
     /// Former holders that were not known to have ended when it took over.
     #[serde(default)]
-    pub before: Vec<Former>,
+    pub before: Vec<FormerHolder>,
 }
 
-impl Former {
+impl FormerHolder {
     /// Whether both name the same process; the address is ignored.
     pub fn is_same(&self, other: &Self) -> bool {
         self.name == other.name && self.boot == other.boot
@@ -86,15 +86,15 @@
 
 impl Holder {
     /// Returns this holder and those before it, newest first.
-    fn all(&self) -> impl Iterator<Item = Former> + '_ {
-        let last = Former { name: self.name.clone(), boot: self.boot, peers: self.peers };
+    fn all(&self) -> impl Iterator<Item = FormerHolder> + '_ {
+        let last = FormerHolder { name: self.name.clone(), boot: self.boot, peers: self.peers };
         std::iter::once(last).chain(self.before.iter().cloned())
     }
 }
 
 /// A process that held a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Former {
+pub struct FormerHolder {
     /// Its name.
     pub name: String,
     /// The boot number of its process.
@@ -106,9 +106,9 @@
 
 /// What a new holder of a duty has to know of the former ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Past {
+pub struct HolderHistory {
     /// The former holders, newest first. One without a name handed the duty over.
-    pub formers: Vec<Former>,
+    pub former_holders: Vec<FormerHolder>,
     /// Whether the list names every former holder that may still grant leases.
     pub is_complete: bool,
     /// How much longer any of them may grant leases if none responds.
@@ -132,7 +132,7 @@
     /// Duties by name.
     pub duties: BTreeMap<String, Record>,
     /// Queues' records by queue.
-    pub queues: BTreeMap<String, Entry>,
+    pub queues: BTreeMap<String, QueueRecord>,
     /// When a duty lost its live holder, and the pause before it may be taken, by duty.
     vacant: HashMap<String, (Time, Duration)>,
     /// The revision of each duty's record and when it was first seen here.
@@ -141,18 +141,18 @@
 
 impl Table {
     /// Updates a queue's record unless a newer one is known. Returns whether it changed.
-    pub fn learn(&mut self, queue: &str, entry: Entry) -> bool {
+    pub fn learn(&mut self, queue: &str, entry: QueueRecord) -> bool {
         let known = self.queues.entry(queue.to_owned()).or_default();
-        let is_removed = entry == Entry::Damaged { revision: 0 };
-        let is_news = *known != entry && (is_removed || entry.revision() > known.revision());
-        if is_news {
+        let is_removed = entry == QueueRecord::Damaged { revision: 0 };
+        let is_changed = *known != entry && (is_removed || entry.revision() > known.revision());
+        if is_changed {
             *known = entry;
         }
-        is_news
+        is_changed
     }
 
     /// Returns the pools that have or had an owner.
-    pub fn owned(&self) -> impl Iterator<Item = &str> {
+    pub fn owned_pools(&self) -> impl Iterator<Item = &str> {
         self.duties.keys().map(String::as_str).filter(|duty| *duty != FLEET)
     }
 
@@ -170,15 +170,15 @@
     }
 
     /// Returns what is known of the holders of a duty up to now.
-    pub fn past(&self, now: Time, duty: &str) -> Past {
+    pub fn history(&self, now: Time, duty: &str) -> HolderHistory {
         let may_grant = self.may_grant(now, duty);
         let Some(Record { holder, .. }) = self.duties.get(duty) else {
-            return Past { may_grant, ..Past::default() };
+            return HolderHistory { may_grant, ..HolderHistory::default() };
         };
         // A record that can't be read has neither a name nor an address.
         let is_read = !holder.name.is_empty() || holder.peers.is_some();
-        let is_complete = is_read && holder.before.len() < FORMERS;
-        Past { formers: holder.all().collect(), is_complete, may_grant }
+        let is_complete = is_read && holder.before.len() < MAX_FORMER_HOLDERS;
+        HolderHistory { former_holders: holder.all().collect(), is_complete, may_grant }
     }
 
     /// Returns how much longer the holders of a duty up to now may grant leases on its
@@ -192,23 +192,23 @@
         let record = self.duties.get(duty).cloned().unwrap_or_default();
         let Record { holder, revision } = record;
         if !self.has_restarted(&holder.name, holder.boot) {
-            return GOES_ON;
+            return STALE_HOLDER_TIMEOUT;
         }
-        let is_alive = |former: &Former| !self.has_restarted(&former.name, former.boot);
+        let is_alive = |former: &FormerHolder| !self.has_restarted(&former.name, former.boot);
         if !holder.before.iter().any(is_alive) {
             return Duration::ZERO;
         }
         let seen = self.seen.get(duty).filter(|(seen, _)| *seen == revision);
-        seen.map_or(GOES_ON, |(_, at)| GOES_ON.saturating_sub(now - *at))
+        seen.map_or(STALE_HOLDER_TIMEOUT, |(_, at)| STALE_HOLDER_TIMEOUT.saturating_sub(now - *at))
     }
 
     /// Returns the former holders that the next holder of a duty names in its record.
-    pub fn formers(&self, duty: &str) -> Vec<Former> {
+    pub fn former_holders(&self, duty: &str) -> Vec<FormerHolder> {
         let Some(Record { holder, .. }) = self.duties.get(duty) else { return Vec::new() };
-        let is_meant = |former: &Former| {
+        let may_be_alive = |former: &FormerHolder| {
             !former.name.is_empty() && !self.has_restarted(&former.name, former.boot)
         };
-        holder.all().filter(is_meant).take(FORMERS).collect()
+        holder.all().filter(may_be_alive).take(MAX_FORMER_HOLDERS).collect()
     }
 
     /// Whether the holder of a record is known to be alive.
@@ -224,23 +224,23 @@
     ///
     /// During a rolling restart the youngest members come first: a duty that goes to a
     /// member that is still to be restarted is handed over twice.
-    pub fn due_for(&mut self, now: Time, me: &str, duties: &[String]) -> Vec<String> {
-        let mut held = self.held();
-        let mut mine = Vec::new();
+    pub fn due_duties(&mut self, now: Time, me: &str, duties: &[String]) -> Vec<String> {
+        let mut duty_counts = self.duty_counts();
+        let mut due = Vec::new();
         for duty in duties {
-            let Some(since) = self.vacant_since(now, duty) else { continue };
-            let line = self.line(now, duty, &held);
-            if let Some(first) = line.first() {
-                *held.entry(first.clone()).or_default() += 1;
+            let Some(vacancy) = self.vacant_since(now, duty) else { continue };
+            let candidates = self.takeover_order(now, duty, &duty_counts);
+            if let Some(first) = candidates.first() {
+                *duty_counts.entry(first.clone()).or_default() += 1;
             }
-            let Some(rank) = line.iter().position(|name| name == me) else { continue };
-            let (since, pause) = since;
+            let Some(rank) = candidates.iter().position(|name| name == me) else { continue };
+            let (since, pause) = vacancy;
             let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-            if now - since >= pause + NEXT.saturating_mul(rank) {
-                mine.push(duty.clone());
+            if now - since >= pause + TAKEOVER_STAGGER.saturating_mul(rank) {
+                due.push(duty.clone());
             }
         }
-        mine
+        due
     }
 
     fn vacant_since(&mut self, now: Time, duty: &str) -> Option<(Time, Duration)> {
@@ -252,40 +252,45 @@
         // If nobody holds it or its holder has restarted, there is no need to wait.
         let is_certain =
             record.holder.name.is_empty() || self.members.contains_key(&record.holder.name);
-        let pause = if is_certain { Duration::ZERO } else { ABSENT };
-        let row = self.vacant.entry(duty.to_owned()).or_insert((now, pause));
-        row.1 = row.1.min(pause);
-        Some(*row)
+        let pause = if is_certain { Duration::ZERO } else { ABSENCE_GRACE };
+        let vacancy = self.vacant.entry(duty.to_owned()).or_insert((now, pause));
+        vacancy.1 = vacancy.1.min(pause);
+        Some(*vacancy)
     }
 
-    fn held(&self) -> HashMap<String, u64> {
-        let mut held = HashMap::new();
+    fn duty_counts(&self) -> HashMap<String, u64> {
+        let mut counts = HashMap::new();
         for record in self.duties.values().filter(|record| self.is_live(&record.holder)) {
-            *held.entry(record.holder.name.clone()).or_default() += 1;
+            *counts.entry(record.holder.name.clone()).or_default() += 1;
         }
-        held
+        counts
     }
 
     /// Returns the members in the order in which they should take `duty`.
-    fn line(&self, now: Time, duty: &str, held: &HashMap<String, u64>) -> Vec<String> {
-        let is_young = |member: &Member| now - member.seen < ROLLING;
+    fn takeover_order(
+        &self,
+        now: Time,
+        duty: &str,
+        duty_counts: &HashMap<String, u64>,
+    ) -> Vec<String> {
+        let is_recent = |member: &Member| now - member.seen < RESTART_WINDOW;
         let is_rolling =
-            self.members.values().any(is_young) && !self.members.values().all(is_young);
+            self.members.values().any(is_recent) && !self.members.values().all(is_recent);
         let most = self.members.values().map(|member| member.capacity).max().unwrap_or(0);
-        let mut line: Vec<(u64, u64, &String)> = self
+        let mut candidates: Vec<(u64, u64, &String)> = self
             .members
             .iter()
             .map(|(name, member)| {
-                let duties = held.get(name).copied().unwrap_or(0) + 1;
+                let duties = duty_counts.get(name).copied().unwrap_or(0) + 1;
                 let load = duties * 1_000_000 / member.capacity.max(1);
                 // Weak members come after the strong ones even if they are young.
                 if is_rolling && member.capacity * 2 >= most {
-                    return (load / CROWDED, u64::MAX - member.revision, name);
+                    return (load / CROWDED_LOAD, u64::MAX - member.revision, name);
                 }
                 (load, score(duty, name), name)
             })
             .collect();
-        line.sort();
-        line.into_iter().map(|(.., name)| name.clone()).collect()
+        candidates.sort();
+        candidates.into_iter().map(|(.., name)| name.clone()).collect()
     }
 }
--- a/crates/entry/src/elapsed.rs
+++ b/crates/entry/src/elapsed.rs
@@ -21,9 +21,9 @@
 /// let mut elapsed = Elapsed::default();
 /// elapsed.learn(Time::from_millis(500), 7, Duration::from_secs(20));
 /// let now = Time::from_millis(1_500);
-/// assert_eq!(elapsed.of(now, 7, Time::from_millis(100)), Duration::from_secs(21));
+/// assert_eq!(elapsed.age(now, 7, Time::from_millis(100)), Duration::from_secs(21));
 /// // Nothing was stored for the other wave.
-/// assert_eq!(elapsed.of(now, 8, Time::from_millis(100)), Duration::from_millis(1_400));
+/// assert_eq!(elapsed.age(now, 8, Time::from_millis(100)), Duration::from_millis(1_400));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Elapsed {
@@ -38,7 +38,7 @@
     }
 
     /// Returns the least age of a wave. `since` is when this process first saw it.
-    pub fn of(&self, now: Time, wave: u64, since: Time) -> Duration {
+    pub fn age(&self, now: Time, wave: u64, since: Time) -> Duration {
         let written = self.read.get(&wave).map(|(at, written)| *written + (now - *at));
         written.unwrap_or_default().max(now - since)
     }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -6,17 +6,17 @@
 
 /// How long a pool is asked to release a worker: longer than most tasks take, so that one
 /// worker becomes empty.
-const GIVING: Duration = Duration::from_millis(5_000);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// The pause after a release: as long as its VM takes to be sent away, to return and to be
 /// checked by the advice service.
-const PAUSE: Duration = Duration::from_millis(4_000);
+const RELEASE_PAUSE: Duration = Duration::from_millis(4_000);
 /// Releases in a row before the pause grows. If one instance in three may not run a step,
 /// this many are all refused once in 6,500 times.
-const QUICK: u32 = 8;
+const QUICK_RELEASES: u32 = 8;
 /// The longest pause.
-const LONGEST: Duration = Duration::from_millis(80_000);
+const MAX_PAUSE: Duration = Duration::from_millis(80_000);
 /// The most doublings of the pause, which exceed [`MAX_PAUSE`].
-const MOST_DOUBLED: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// Decides whether a pool releases a worker so that another one may come. It does no I/O.
 ///
@@ -35,54 +35,54 @@
 ///
 /// let at = Time::from_millis;
 /// let mut exchange = Exchange::default();
-/// assert!(!exchange.gives(at(0), false));
-/// assert!(exchange.gives(at(100), true));
-/// exchange.gave(at(200));
-/// assert!(!exchange.gives(at(300), true), "another life comes first");
-/// assert!(exchange.gives(at(4_300), true));
+/// assert!(!exchange.should_release(at(0), false));
+/// assert!(exchange.should_release(at(100), true));
+/// exchange.note_departure(at(200));
+/// assert!(!exchange.should_release(at(300), true), "another instance comes first");
+/// assert!(exchange.should_release(at(4_300), true));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Exchange {
     /// Since when a worker is to be released.
-    giving: Option<Time>,
+    releasing_since: Option<Time>,
     /// Until when none is released.
-    rests_until: Time,
+    paused_until: Time,
     /// The number of releases in a row.
-    given: u32,
+    releases: u32,
 }
 
 impl Exchange {
     /// Whether the pool should release a worker now. `is_stuck`: whether a step is allowed
     /// on none of its workers and it can't get another one.
-    pub fn gives(&mut self, now: Time, is_stuck: bool) -> bool {
-        if self.giving.is_some_and(|since| now - since >= GIVING) {
-            self.rest(now);
+    pub fn should_release(&mut self, now: Time, is_stuck: bool) -> bool {
+        if self.releasing_since.is_some_and(|since| now - since >= RELEASE_TIMEOUT) {
+            self.pause(now);
         }
         if !is_stuck {
-            self.giving = None;
-            if now >= self.rests_until + LONGEST {
-                self.given = 0;
+            self.releasing_since = None;
+            if now >= self.paused_until + MAX_PAUSE {
+                self.releases = 0;
             }
-        } else if self.giving.is_none() && now >= self.rests_until {
-            self.giving = Some(now);
+        } else if self.releasing_since.is_none() && now >= self.paused_until {
+            self.releasing_since = Some(now);
         }
-        self.giving.is_some()
+        self.releasing_since.is_some()
     }
 
     /// Records that a worker of the pool was ordered away. Returns whether this was a
     /// release.
-    pub fn gave(&mut self, now: Time) -> bool {
-        let is_given = self.giving.is_some();
-        if is_given {
-            self.rest(now);
+    pub fn note_departure(&mut self, now: Time) -> bool {
+        let is_release = self.releasing_since.is_some();
+        if is_release {
+            self.pause(now);
         }
-        is_given
+        is_release
     }
 
-    fn rest(&mut self, now: Time) {
-        self.giving = None;
-        self.given += 1;
-        let doubled = self.given.saturating_sub(QUICK).min(MOST_DOUBLED);
-        self.rests_until = now + (PAUSE * (1 << doubled)).min(LONGEST);
+    fn pause(&mut self, now: Time) {
+        self.releasing_since = None;
+        self.releases += 1;
+        let doublings = self.releases.saturating_sub(QUICK_RELEASES).min(MAX_DOUBLINGS);
+        self.paused_until = now + (RELEASE_PAUSE * (1 << doublings)).min(MAX_PAUSE);
     }
 }
--- a/crates/entry/src/explain.rs
+++ b/crates/entry/src/explain.rs
@@ -9,13 +9,13 @@
 
 use crate::clock;
 use crate::node::Node;
-use crate::server::Told;
+use crate::server::HttpResponse;
 
 /// Returns the state of a job and its reason if this daemon owns its pool; otherwise the
 /// owners of all pools.
-pub fn explain(node: &Rc<Node>, id: &str) -> Told {
+pub fn explain(node: &Rc<Node>, id: &str) -> HttpResponse {
     let Ok(id) = id.parse::<JobId>() else {
-        return Told::new(400, caller::error("a job's id has 16 hexadecimal digits"));
+        return HttpResponse::new(400, caller::error("a job's id has 16 hexadecimal digits"));
     };
     let now = clock::now();
     let owners = node.owners.borrow();
@@ -35,5 +35,5 @@
             (404, json!({ "error": error, "duties": holders }))
         }
     };
-    Told::new(status, body.to_string().into_bytes())
+    HttpResponse::new(status, body.to_string().into_bytes())
 }
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -12,34 +12,34 @@
 use serde_json::json;
 
 use crate::clock;
-use crate::duty::{self, DUTIES, MEMBERS};
+use crate::duty::{self, DUTY_PREFIX, MEMBER_PREFIX};
 use crate::node::Node;
 use crate::owner::ms;
-use crate::placement::{self, QUEUES};
+use crate::placement::{self, QUEUE_PREFIX};
 use crate::store::Error;
 
 /// How long a watch waits. Its end shows that it still works: a dead connection is noticed
 /// after this and the response timeout, well within the two seconds in which a configuration
 /// has to be in force.
-const WAIT: Duration = Duration::from_millis(900);
+const WATCH_WAIT: Duration = Duration::from_millis(900);
 /// How long changes of workers' entries are batched. Each heartbeat of each worker is a
 /// change, some 30 a second on a site of 49: read one by one they were nine in ten of all
 /// calls to the store.
-const BEATS: Duration = Duration::from_millis(200);
+const WORKER_BATCH_PAUSE: Duration = Duration::from_millis(200);
 /// The same while workers are expected: on average each of them waits half of this to be
 /// seen, and so does the work that it was sent for.
-const BEATS_EXPECTING: Duration = Duration::from_millis(40);
+const WORKER_BATCH_PAUSE_EXPECTING: Duration = Duration::from_millis(40);
 /// The pause after the store didn't respond.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// An update of followed keys.
-pub enum News {
+pub enum Update {
     /// All existing keys.
     All(Vec<Item>),
     /// A change of one key.
     Change(Event),
     /// All changes written before this time have been reported.
-    Upto(Time),
+    KnownUntil(Time),
 }
 
 /// Follows the keys with `prefix` for as long as `is_wanted`. After changes it pauses for
@@ -47,43 +47,46 @@
 pub async fn follow(
     node: Rc<Node>,
     prefix: String,
-    together: impl Fn() -> Duration,
+    batch_pause: impl Fn() -> Duration,
     is_wanted: impl Fn() -> bool,
-    mut learn: impl FnMut(News),
+    mut apply: impl FnMut(Update),
 ) {
     while is_wanted() {
-        let asked = clock::now();
+        let started = clock::now();
         let (items, mut after) = match node.store.range(&prefix).await {
             Ok(read) => read,
             Err(error) => {
-                log_failed_read(&node, &prefix, "range", asked, &error);
-                tokio::time::sleep(PAUSE).await;
+                log_failed_read(&node, &prefix, "range", started, &error);
+                tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             }
         };
-        learn(News::All(items));
-        learn(News::Upto(asked));
+        apply(Update::All(items));
+        apply(Update::KnownUntil(started));
         while is_wanted() {
-            let asked = clock::now();
-            match node.store.watch(&prefix, after, WAIT).await {
+            let started = clock::now();
+            match node.store.watch(&prefix, after, WATCH_WAIT).await {
                 Ok(Watched::Events(events, revision)) => {
-                    let is_news = !events.is_empty();
+                    let has_changes = !events.is_empty();
                     for event in events {
-                        learn(News::Change(event));
+                        apply(Update::Change(event));
                     }
-                    learn(News::Upto(asked));
+                    apply(Update::KnownUntil(started));
                     after = after.max(revision);
-                    if is_news {
-                        tokio::time::sleep(together()).await;
+                    if has_changes {
+                        tokio::time::sleep(batch_pause()).await;
                     }
                 }
                 Ok(Watched::Compacted) => {
-                    node.trace.line("history lost", json!({ "prefix": prefix, "after": after }));
+                    node.trace.line(
+                        "watch history compacted",
+                        json!({ "prefix": prefix, "after": after }),
+                    );
                     break;
                 }
                 Err(error) => {
-                    log_failed_read(&node, &prefix, "watch", asked, &error);
-                    tokio::time::sleep(PAUSE).await;
+                    log_failed_read(&node, &prefix, "watch", started, &error);
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
@@ -91,39 +94,39 @@
 }
 
 /// Counts and logs a failed read of the followed keys, with the time since it started.
-fn log_failed_read(node: &Node, prefix: &str, call: &'static str, asked: Time, error: &Error) {
+fn log_failed_read(node: &Node, prefix: &str, call: &'static str, started: Time, error: &Error) {
     node.metrics.event("read failed");
     node.trace.line(
         "read failed",
-        json!({ "prefix": prefix, "call": call, "took_ms": ms(clock::now() - asked),
+        json!({ "prefix": prefix, "call": call, "took_ms": ms(clock::now() - started),
             "why": error.to_string() }),
     );
 }
 
 /// Follows the keys that operators write.
 pub async fn operators(node: Rc<Node>) {
-    let learner = node.clone();
-    let learn = move |news: News| match news {
-        News::All(items) => {
+    let target = node.clone();
+    let apply = move |update: Update| match update {
+        Update::All(items) => {
             for item in items {
-                operators_key(&learner, &item.key, &item.value, item.revision);
+                update_from_operators(&target, &item.key, &item.value, item.revision);
             }
         }
-        News::Change(event) => {
+        Update::Change(event) => {
             if let Some(value) = event.value {
-                operators_key(&learner, &event.key, &value, event.revision);
+                update_from_operators(&target, &event.key, &value, event.revision);
             }
         }
-        News::Upto(_) => {}
+        Update::KnownUntil(_) => {}
     };
-    follow(node, config::PREFIX.to_owned(), || Duration::ZERO, || true, learn).await;
+    follow(node, config::PREFIX.to_owned(), || Duration::ZERO, || true, apply).await;
 }
 
-fn operators_key(node: &Rc<Node>, key: &str, value: &[u8], revision: u64) {
+fn update_from_operators(node: &Rc<Node>, key: &str, value: &[u8], revision: u64) {
     if key == config::KEY {
         match config::parse(value) {
             Ok(config) => node.set_config(config, value.len()),
-            Err(error) => unreadable(node, key, revision, &error.to_string()),
+            Err(error) => log_unreadable(node, key, revision, &error.to_string()),
         }
     } else if key.starts_with(config::WAVES) {
         match config::wave(value) {
@@ -132,51 +135,51 @@
                 let number = wave.number;
                 if let Entry::Vacant(entry) = waves.entry(number) {
                     let count = wave.vms.len();
-                    node.trace.key("wave asked for", json!({ "wave": number, "vms": count }));
+                    node.trace.unlimited("wave requested", json!({ "wave": number, "vms": count }));
                     entry.insert((wave, clock::now()));
                 }
             }
-            Err(error) => unreadable(node, key, revision, &error.to_string()),
+            Err(error) => log_unreadable(node, key, revision, &error.to_string()),
         }
     }
 }
 
 /// Follows the records of members, duties and queues.
 pub async fn entries(node: Rc<Node>) {
-    let learner = node.clone();
-    let learn = move |news: News| {
-        match news {
-            News::All(items) => {
-                let there = |key: String| items.iter().any(|item| item.key == key);
-                let mut table = learner.table.borrow_mut();
-                table.members.retain(|name, _| there(format!("{MEMBERS}{name}")));
-                table.duties.retain(|name, _| there(format!("{DUTIES}{name}")));
+    let target = node.clone();
+    let apply = move |update: Update| {
+        match update {
+            Update::All(items) => {
+                let is_listed = |key: String| items.iter().any(|item| item.key == key);
+                let mut table = target.table.borrow_mut();
+                table.members.retain(|name, _| is_listed(format!("{MEMBER_PREFIX}{name}")));
+                table.duties.retain(|name, _| is_listed(format!("{DUTY_PREFIX}{name}")));
                 // Queues' records stay: this read may be older than a job accepted here,
                 // and a record that was removed shows in the next write.
                 drop(table);
                 for item in items {
-                    put(&learner, &item.key, Some(&item.value), item.revision);
+                    update_entry(&target, &item.key, Some(&item.value), item.revision);
                 }
             }
-            News::Change(event) => {
+            Update::Change(event) => {
                 let value = event.value.as_deref();
-                put(&learner, &event.key, value, event.revision);
-                learner.trace.line(
+                update_entry(&target, &event.key, value, event.revision);
+                target.trace.line(
                     "duty or member changed",
                     json!({ "key": event.key, "revision": event.revision, "there": value.is_some() }),
                 );
             }
-            News::Upto(at) => return learner.duties_known.set(at),
+            Update::KnownUntil(at) => return target.duties_known_at.set(at),
         }
-        learner.changed.notify_waiters();
+        target.changed.notify_waiters();
     };
-    follow(node, duty::PREFIX.to_owned(), || Duration::ZERO, || true, learn).await;
+    follow(node, duty::PREFIX.to_owned(), || Duration::ZERO, || true, apply).await;
 }
 
-fn put(node: &Rc<Node>, key: &str, value: Option<&[u8]>, revision: u64) {
+fn update_entry(node: &Rc<Node>, key: &str, value: Option<&[u8]>, revision: u64) {
     let mut table = node.table.borrow_mut();
-    if let Some(name) = key.strip_prefix(MEMBERS) {
-        match value.and_then(|value| readable::<duty::Member>(node, key, value, revision)) {
+    if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
+        match value.and_then(|value| decode::<duty::Member>(node, key, value, revision)) {
             Some(mut member) => {
                 let known = table.members.get(name).filter(|known| known.boot == member.boot);
                 member.seen = known.map_or_else(clock::now, |known| known.seen);
@@ -185,37 +188,42 @@
             }
             None => drop(table.members.remove(name)),
         }
-    } else if let Some(name) = key.strip_prefix(DUTIES) {
+    } else if let Some(name) = key.strip_prefix(DUTY_PREFIX) {
         // A record that can't be decoded names no holder: whoever takes the duty
         // overwrites it.
-        let holder = value.and_then(|value| readable(node, key, value, revision));
+        let holder = value.and_then(|value| decode(node, key, value, revision));
         let revision = if value.is_some() { revision } else { 0 };
         let record = duty::Record { holder: holder.unwrap_or_default(), revision };
         table.put_duty(clock::now(), name, record);
-    } else if let Some(name) = key.strip_prefix(QUEUES) {
+    } else if let Some(name) = key.strip_prefix(QUEUE_PREFIX) {
         // No daemon removes such a record: without it, the queue's pools are unknown.
-        let removed = placement::Entry::Damaged { revision: 0 };
-        let entry = value.map_or(removed, |value| placement::Entry::read(value, revision));
+        let removed = placement::QueueRecord::Damaged { revision: 0 };
+        let entry = value.map_or(removed, |value| placement::QueueRecord::read(value, revision));
         if value.is_some() && entry.pools().is_empty() {
-            unreadable(node, key, revision, "the queue's pools aren't known until it is written");
+            log_unreadable(
+                node,
+                key,
+                revision,
+                "the queue's pools aren't known until it is written",
+            );
         }
         table.learn(name, entry);
     }
 }
 
 /// Decodes an entry; one that can't be decoded is logged and counts as missing.
-fn readable<T: DeserializeOwned>(node: &Node, key: &str, value: &[u8], revision: u64) -> Option<T> {
+fn decode<T: DeserializeOwned>(node: &Node, key: &str, value: &[u8], revision: u64) -> Option<T> {
     match serde_json::from_slice(value) {
         Ok(entry) => Some(entry),
         Err(error) => {
-            unreadable(node, key, revision, &error.to_string());
+            log_unreadable(node, key, revision, &error.to_string());
             None
         }
     }
 }
 
 /// Logs and counts an entry that can't be decoded. The log limits the number of such lines.
-fn unreadable(node: &Node, key: &str, revision: u64, why: &str) {
+fn log_unreadable(node: &Node, key: &str, revision: u64, why: &str) {
     node.metrics.event("entry unreadable");
     node.trace.line("entry unreadable", json!({ "key": key, "revision": revision, "why": why }));
 }
@@ -224,55 +232,55 @@
 pub async fn workers(node: Rc<Node>) {
     loop {
         if node.owners.borrow().is_empty() {
-            node.servers_known.set(false);
+            node.workers_loaded.set(false);
             node.changed.notified().await;
             continue;
         }
-        let (learner, wanted) = (node.clone(), node.clone());
+        let (target, wanted) = (node.clone(), node.clone());
         let is_wanted = move || !wanted.owners.borrow().is_empty();
-        let learn = move |news: News| {
-            match news {
-                News::All(items) => {
-                    learner.servers.borrow_mut().clear();
+        let apply = move |update: Update| {
+            match update {
+                Update::All(items) => {
+                    target.listed_workers.borrow_mut().clear();
                     for item in items {
-                        put_worker(&learner, &item.key, Some(&item.value), item.revision);
+                        update_worker(&target, &item.key, Some(&item.value), item.revision);
                     }
-                    learner.servers_known.set(true);
+                    target.workers_loaded.set(true);
                 }
-                News::Change(event) => {
-                    put_worker(&learner, &event.key, event.value.as_deref(), event.revision);
+                Update::Change(event) => {
+                    update_worker(&target, &event.key, event.value.as_deref(), event.revision);
                 }
-                News::Upto(_) => return,
+                Update::KnownUntil(_) => return,
             }
-            for owner in learner.owners.borrow().values() {
+            for owner in target.owners.borrow().values() {
                 owner.list_changed.set(true);
                 owner.wake.notify_one();
             }
         };
         let expecting = node.clone();
-        let together = move || {
-            let is_expecting = clock::now() < expecting.expects_until.get();
-            if is_expecting { BEATS_EXPECTING } else { BEATS }
+        let batch_pause = move || {
+            let is_expecting = clock::now() < expecting.workers_expected_until.get();
+            if is_expecting { WORKER_BATCH_PAUSE_EXPECTING } else { WORKER_BATCH_PAUSE }
         };
-        follow(node.clone(), worker::PREFIX.to_owned(), together, is_wanted, learn).await;
+        follow(node.clone(), worker::PREFIX.to_owned(), batch_pause, is_wanted, apply).await;
     }
 }
 
 /// Updates or removes a worker by its entry. One that can't be decoded names no worker:
 /// nothing new is sent there, and its running tasks are kept by their lease, as for any
 /// worker that is no longer listed.
-fn put_worker(node: &Rc<Node>, key: &str, value: Option<&[u8]>, revision: u64) {
+fn update_worker(node: &Rc<Node>, key: &str, value: Option<&[u8]>, revision: u64) {
     let id = key.strip_prefix(worker::PREFIX).unwrap_or(key);
     let listed = value.and_then(|value| match worker::listed(key, value, revision) {
         Ok(listed) => Some(listed),
         Err(error) => {
-            unreadable(node, key, revision, &error.to_string());
+            log_unreadable(node, key, revision, &error.to_string());
             None
         }
     });
     match listed {
-        Some(listed) => drop(node.servers.borrow_mut().insert(id.to_owned(), listed)),
-        None if node.servers.borrow_mut().remove(id).is_some() => {
+        Some(listed) => drop(node.listed_workers.borrow_mut().insert(id.to_owned(), listed)),
+        None if node.listed_workers.borrow_mut().remove(id).is_some() => {
             node.trace.line("worker unlisted", json!({ "worker": id, "revision": revision }));
         }
         None => {}
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -17,30 +17,30 @@
 use serde_json::json;
 use tokio::task::spawn_local;
 
-use crate::admission::Offer;
+use crate::admission::Submission;
 use crate::clock;
-use crate::http::Failed;
+use crate::http::CallError;
 use crate::node::Node;
 use crate::owner::ms;
-use crate::peer::{self, Ask, Reply};
-use crate::placement::{Step, Way};
-use crate::server::{Asked, Told};
-use accept::{Accepted, Waiting, patience};
+use crate::peer::{self, Message, Reply};
+use crate::placement::{QueueRoute, Step};
+use crate::server::{HttpRequest, HttpResponse};
+use accept::{Accepted, PendingJob, store_timeout};
 
 /// The `Retry-After` of refused requests, in seconds.
 const RETRY_AFTER: u64 = 1;
 /// The error for a job that isn't stored yet but may be in a moment.
 const UNANSWERED: &str = "a write of the job has no answer yet; ask again";
 /// How long an owner may take to cancel a job.
-const CANCEL: Duration = Duration::from_millis(2_600);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// Handles callers' requests.
 pub struct Gateway {
     node: Rc<Node>,
-    waiting: RefCell<VecDeque<Waiting>>,
-    writing: Cell<usize>,
+    pending_jobs: RefCell<VecDeque<PendingJob>>,
+    writes_in_flight: Cell<usize>,
     /// The number of jobs submitted so far.
-    offers: Cell<u64>,
+    submission_count: Cell<u64>,
 }
 
 impl Gateway {
@@ -48,52 +48,58 @@
     pub fn new(node: Rc<Node>) -> Rc<Self> {
         Rc::new(Self {
             node,
-            waiting: RefCell::default(),
-            writing: Cell::new(0),
-            offers: Cell::new(0),
+            pending_jobs: RefCell::default(),
+            writes_in_flight: Cell::new(0),
+            submission_count: Cell::new(0),
         })
     }
 
     /// Handles a request.
-    pub async fn answer(self: &Rc<Self>, asked: Asked) -> Told {
+    pub async fn answer(self: &Rc<Self>, request: HttpRequest) -> HttpResponse {
         let begun = clock::now();
         let config = self.node.config.borrow().clone();
         let Some(config) = config else {
             return self.log(
-                &asked,
+                &request,
                 begun,
                 refuse("this entry VM has no configuration yet"),
                 "no configuration",
             );
         };
-        let Some(route) = config.route(&asked.host, &asked.path) else {
-            let told = Told::new(404, caller::error("no such queue"));
-            return self.log(&asked, begun, told, "no route");
+        let Some(route) = config.route(&request.host, &request.path) else {
+            let response = HttpResponse::new(404, caller::error("no such queue"));
+            return self.log(&request, begun, response, "no route");
         };
-        let id = asked.path[route.prefix.len()..].to_owned();
-        let (told, why) = match (asked.method.as_str(), id.as_str()) {
+        let id = request.path[route.prefix.len()..].to_owned();
+        let (response, why) = match (request.method.as_str(), id.as_str()) {
             ("GET", "") => self.queued(route).await,
-            ("POST", id) => self.submit(&config, route, id, &asked).await,
+            ("POST", id) => self.submit(&config, route, id, &request).await,
             ("GET", id) => self.state(route, id).await,
             ("DELETE", id) => self.cancel(route, id).await,
-            _ => (Told::new(405, caller::error("send POST, GET or DELETE")), "method"),
+            _ => (HttpResponse::new(405, caller::error("send POST, GET or DELETE")), "method"),
         };
-        self.log(&asked, begun, told, why)
+        self.log(&request, begun, response, why)
     }
 
-    fn log(&self, asked: &Asked, begun: Time, told: Told, why: &'static str) -> Told {
+    fn log(
+        &self,
+        request: &HttpRequest,
+        begun: Time,
+        response: HttpResponse,
+        why: &'static str,
+    ) -> HttpResponse {
         let took = clock::now() - begun;
-        self.node.metrics.request(&asked.method, told.status, took);
+        self.node.metrics.request(&request.method, response.status, took);
         // Successful reads are frequent and are only counted in the metrics.
-        if asked.method != "GET" || told.status >= 400 {
+        if request.method != "GET" || response.status >= 400 {
             self.node.trace.line(
                 "request answered",
-                json!({ "method": asked.method, "path": asked.path, "status": told.status, "why": why,
-                    "took_ms": ms(took), "deadline_ms": asked.deadline_ms,
+                json!({ "method": request.method, "path": request.path, "status": response.status, "why": why,
+                    "took_ms": ms(took), "deadline_ms": request.deadline_ms,
                     "config": self.node.config.borrow().as_ref().map(|config| config.version) }),
             );
         }
-        told
+        response
     }
 
     async fn submit(
@@ -101,37 +107,40 @@
         config: &Config,
         route: &Route,
         id: &str,
-        asked: &Asked,
-    ) -> (Told, &'static str) {
+        request: &HttpRequest,
+    ) -> (HttpResponse, &'static str) {
         if let Err(error) = id.parse::<JobId>() {
-            return (Told::new(400, caller::error(&error.to_string())), "bad id");
+            return (HttpResponse::new(400, caller::error(&error.to_string())), "bad id");
         }
-        let Some(body) = &asked.body else {
-            return (Told::new(413, caller::error("the body is too long or was cut off")), "body");
+        let Some(body) = &request.body else {
+            return (
+                HttpResponse::new(413, caller::error("the body is too long or was cut off")),
+                "body",
+            );
         };
         let job = match caller::job(body) {
             Ok(job) => job,
-            Err(why) => return (Told::new(400, caller::error(&why)), "bad job"),
+            Err(why) => return (HttpResponse::new(400, caller::error(&why)), "bad job"),
         };
-        if self.node.store.is_away() {
-            return self.submit_while_away(route, id).await;
+        if self.node.store.is_down() {
+            return self.submit_while_down(route, id).await;
         }
         let record = Record { queue: route.name.clone(), accepted_ms: clock::wall_ms(), job };
-        let offer = Offer {
+        let submission = Submission {
             queue: route.name.clone(),
-            way: Way { version: config.version, pool: route.pool.clone() },
+            queue_route: QueueRoute { version: config.version, pool: route.pool.clone() },
             id: id.to_owned(),
             value: serde_json::to_vec(&record).unwrap_or_default(),
         };
-        match self.store(offer, patience(asked)).await {
+        match self.store(submission, store_timeout(request)).await {
             Accepted::Stored(pool, revision) => {
-                self.tell_owner(&pool, id, record, revision);
-                (Told::new(200, b"{}".to_vec()), "stored")
+                self.notify_owner(&pool, id, record, revision);
+                (HttpResponse::new(200, b"{}".to_vec()), "stored")
             }
-            Accepted::Known => (Told::new(200, b"{}".to_vec()), "known"),
+            Accepted::Known => (HttpResponse::new(200, b"{}".to_vec()), "known"),
             // The store may have accepted the job before it started rejecting calls.
             Accepted::NotStored if self.is_owned(route, id).await => {
-                (Told::new(200, b"{}".to_vec()), "known")
+                (HttpResponse::new(200, b"{}".to_vec()), "known")
             }
             Accepted::NotStored if !self.may_be_stored(id).await => {
                 (refuse("the store took no job; come back"), "not stored")
@@ -147,24 +156,24 @@
 
     /// Handles a submission while the store is down: the job can't be accepted, but it may
     /// have been before.
-    async fn submit_while_away(&self, route: &Route, id: &str) -> (Told, &'static str) {
+    async fn submit_while_down(&self, route: &Route, id: &str) -> (HttpResponse, &'static str) {
         let (is_owned, may_be_stored) =
             tokio::join!(self.is_owned(route, id), self.may_be_stored(id));
         match (is_owned, may_be_stored) {
-            (true, _) => (Told::new(200, b"{}".to_vec()), "known"),
+            (true, _) => (HttpResponse::new(200, b"{}".to_vec()), "known"),
             (false, true) => {
-                let (told, why) = unknown();
-                (Told { retry_after: Some(RETRY_AFTER), ..told }, why)
+                let (response, why) = unknown();
+                (HttpResponse { retry_after: Some(RETRY_AFTER), ..response }, why)
             }
-            (false, false) => (self.refuse_away(id), "store away"),
+            (false, false) => (self.refuse_while_down(id), "store away"),
         }
     }
 
     /// Whether an owner of one of the queue's pools knows a job.
     async fn is_owned(&self, route: &Route, id: &str) -> bool {
         for pool in self.node.pools_of(&route.name, &route.pool) {
-            let ask = Ask::State { pool: pool.clone(), id: id.to_owned() };
-            let answer = self.node.ask_owner(&pool, ask, peer::PROMPT).await;
+            let message = Message::State { pool: pool.clone(), id: id.to_owned() };
+            let answer = self.node.send_to_owner(&pool, message, peer::SHORT_TIMEOUT).await;
             if let Ok(Reply::State { .. } | Reply::Ending | Reply::Known) = answer {
                 return true;
             }
@@ -173,19 +182,19 @@
     }
 
     /// Refuses a submission that needs the store while it is down: nothing was written.
-    fn refuse_away(&self, id: &str) -> Told {
+    fn refuse_while_down(&self, id: &str) -> HttpResponse {
         let (silent, failures) = self.node.store.evidence();
         self.node.trace.line(
-            "refused while the store is away",
+            "submission refused while the store is down",
             json!({ "job": id, "silent_ms": ms(silent), "failures": failures }),
         );
         refuse("the store is away; nothing was done; come back")
     }
 
     /// Notifies the owner of an accepted job, sooner than its watch would.
-    fn tell_owner(self: &Rc<Self>, pool: &str, id: &str, record: Record, revision: u64) {
+    fn notify_owner(self: &Rc<Self>, pool: &str, id: &str, record: Record, revision: u64) {
         let (node, pool) = (self.node.clone(), pool.to_owned());
-        let ask = Ask::Accepted {
+        let message = Message::Accepted {
             pool: pool.clone(),
             id: id.to_owned(),
             record: Box::new(record),
@@ -193,23 +202,25 @@
         };
         spawn_local(async move {
             // If this fails, the owner learns of the job from its watch.
-            let _ = node.ask_owner(&pool, ask, peer::ANSWER).await;
+            let _ = node.send_to_owner(&pool, message, peer::RESPONSE_TIMEOUT).await;
         });
     }
 
-    async fn cancel(&self, route: &Route, id: &str) -> (Told, &'static str) {
+    async fn cancel(&self, route: &Route, id: &str) -> (HttpResponse, &'static str) {
         let mut search = self.node.search(&route.name, &route.pool);
         loop {
             match search.next() {
                 Step::Pool(pool) => {
-                    let ask = Ask::Cancel { pool: pool.clone(), id: id.to_owned() };
-                    match self.node.ask_owner(&pool, ask, CANCEL).await {
-                        Ok(Reply::Done) => return (Told::new(200, b"{}".to_vec()), "cancelled"),
-                        Ok(Reply::Unknown) => search.absent(),
-                        Ok(_) | Err(Failed::Unsent | Failed::Lost) => search.unclear(),
+                    let message = Message::Cancel { pool: pool.clone(), id: id.to_owned() };
+                    match self.node.send_to_owner(&pool, message, CANCEL_TIMEOUT).await {
+                        Ok(Reply::Done) => {
+                            return (HttpResponse::new(200, b"{}".to_vec()), "cancelled");
+                        }
+                        Ok(Reply::Unknown) => search.mark_absent(),
+                        Ok(_) | Err(CallError::Unsent | CallError::Lost) => search.mark_unclear(),
                     }
                 }
-                Step::Record => self.node.read_record(&route.name, &mut search).await,
+                Step::Record => self.node.read_queue_record(&route.name, &mut search).await,
                 Step::Unclear => {
                     let why = "the cancellation could not be written; ask again";
                     return (refuse(why), "not written");
@@ -220,19 +231,19 @@
                     return (refuse(UNANSWERED), "unanswered");
                 }
                 Step::Absent => {
-                    return (Told::new(410, caller::error("no such job")), "unknown job");
+                    return (HttpResponse::new(410, caller::error("no such job")), "unknown job");
                 }
             }
         }
     }
 
-    async fn queued(&self, route: &Route) -> (Told, &'static str) {
+    async fn queued(&self, route: &Route) -> (HttpResponse, &'static str) {
         if let Some(jobs) = self.count_queued(route).await {
-            self.node.heard.borrow_mut().note(clock::now(), &route.name, jobs);
-            return (Told::new(200, caller::waiting(jobs)), "owner");
+            self.node.queue_counts.borrow_mut().note(clock::now(), &route.name, jobs);
+            return (HttpResponse::new(200, caller::waiting(jobs)), "owner");
         }
-        match self.node.heard.borrow().recent(clock::now(), &route.name) {
-            Some(jobs) => (Told::new(200, caller::waiting(jobs)), "last heard"),
+        match self.node.queue_counts.borrow().recent(clock::now(), &route.name) {
+            Some(jobs) => (HttpResponse::new(200, caller::waiting(jobs)), "last heard"),
             None => (refuse("the queue's owner doesn't answer; come back"), "no answer"),
         }
     }
@@ -241,8 +252,8 @@
     async fn count_queued(&self, route: &Route) -> Option<usize> {
         let mut all = 0;
         for pool in self.node.pools_of(&route.name, &route.pool) {
-            let ask = Ask::Queued { pool: pool.clone(), queue: route.name.clone() };
-            match self.node.ask_owner(&pool, ask, peer::ANSWER).await {
+            let message = Message::Queued { pool: pool.clone(), queue: route.name.clone() };
+            match self.node.send_to_owner(&pool, message, peer::RESPONSE_TIMEOUT).await {
                 Ok(Reply::Queued { jobs }) => all += jobs,
                 _ => return None,
             }
@@ -252,11 +263,11 @@
 }
 
 /// The response for a job that may still be stored: 503 would promise that it never runs.
-fn unknown() -> (Told, &'static str) {
+fn unknown() -> (HttpResponse, &'static str) {
     let why = "it is not known whether the job was stored; send it again";
-    (Told::new(504, caller::error(why)), "unknown")
+    (HttpResponse::new(504, caller::error(why)), "unknown")
 }
 
-fn refuse(why: &str) -> Told {
-    Told { status: 503, body: caller::error(why), retry_after: Some(RETRY_AFTER) }
+fn refuse(why: &str) -> HttpResponse {
+    HttpResponse { status: 503, body: caller::error(why), retry_after: Some(RETRY_AFTER) }
 }
--- a/crates/entry/src/gateway/accept.rs
+++ b/crates/entry/src/gateway/accept.rs
@@ -11,25 +11,25 @@
 use tokio::time::timeout;
 
 use super::Gateway;
-use super::lookup_log::Sought;
-use crate::admission::{Admission, Offer};
-use crate::attempts::Tries;
+use super::lookup_log::PoolLookup;
+use crate::admission::{Admission, Submission};
+use crate::attempts::Attempts;
 use crate::clock;
-use crate::lookup::Next;
-use crate::placement::Entry;
-use crate::server::Asked;
+use crate::lookup::LookupStep;
+use crate::placement::QueueRecord;
+use crate::server::HttpRequest;
 use crate::store::Error;
 
 /// How long storing a job is attempted before the caller is told that it wasn't stored.
 /// This is within a quarter of the time that callers wait.
-const ACCEPT: Duration = Duration::from_millis(700);
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The fraction of a caller's deadline within which its job is to be stored, as a divisor.
-const PATIENCE: u32 = 4;
+const DEADLINE_DIVISOR: u32 = 4;
 /// The pause between two attempts.
-const PAUSE: Duration = Duration::from_millis(40);
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
 /// The most writes of jobs in flight: further ones are sent while the first waits for its
 /// response.
-const WRITES: usize = 4;
+const MAX_WRITES: usize = 4;
 
 /// The outcome of a submission.
 pub(super) enum Accepted {
@@ -44,155 +44,171 @@
 }
 
 /// A job that waits for its write.
-pub(super) struct Waiting {
+pub(super) struct PendingJob {
     /// Identifies this attempt among those of the same job.
-    number: u64,
-    offer: Offer,
-    until: Time,
+    attempt: u64,
+    submission: Submission,
+    deadline: Time,
     /// Whether a write of it may have been carried out unconfirmed.
-    maybe: bool,
-    told: oneshot::Sender<Accepted>,
+    may_be_written: bool,
+    result_sender: oneshot::Sender<Accepted>,
     /// Held while a write includes the job.
-    under_way: Option<UnderWay>,
+    in_flight: Option<InFlight>,
 }
 
 /// Counts an attempt to store a job, or a write that includes it, until dropped. A write
 /// continues after its caller's time is over.
-struct UnderWay {
-    tries: Rc<RefCell<Tries>>,
+struct InFlight {
+    attempts: Rc<RefCell<Attempts>>,
     id: String,
 }
 
-impl UnderWay {
-    fn new(tries: &Rc<RefCell<Tries>>, id: &str) -> Self {
-        tries.borrow_mut().begins(id);
-        Self { tries: tries.clone(), id: id.to_owned() }
+impl InFlight {
+    fn new(attempts: &Rc<RefCell<Attempts>>, id: &str) -> Self {
+        attempts.borrow_mut().begin(id);
+        Self { attempts: attempts.clone(), id: id.to_owned() }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.tries.borrow_mut().ends(&self.id);
+        self.attempts.borrow_mut().end(&self.id);
     }
 }
 
 impl Gateway {
     /// Stores a job; gives up after `within`.
-    pub(super) async fn store(self: &Rc<Self>, offer: Offer, within: Duration) -> Accepted {
-        let (told, accepted) = oneshot::channel();
-        let (number, until) = (self.offers.get(), clock::now() + within);
-        self.offers.set(number + 1);
-        let _trying = UnderWay::new(&self.node.tries, &offer.id);
-        let job = Waiting { number, offer, until, maybe: false, told, under_way: None };
-        self.waiting.borrow_mut().push_back(job);
-        self.write_some();
-        match timeout(within, accepted).await {
-            Ok(accepted) => accepted.unwrap_or(Accepted::Unknown),
-            Err(_) => self.withdraw(number),
+    pub(super) async fn store(
+        self: &Rc<Self>,
+        submission: Submission,
+        within: Duration,
+    ) -> Accepted {
+        let (result_sender, result) = oneshot::channel();
+        let (attempt, deadline) = (self.submission_count.get(), clock::now() + within);
+        self.submission_count.set(attempt + 1);
+        let _in_flight = InFlight::new(&self.node.attempts, &submission.id);
+        let job = PendingJob {
+            attempt,
+            submission,
+            deadline,
+            may_be_written: false,
+            result_sender,
+            in_flight: None,
+        };
+        self.pending_jobs.borrow_mut().push_back(job);
+        self.start_write();
+        match timeout(within, result).await {
+            Ok(result) => result.unwrap_or(Accepted::Unknown),
+            Err(_) => self.withdraw(attempt),
         }
     }
 
     /// Gives up on a job whose time is over. If it still waits for its write, it is
     /// certainly not stored; a write in flight may still be carried out.
-    fn withdraw(&self, number: u64) -> Accepted {
-        let mut waiting = self.waiting.borrow_mut();
-        let before = waiting.len();
-        waiting.retain(|job| job.number != number || job.maybe);
-        if waiting.len() < before { Accepted::NotStored } else { Accepted::Unknown }
+    fn withdraw(&self, attempt: u64) -> Accepted {
+        let mut pending_jobs = self.pending_jobs.borrow_mut();
+        let len_before = pending_jobs.len();
+        pending_jobs.retain(|job| job.attempt != attempt || job.may_be_written);
+        if pending_jobs.len() < len_before { Accepted::NotStored } else { Accepted::Unknown }
     }
 
     /// Starts a write of waiting jobs, unless enough writes are in flight. Jobs that arrive
     /// meanwhile go into the next one together.
-    fn write_some(self: &Rc<Self>) {
-        if self.writing.get() >= WRITES || self.waiting.borrow().is_empty() {
+    fn start_write(self: &Rc<Self>) {
+        if self.writes_in_flight.get() >= MAX_WRITES || self.pending_jobs.borrow().is_empty() {
             return;
         }
-        let count = self.admission(self.waiting.borrow().iter()).count();
-        let mut jobs: Vec<Waiting> = self.waiting.borrow_mut().drain(..count).collect();
+        let count = self.admission(self.pending_jobs.borrow().iter()).count();
+        let mut jobs: Vec<PendingJob> = self.pending_jobs.borrow_mut().drain(..count).collect();
         for job in &mut jobs {
-            job.under_way = Some(UnderWay::new(&self.node.tries, &job.offer.id));
+            job.in_flight = Some(InFlight::new(&self.node.attempts, &job.submission.id));
         }
-        self.writing.set(self.writing.get() + 1);
+        self.writes_in_flight.set(self.writes_in_flight.get() + 1);
         let gateway = self.clone();
         spawn_local(async move {
             gateway.write(jobs).await;
-            gateway.writing.set(gateway.writing.get() - 1);
-            gateway.write_some();
+            gateway.writes_in_flight.set(gateway.writes_in_flight.get() - 1);
+            gateway.start_write();
         });
     }
 
     /// Returns the admission of the jobs that fit in one write, given what is known of their
     /// queues.
-    fn admission<'a>(&self, jobs: impl Iterator<Item = &'a Waiting>) -> Admission {
+    fn admission<'a>(&self, jobs: impl Iterator<Item = &'a PendingJob>) -> Admission {
         let table = self.node.table.borrow();
-        Admission::new(jobs.map(|job| &job.offer), &table)
+        Admission::new(jobs.map(|job| &job.submission), &table)
     }
 
     /// Updates queues' records. Returns whether any of them changed.
-    fn learn(&self, entries: Vec<(String, Entry)>) -> bool {
+    fn learn(&self, entries: Vec<(String, QueueRecord)>) -> bool {
         let mut table = self.node.table.borrow_mut();
-        entries.into_iter().fold(false, |is_news, (queue, entry)| {
+        entries.into_iter().fold(false, |is_changed, (queue, entry)| {
             // `learn` comes first so that every record is updated.
-            table.learn(&queue, entry) || is_news
+            table.learn(&queue, entry) || is_changed
         })
     }
 
     /// Retries a write of jobs until each is known to be stored or its time is over.
-    async fn write(self: &Rc<Self>, mut jobs: Vec<Waiting>) {
+    async fn write(self: &Rc<Self>, mut jobs: Vec<PendingJob>) {
         while !jobs.is_empty() {
             let admission = self.admission(jobs.iter());
             // Jobs of a queue that was just moved to another pool need more rows.
             for mut job in jobs.drain(admission.count()..).rev() {
-                job.under_way = None;
-                self.waiting.borrow_mut().push_front(job);
+                job.in_flight = None;
+                self.pending_jobs.borrow_mut().push_front(job);
             }
-            jobs = self.sift(&admission, jobs).await;
+            jobs = self.resolve_unchecked(&admission, jobs).await;
             if jobs.is_empty() {
                 return;
             }
-            let txn = admission.txn(jobs.iter().map(|job| &job.offer));
-            let mut is_news = false;
+            let txn = admission.txn(jobs.iter().map(|job| &job.submission));
+            let mut is_changed = false;
             match self.node.store.txn(&txn).await {
                 Ok(Outcome::Written(revision)) => {
-                    self.learn(admission.written(revision));
+                    self.learn(admission.written_records(revision));
                     for job in jobs {
-                        let pool = admission.pool(&job.offer).to_owned();
+                        let pool = admission.pool(&job.submission).to_owned();
                         // A caller that left finds its job when it retries.
-                        let _ = job.told.send(Accepted::Stored(pool, revision));
+                        let _ = job.result_sender.send(Accepted::Stored(pool, revision));
                     }
                     return;
                 }
                 Ok(Outcome::Conflict(items)) => {
-                    is_news = self.learn(admission.seen(&items));
-                    let is_stored = |job: &Waiting| admission.is_stored(&job.offer, &items);
-                    let (stored, rest): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_stored);
-                    is_news |= !stored.is_empty();
-                    jobs = rest;
-                    tell_known(stored);
+                    is_changed = self.learn(admission.conflicting_records(&items));
+                    let is_stored = |job: &PendingJob| admission.is_stored(&job.submission, &items);
+                    let (stored, remaining): (Vec<_>, Vec<_>) =
+                        jobs.into_iter().partition(is_stored);
+                    is_changed |= !stored.is_empty();
+                    jobs = remaining;
+                    report_known(stored);
                 }
                 Ok(Outcome::NoLease) | Err(Error::Unknown) => {
-                    jobs.iter_mut().for_each(|job| job.maybe = true);
+                    jobs.iter_mut().for_each(|job| job.may_be_written = true);
                 }
                 Err(Error::NotDone(_)) => {}
             }
-            jobs = self.give_up(jobs, self.node.store.is_away());
-            if !is_news {
-                tokio::time::sleep(PAUSE).await;
+            jobs = self.give_up(jobs, self.node.store.is_down());
+            if !is_changed {
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
     /// Checks the earlier pools that don't fit into the write. Reports the jobs found there
     /// and returns the others; where a pool can't be read, the job is given up.
-    async fn sift(self: &Rc<Self>, admission: &Admission, jobs: Vec<Waiting>) -> Vec<Waiting> {
-        let mut rest = Vec::new();
+    async fn resolve_unchecked(
+        self: &Rc<Self>,
+        admission: &Admission,
+        jobs: Vec<PendingJob>,
+    ) -> Vec<PendingJob> {
+        let mut remaining = Vec::new();
         'jobs: for job in jobs {
-            for pool in admission.unchecked(&job.offer) {
-                let mut sought = Sought::unasked(pool);
-                match self.look_up(pool, &job.offer.id, &mut sought).await {
-                    Ok(Next::Absent) => {}
+            for pool in admission.unchecked_pools(&job.submission) {
+                let mut log = PoolLookup::store_only(pool);
+                match self.look_up(pool, &job.submission.id, &mut log).await {
+                    Ok(LookupStep::Absent) => {}
                     Ok(_) => {
-                        tell_known(vec![job]);
+                        report_known(vec![job]);
                         continue 'jobs;
                     }
                     Err(_) => {
@@ -201,39 +217,41 @@
                     }
                 }
             }
-            rest.push(job);
+            remaining.push(job);
         }
-        rest
+        remaining
     }
 
     /// Gives up jobs whose time is over, or all if the store is down. Returns the others.
-    fn give_up(self: &Rc<Self>, jobs: Vec<Waiting>, is_away: bool) -> Vec<Waiting> {
+    fn give_up(self: &Rc<Self>, jobs: Vec<PendingJob>, is_down: bool) -> Vec<PendingJob> {
         let now = clock::now();
-        let is_over = |job: &Waiting| is_away || now >= job.until;
-        let (over, rest): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_over);
-        for job in over {
-            let accepted = if job.maybe { Accepted::Unknown } else { Accepted::NotStored };
-            let is_heard = job.told.send(accepted).is_ok();
+        let is_expired = |job: &PendingJob| is_down || now >= job.deadline;
+        let (expired, remaining): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_expired);
+        for job in expired {
+            let result = if job.may_be_written { Accepted::Unknown } else { Accepted::NotStored };
+            let is_received = job.result_sender.send(result).is_ok();
             // The caller left and may retry at another entry VM.
-            if job.maybe && !is_heard {
+            if job.may_be_written && !is_received {
                 let gateway = self.clone();
-                spawn_local(async move { gateway.note_unsure(&job.offer.id).await });
+                spawn_local(async move { gateway.note_unsure(&job.submission.id).await });
             }
         }
-        rest
+        remaining
     }
 }
 
-fn tell_known(jobs: Vec<Waiting>) {
+fn report_known(jobs: Vec<PendingJob>) {
     for job in jobs {
         // A caller that left finds its job when it retries.
-        let _ = job.told.send(Accepted::Known);
+        let _ = job.result_sender.send(Accepted::Known);
     }
 }
 
 /// Returns how long a job may wait to be stored: a fraction of the caller's deadline, so
 /// that a caller with a short deadline gets its response before it.
-pub(super) fn patience(asked: &Asked) -> Duration {
-    let deadline = asked.deadline_ms.map_or(ACCEPT, |ms| Duration::from_millis(ms) / PATIENCE);
-    ACCEPT.min(deadline).max(PAUSE)
+pub(super) fn store_timeout(request: &HttpRequest) -> Duration {
+    let deadline = request
+        .deadline_ms
+        .map_or(STORE_TIMEOUT, |ms| Duration::from_millis(ms) / DEADLINE_DIVISOR);
+    STORE_TIMEOUT.min(deadline).max(RETRY_PAUSE)
 }
--- a/crates/entry/src/gateway/lookup_log.rs
+++ b/crates/entry/src/gateway/lookup_log.rs
@@ -4,13 +4,13 @@
 use serde::Serialize;
 
 use crate::clock;
-use crate::http::Failed;
+use crate::http::CallError;
 use crate::owner::ms;
 use crate::peer::Reply;
 
 /// How one pool was searched for a job.
 #[derive(Debug, Serialize)]
-pub(super) struct Sought {
+pub(super) struct PoolLookup {
     pool: String,
     /// What the pool's owner replied.
     owner: &'static str,
@@ -31,15 +31,15 @@
     took_ms: u64,
 }
 
-impl Sought {
+impl PoolLookup {
     /// Records the owner's reply to a request sent at `begun`.
-    pub fn new(pool: &str, begun: Time, answer: &Result<Reply, Failed>) -> Self {
+    pub fn new(pool: &str, begun: Time, answer: &Result<Reply, CallError>) -> Self {
         let owner_ms = ms(clock::now() - begun);
-        Self { pool: pool.to_owned(), owner: said(answer), owner_ms, reads: Vec::new() }
+        Self { pool: pool.to_owned(), owner: describe(answer), owner_ms, reads: Vec::new() }
     }
 
     /// Records that the owner of `pool` isn't asked.
-    pub fn unasked(pool: &str) -> Self {
+    pub fn store_only(pool: &str) -> Self {
         Self { pool: pool.to_owned(), owner: "not asked", owner_ms: 0, reads: Vec::new() }
     }
 
@@ -49,15 +49,15 @@
     }
 }
 
-fn said(answer: &Result<Reply, Failed>) -> &'static str {
+fn describe(answer: &Result<Reply, CallError>) -> &'static str {
     match answer {
         Ok(Reply::State { .. }) => "a state",
-        Ok(Reply::Ending) => "over, perhaps not written",
+        Ok(Reply::Ending) => "ended, perhaps not written",
         Ok(Reply::Unknown) => "no such job",
         Ok(Reply::NotOwner) => "not the owner",
-        Ok(Reply::Known) => "known, not sure where it stands",
-        Ok(_) => "something else",
-        Err(Failed::Unsent) => "not reached",
-        Err(Failed::Lost) => "no answer",
+        Ok(Reply::Known) => "known, state uncertain",
+        Ok(_) => "unexpected reply",
+        Err(CallError::Unsent) => "unreachable",
+        Err(CallError::Lost) => "no answer",
     }
 }
--- a/crates/entry/src/gateway/state.rs
+++ b/crates/entry/src/gateway/state.rs
@@ -5,31 +5,31 @@
 use corianderfork_jobs::record::State;
 use serde_json::json;
 
-use super::lookup_log::Sought;
+use super::lookup_log::PoolLookup;
 use super::{Gateway, UNANSWERED, refuse};
 use crate::clock;
-use crate::lookup::{Lookup, Next};
-use crate::peer::{self, Ask, Reply};
+use crate::lookup::{Lookup, LookupStep};
+use crate::peer::{self, Message, Reply};
 use crate::placement::Step;
-use crate::server::Told;
+use crate::server::HttpResponse;
 use crate::store::Error;
 
 /// The event logged when a caller is told that a job doesn't exist.
 const UNKNOWN: &str = "job told unknown";
 
 impl Gateway {
-    pub(super) async fn state(&self, route: &Route, id: &str) -> (Told, &'static str) {
+    pub(super) async fn state(&self, route: &Route, id: &str) -> (HttpResponse, &'static str) {
         let mut search = self.node.search(&route.name, &route.pool);
-        let mut sought = Vec::new();
+        let mut lookups = Vec::new();
         loop {
             let pool = match search.next() {
                 Step::Pool(pool) => pool,
                 Step::Record => {
-                    self.node.read_record(&route.name, &mut search).await;
+                    self.node.read_queue_record(&route.name, &mut search).await;
                     continue;
                 }
                 Step::Unclear => {
-                    self.log_sought("state not known", route, id, &sought);
+                    self.log_lookups("state not known", route, id, &lookups);
                     let why = "neither the owner nor the store answers; come back";
                     return (refuse(why), "no answer");
                 }
@@ -38,42 +38,44 @@
                 }
                 Step::Absent => break,
             };
-            let ask = Ask::State { pool: pool.clone(), id: id.to_owned() };
+            let message = Message::State { pool: pool.clone(), id: id.to_owned() };
             let begun = clock::now();
-            let answer = self.node.ask_owner(&pool, ask, peer::ANSWER).await;
-            let mut row = Sought::new(&pool, begun, &answer);
+            let answer = self.node.send_to_owner(&pool, message, peer::RESPONSE_TIMEOUT).await;
+            let mut lookup_log = PoolLookup::new(&pool, begun, &answer);
             let has_begun = matches!(answer, Ok(Reply::Ending));
             match answer {
                 Ok(Reply::State { state }) => {
-                    return (Told::new(200, caller::state(state)), "owner");
+                    return (HttpResponse::new(200, caller::state(state)), "owner");
                 }
-                _ if self.node.store.is_away() => search.unclear(),
-                _ => match self.look_up(&pool, id, &mut row).await {
+                _ if self.node.store.is_down() => search.mark_unclear(),
+                _ => match self.look_up(&pool, id, &mut lookup_log).await {
                     // The record of a job's first tasks is written after they start.
-                    Ok(Next::Found(State::Queued)) if has_begun => {
-                        return (Told::new(200, caller::state(State::Running)), "owner");
+                    Ok(LookupStep::Found(State::Queued)) if has_begun => {
+                        return (HttpResponse::new(200, caller::state(State::Running)), "owner");
                     }
-                    Ok(Next::Found(state)) => {
-                        return (Told::new(200, caller::state(state)), "store");
+                    Ok(LookupStep::Found(state)) => {
+                        return (HttpResponse::new(200, caller::state(state)), "store");
+                    }
+                    Ok(LookupStep::Absent) => search.mark_absent(),
+                    Ok(LookupStep::Read(_) | LookupStep::Unreadable) | Err(_) => {
+                        search.mark_unclear()
                     }
-                    Ok(Next::Absent) => search.absent(),
-                    Ok(Next::Read(_) | Next::Unreadable) | Err(_) => search.unclear(),
                 },
             }
-            sought.push(row);
+            lookups.push(lookup_log);
         }
-        self.log_sought(UNKNOWN, route, id, &sought);
-        (Told::new(410, caller::error("no such job")), "unknown job")
+        self.log_lookups(UNKNOWN, route, id, &lookups);
+        (HttpResponse::new(410, caller::error("no such job")), "unknown job")
     }
 
     /// Logs the lookups behind a response that reports no state.
-    fn log_sought(&self, event: &'static str, route: &Route, id: &str, sought: &[Sought]) {
+    fn log_lookups(&self, event: &'static str, route: &Route, id: &str, lookups: &[PoolLookup]) {
         self.node.metrics.event(event);
         let fields =
-            json!({ "job": id, "queue": route.name, "pool": route.pool, "sought": sought });
+            json!({ "job": id, "queue": route.name, "pool": route.pool, "sought": lookups });
         // Bypasses the rate limit: this is rare, and it must not be dropped in a burst.
         if event == UNKNOWN {
-            self.node.trace.key(event, fields);
+            self.node.trace.unlimited(event, fields);
         } else {
             self.node.trace.line(event, fields);
         }
@@ -84,19 +86,19 @@
         &self,
         pool: &str,
         id: &str,
-        sought: &mut Sought,
-    ) -> Result<Next, Error> {
+        log: &mut PoolLookup,
+    ) -> Result<LookupStep, Error> {
         let mut lookup = Lookup::new(pool, id);
         loop {
             let key = match lookup.next() {
-                Next::Read(key) => key,
+                LookupStep::Read(key) => key,
                 found => return Ok(found),
             };
             let begun = clock::now();
             let reading = self.node.store.read(&key).await;
             let there = reading.as_ref().ok().map(|reading| reading.item.is_some());
             let revision = reading.as_ref().ok().and_then(|reading| reading.revision);
-            sought.note(key, begun, there, revision);
+            log.note(key, begun, there, revision);
             lookup.learn(reading?.item.as_ref().map(|item| item.value.as_slice()));
         }
     }
--- a/crates/entry/src/gateway/uncertain.rs
+++ b/crates/entry/src/gateway/uncertain.rs
@@ -8,14 +8,14 @@
 
 use super::Gateway;
 use crate::clock;
-use crate::http::Failed;
-use crate::peer::{self, Ask, Reply};
-use crate::rendezvous::draw;
+use crate::http::CallError;
+use crate::peer::{self, Message, Reply};
+use crate::rendezvous::select;
 
 /// How many entry VMs remember such a job for all: one of them may be down.
 const KEEPERS: usize = 2;
 /// How long they may take to reply: it takes milliseconds, and a caller waits.
-const PROMPT: Duration = Duration::from_millis(100);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The entry VMs that remember a job, seen from one of all entry VMs.
 struct Keepers {
@@ -33,14 +33,17 @@
     /// with 503, which promises that the job never runs, while the write may still be
     /// carried out: the caller would give up on a job that runs.
     pub(super) async fn note_unsure(&self, id: &str) {
-        self.node.tries.borrow_mut().note_unsure(clock::now(), id);
-        let told = self.ask_all(&self.keepers(id).others, &Ask::Unsure { id: id.to_owned() });
+        self.node.attempts.borrow_mut().note_unsure(clock::now(), id);
+        let replies =
+            self.send_to_peers(&self.keepers(id).others, &Message::Unsure { id: id.to_owned() });
         let mut missed = 0;
-        for told in told {
-            missed += usize::from(!matches!(told.await, Ok(Ok(Reply::Done))));
+        for reply in replies {
+            missed += usize::from(!matches!(reply.await, Ok(Ok(Reply::Done))));
         }
         if missed > 0 {
-            self.node.trace.line("doubt not passed on", json!({ "job": id, "missed": missed }));
+            self.node
+                .trace
+                .line("uncertain write not reported", json!({ "job": id, "missed": missed }));
         }
     }
 
@@ -49,16 +52,16 @@
     ///
     /// If none of the entry VMs that would know replies, it may be.
     pub(super) async fn may_be_stored(&self, id: &str) -> bool {
-        if self.node.tries.borrow().may_be_stored(clock::now(), id) {
+        if self.node.attempts.borrow().may_be_stored(clock::now(), id) {
             return true;
         }
         let keepers = self.keepers(id);
-        let asked = self.ask_all(&keepers.others, &Ask::Tried { id: id.to_owned() });
+        let replies = self.send_to_peers(&keepers.others, &Message::Tried { id: id.to_owned() });
         // Without other keepers, the local record is all there is.
-        let mut answers = usize::from(keepers.is_one || asked.is_empty());
+        let mut answers = usize::from(keepers.is_one || replies.is_empty());
         let mut is_unsure = false;
-        for answer in asked {
-            if let Ok(Ok(Reply::Tried { is_unsure: theirs })) = answer.await {
+        for reply in replies {
+            if let Ok(Ok(Reply::Tried { is_unsure: theirs })) = reply.await {
                 answers += 1;
                 is_unsure |= theirs;
             }
@@ -66,7 +69,7 @@
         let may_be = is_unsure || answers == 0;
         if may_be {
             self.node.trace.line(
-                "may be stored, unanswered",
+                "job may be stored, write unanswered",
                 json!({ "job": id, "a_peer_says_so": is_unsure, "answers": answers }),
             );
         }
@@ -76,20 +79,24 @@
     fn keepers(&self, id: &str) -> Keepers {
         let table = self.node.table.borrow();
         let me = self.node.settings.name.as_str();
-        let drawn = draw(table.members.keys().map(String::as_str), id, KEEPERS);
-        let others = drawn.iter().filter(|name| **name != me);
+        let selected = select(table.members.keys().map(String::as_str), id, KEEPERS);
+        let others = selected.iter().filter(|name| **name != me);
         Keepers {
-            is_one: drawn.contains(&me),
+            is_one: selected.contains(&me),
             others: others.map(|name| table.members[*name].peers).collect(),
         }
     }
 
     /// Sends a request to peers concurrently.
-    fn ask_all(&self, peers: &[SocketAddr], ask: &Ask) -> Vec<JoinHandle<Result<Reply, Failed>>> {
-        let ask_one = |peer: &SocketAddr| {
-            let (client, peer, ask) = (self.node.peers.clone(), *peer, ask.clone());
-            spawn_local(async move { peer::ask(&client, peer, &ask, PROMPT).await })
+    fn send_to_peers(
+        &self,
+        peers: &[SocketAddr],
+        message: &Message,
+    ) -> Vec<JoinHandle<Result<Reply, CallError>>> {
+        let send_one = |peer: &SocketAddr| {
+            let (client, peer, message) = (self.node.peers.clone(), *peer, message.clone());
+            spawn_local(async move { peer::send(&client, peer, &message, SHORT_TIMEOUT).await })
         };
-        peers.iter().map(ask_one).collect()
+        peers.iter().map(send_one).collect()
     }
 }
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -19,24 +19,24 @@
 use crate::clock;
 
 /// The largest response body: a page of the store is about 1 MB, encoded as text.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE: usize = 8 << 20;
 /// How long a connection is kept unused. This is less than the usual timeouts of servers, so
 /// that a call seldom meets a connection that was just closed.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Unused connections kept for one address: as many as the busiest one, the fleet service,
 /// has in use at once.
-const KEPT: usize = 24;
+const DEFAULT_MAX_IDLE: usize = 24;
 /// The timeout for opening a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest gap between two chunks of a body that may be large.
 const STALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The longest transfer of a body that may be large: [`MAX_ANSWER`] takes 7 s over a
+/// The longest transfer of a body that may be large: [`MAX_RESPONSE`] takes 7 s over a
 /// link of 10 Mbit/s.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Failed {
+pub enum CallError {
     /// Nothing of the call was sent.
     #[error("no connection; nothing was sent")]
     Unsent,
@@ -60,15 +60,15 @@
 
 /// Why an exchange has no answer.
 enum ExchangeError {
-    /// The connection failed, or the answer is larger than [`MAX_ANSWER`].
-    Failed(Failed),
+    /// The connection failed, or the answer is larger than [`MAX_RESPONSE`].
+    CallError(CallError),
     /// One of the [`Timeouts`] expired.
     TimedOut,
 }
 
-impl From<Failed> for ExchangeError {
-    fn from(failed: Failed) -> Self {
-        Self::Failed(failed)
+impl From<CallError> for ExchangeError {
+    fn from(failed: CallError) -> Self {
+        Self::CallError(failed)
     }
 }
 
@@ -76,26 +76,26 @@
 pub struct Client {
     idle: RefCell<HashMap<SocketAddr, Vec<(Sender, Time)>>>,
     /// Unused connections kept for one address.
-    kept: usize,
+    max_idle: usize,
     /// Responses that timed out after part of their body had arrived.
-    answers_cut_off: Cell<usize>,
+    truncated_responses: Cell<usize>,
 }
 
 impl Default for Client {
     fn default() -> Self {
-        Self::keeping(KEPT)
+        Self::with_max_idle(DEFAULT_MAX_IDLE)
     }
 }
 
 impl Client {
     /// Returns a client that keeps `max_idle` unused connections for each address.
-    pub fn keeping(kept: usize) -> Self {
-        Self { idle: RefCell::default(), kept, answers_cut_off: Cell::new(0) }
+    pub fn with_max_idle(max_idle: usize) -> Self {
+        Self { idle: RefCell::default(), max_idle, truncated_responses: Cell::new(0) }
     }
 
     /// Returns the number of responses that timed out after part of their body had arrived.
-    pub fn answers_cut_off(&self) -> usize {
-        self.answers_cut_off.get()
+    pub fn truncated_responses(&self) -> usize {
+        self.truncated_responses.get()
     }
 
     /// Sends `call` to `address` and waits for the whole response.
@@ -109,7 +109,7 @@
         address: SocketAddr,
         call: &Call,
         within: Duration,
-    ) -> Result<(u16, Bytes), Failed> {
+    ) -> Result<(u16, Bytes), CallError> {
         let timeouts = Timeouts { head: within, stall: within, total: within };
         self.call_with_timeouts(address, call, timeouts, |_| {}).await
     }
@@ -131,7 +131,7 @@
         call: &Call,
         within: Duration,
         on_head: impl FnOnce(u16),
-    ) -> Result<(u16, Bytes), Failed> {
+    ) -> Result<(u16, Bytes), CallError> {
         let timeouts =
             Timeouts { head: within, stall: STALL_TIMEOUT, total: within + BODY_TIMEOUT };
         self.call_with_timeouts(address, call, timeouts, on_head).await
@@ -143,12 +143,12 @@
         call: &Call,
         timeouts: Timeouts,
         on_head: impl FnOnce(u16),
-    ) -> Result<(u16, Bytes), Failed> {
+    ) -> Result<(u16, Bytes), CallError> {
         let mut sender = match self.take_idle(address) {
             Some(sender) => sender,
-            None => connect(address, timeouts.head.min(CONNECT)).await?,
+            None => connect(address, timeouts.head.min(CONNECT_TIMEOUT)).await?,
         };
-        let request = request(address, call).ok_or(Failed::Unsent)?;
+        let request = build_request(address, call).ok_or(CallError::Unsent)?;
         let received = Cell::new(0);
         let answer = exchange(&mut sender, request, timeouts, on_head, &received);
         match timeout(timeouts.total, answer).await.unwrap_or(Err(ExchangeError::TimedOut)) {
@@ -156,30 +156,30 @@
                 self.put_idle(address, sender);
                 Ok(answer)
             }
-            Err(ExchangeError::Failed(failed)) => Err(failed),
+            Err(ExchangeError::CallError(failed)) => Err(failed),
             Err(ExchangeError::TimedOut) => {
                 if received.get() > 0 {
-                    self.answers_cut_off.set(self.answers_cut_off.get() + 1);
+                    self.truncated_responses.set(self.truncated_responses.get() + 1);
                 }
                 // Idle connections to the same address may be dead too.
-                self.forget(address);
-                Err(Failed::Lost)
+                self.close_idle(address);
+                Err(CallError::Lost)
             }
         }
     }
 
     /// Closes the unused connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
-        kept.retain(|(sender, since)| !sender.is_closed() && now - *since < IDLE);
-        let at = kept.iter().rposition(|(sender, _)| sender.is_ready())?;
-        Some(kept.swap_remove(at).0)
+        let connections = idle.get_mut(&address)?;
+        connections.retain(|(sender, since)| !sender.is_closed() && now - *since < IDLE_TIMEOUT);
+        let at = connections.iter().rposition(|(sender, _)| sender.is_ready())?;
+        Some(connections.swap_remove(at).0)
     }
 
     fn put_idle(&self, address: SocketAddr, sender: Sender) {
@@ -187,19 +187,20 @@
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < self.kept {
-            kept.push((sender, clock::now()));
+        let connections = idle.entry(address).or_default();
+        if connections.len() < self.max_idle {
+            connections.push((sender, clock::now()));
         }
     }
 }
 
-async fn connect(address: SocketAddr, within: Duration) -> Result<Sender, Failed> {
+async fn connect(address: SocketAddr, within: Duration) -> Result<Sender, CallError> {
     let stream = timeout(within, TcpStream::connect(address)).await;
-    let stream = stream.map_err(|_| Failed::Unsent)?.map_err(|_| Failed::Unsent)?;
+    let stream = stream.map_err(|_| CallError::Unsent)?.map_err(|_| CallError::Unsent)?;
     // Small requests must not wait for the response to the previous one.
     let _ = stream.set_nodelay(true);
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| Failed::Unsent)?;
+    let (sender, connection) =
+        handshake(TokioIo::new(stream)).await.map_err(|_| CallError::Unsent)?;
     spawn_local(async move {
         // The sender notices when the connection ends.
         let _ = connection.await;
@@ -207,7 +208,7 @@
     Ok(sender)
 }
 
-fn request(address: SocketAddr, call: &Call) -> Option<Request<Full<Bytes>>> {
+fn build_request(address: SocketAddr, call: &Call) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::builder()
         .method(call.method)
         .uri(&call.target)
@@ -231,9 +232,10 @@
     received: &Cell<usize>,
 ) -> Result<(u16, Bytes), ExchangeError> {
     let head = async {
-        sender.ready().await.map_err(|_| Failed::Unsent)?;
+        sender.ready().await.map_err(|_| CallError::Unsent)?;
         let response = sender.send_request(request).await;
-        response.map_err(|error| if error.is_canceled() { Failed::Unsent } else { Failed::Lost })
+        response
+            .map_err(|error| if error.is_canceled() { CallError::Unsent } else { CallError::Lost })
     };
     let response = timeout(timeouts.head, head).await.map_err(|_| ExchangeError::TimedOut)??;
     let status = response.status().as_u16();
@@ -243,9 +245,9 @@
     while let Some(frame) =
         timeout(timeouts.stall, body.frame()).await.map_err(|_| ExchangeError::TimedOut)?
     {
-        let Ok(data) = frame.map_err(|_| Failed::Lost)?.into_data() else { continue };
-        if content.len() + data.len() > MAX_ANSWER {
-            return Err(ExchangeError::Failed(Failed::Lost));
+        let Ok(data) = frame.map_err(|_| CallError::Lost)?.into_data() else { continue };
+        if content.len() + data.len() > MAX_RESPONSE {
+            return Err(ExchangeError::CallError(CallError::Lost));
         }
         content.extend_from_slice(&data);
         received.set(content.len());
--- a/crates/entry/src/listen.rs
+++ b/crates/entry/src/listen.rs
@@ -8,12 +8,12 @@
 
 use crate::gateway::Gateway;
 use crate::node::Node;
-use crate::peer::{Ask, Reply};
-use crate::server::{self, Asked, Gauge, Handler, Told};
+use crate::peer::{Message, Reply};
+use crate::server::{self, Gauge, Handler, HttpRequest, HttpResponse};
 use crate::{clock, explain, relay};
 
 /// Descriptors reserved for calls to the store, workers and peers, and for the log.
-const OWN_FDS: usize = 300;
+const RESERVED_FDS: usize = 300;
 /// Descriptors that the platform reserves for files: sockets share the others.
 const FILE_FDS: usize = 200;
 /// The fraction of the descriptors that peers' connections may take, as a divisor. Each
@@ -21,15 +21,15 @@
 /// (`MAX_IDLE_PER_PEER` in `run`): an eighth of 4,100 is enough for 128 entry VMs. The limit
 /// is separate from those of the balancer and of metrics clients: with one limit for all
 /// three, an owner with many peer connections appeared not ready, and nobody could read why.
-const PEER_SHARE: usize = 8;
+const PEER_FDS_DIVISOR: usize = 8;
 /// Connections of the balancer, and of metrics clients: a few of each at once.
-const LOOKERS: usize = 32;
+const MAX_MONITOR_CONNECTIONS: usize = 32;
 /// The largest body of a peer's request, which is a relayed call to the store.
-const PEER_BODY: usize = 8 << 20;
+const MAX_PEER_BODY: usize = 8 << 20;
 /// The path of the metrics.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 /// The path under which jobs are explained, on the metrics address; the id follows.
-const JOBS: &str = "/jobs/";
+const EXPLAIN_PATH: &str = "/jobs/";
 
 /// The gauges of all addresses.
 #[derive(Clone)]
@@ -44,14 +44,14 @@
 impl Gauges {
     /// Divides `max_fds` descriptors among the addresses.
     pub fn new(max_fds: usize) -> Self {
-        let peers = max_fds / PEER_SHARE;
-        let others = FILE_FDS + OWN_FDS + peers + 2 * LOOKERS;
+        let peers = max_fds / PEER_FDS_DIVISOR;
+        let others = FILE_FDS + RESERVED_FDS + peers + 2 * MAX_MONITOR_CONNECTIONS;
         let callers = max_fds.saturating_sub(others).max(16);
         Self {
             callers: Gauge::new("callers", callers),
             peers: Gauge::new("peers", peers),
-            readiness: Gauge::new("readiness", LOOKERS),
-            metrics: Gauge::new("metrics", LOOKERS),
+            readiness: Gauge::new("readiness", MAX_MONITOR_CONNECTIONS),
+            metrics: Gauge::new("metrics", MAX_MONITOR_CONNECTIONS),
         }
     }
 
@@ -65,7 +65,7 @@
         let metrics = server::listen(node.settings.metrics).await?;
         let peers = server::listen(node.settings.peers).await?;
         let callers = server::listen(node.settings.callers).await?;
-        self.peers.max_body.set(PEER_BODY);
+        self.peers.max_body.set(MAX_PEER_BODY);
         let serve = |listener, gauge: &Gauge, handler| {
             spawn_local(server::serve(listener, gauge.clone(), handler, node.trace.clone()));
         };
@@ -79,42 +79,45 @@
 
 fn ready_handler(node: &Rc<Node>) -> Handler {
     let node = node.clone();
-    Rc::new(move |asked| {
-        if asked.path != caller::READY {
-            return Box::pin(async { nothing_here() });
+    Rc::new(move |request| {
+        if request.path != caller::READY {
+            return Box::pin(async { not_found() });
         }
         let is_ready = node.config.borrow().is_some() && !node.stopping.get();
         let status = if is_ready { 200 } else { 503 };
-        Box::pin(async move { Told::new(status, b"{}".to_vec()) })
+        Box::pin(async move { HttpResponse::new(status, b"{}".to_vec()) })
     })
 }
 
 /// The response at any other path: a caller that reaches these addresses by mistake must
 /// not take their success for the response to its own request.
-fn nothing_here() -> Told {
-    Told::new(404, caller::error("nothing is served at this path; see [listen] of the settings"))
+fn not_found() -> HttpResponse {
+    HttpResponse::new(
+        404,
+        caller::error("nothing is served at this path; see [listen] of the settings"),
+    )
 }
 
 fn metrics_handler(node: &Rc<Node>, gauges: &Gauges) -> Handler {
     let (node, gauges) = (node.clone(), gauges.clone());
-    Rc::new(move |asked| {
-        if let Some(id) = asked.path.strip_prefix(JOBS) {
-            let told = explain::explain(&node, id);
-            return Box::pin(async move { told });
+    Rc::new(move |request| {
+        if let Some(id) = request.path.strip_prefix(EXPLAIN_PATH) {
+            let response = explain::explain(&node, id);
+            return Box::pin(async move { response });
         }
-        if asked.path != METRICS {
-            return Box::pin(async { nothing_here() });
+        if request.path != METRICS_PATH {
+            return Box::pin(async { not_found() });
         }
         node.metrics.set("connections", gauges.callers.connections.get());
         node.metrics.set("requests", gauges.callers.requests.get());
         node.metrics.set("peers' connections", gauges.peers.connections.get());
-        node.metrics.set("callers closed unheard", gauges.callers.closed.get());
-        node.metrics.set("peers closed unheard", gauges.peers.closed.get());
-        node.metrics.set("answers cut off", node.client.answers_cut_off());
-        node.metrics.set("peers' answers cut off", node.peers.answers_cut_off());
+        node.metrics.set("callers closed unheard", gauges.callers.rejected.get());
+        node.metrics.set("peers closed unheard", gauges.peers.rejected.get());
+        node.metrics.set("answers cut off", node.client.truncated_responses());
+        node.metrics.set("peers' answers cut off", node.peers.truncated_responses());
         node.metrics.set("duties", node.owners.borrow().len());
         let text = node.metrics.text();
-        Box::pin(async move { Told::new(200, text.into_bytes()) })
+        Box::pin(async move { HttpResponse::new(200, text.into_bytes()) })
     })
 }
 
@@ -122,57 +125,58 @@
     let gateway = Gateway::new(node.clone());
     let (node, gauge) = (node.clone(), gauge.clone());
     gauge.max_body.set(1 << 20);
-    Rc::new(move |asked: Asked| {
+    Rc::new(move |request: HttpRequest| {
         let gateway = gateway.clone();
         let max_body = node.config.borrow().as_ref().map(|config| config.max_body);
         gauge.max_body.set(max_body.unwrap_or(1 << 20));
         Box::pin(async move {
-            if asked.path == caller::READY {
-                return Told::new(404, caller::error("no such queue"));
+            if request.path == caller::READY {
+                return HttpResponse::new(404, caller::error("no such queue"));
             }
-            gateway.answer(asked).await
+            gateway.answer(request).await
         })
     })
 }
 
 fn peer_handler(node: &Rc<Node>) -> Handler {
     let node = node.clone();
-    Rc::new(move |asked: Asked| {
+    Rc::new(move |request: HttpRequest| {
         let node = node.clone();
         Box::pin(async move {
-            let ask = asked.body.and_then(|body| serde_json::from_slice::<Ask>(&body).ok());
-            let Some(ask) = ask else {
-                return Told::new(400, b"a peer sends a message of this version".to_vec());
+            let message =
+                request.body.and_then(|body| serde_json::from_slice::<Message>(&body).ok());
+            let Some(message) = message else {
+                return HttpResponse::new(400, b"a peer sends a message of this version".to_vec());
             };
-            let reply = answer(&node, ask).await;
-            Told::new(200, serde_json::to_vec(&reply).unwrap_or_default())
+            let reply = answer(&node, message).await;
+            HttpResponse::new(200, serde_json::to_vec(&reply).unwrap_or_default())
         })
     })
 }
 
-async fn answer(node: &Rc<Node>, ask: Ask) -> Reply {
-    match ask {
-        Ask::Retire { duty, fence } => {
-            let grants = node.give_way(&duty, fence);
+async fn answer(node: &Rc<Node>, message: Message) -> Reply {
+    match message {
+        Message::Retire { duty, fence } => {
+            let grants = node.relinquish(&duty, fence);
             Reply::Retired { grants, process: Some(node.process()) }
         }
-        Ask::Store { method, target, body, within_ms } => {
+        Message::Store { method, target, body, within_ms } => {
             relay::relayed(node, &method, target, body, within_ms).await
         }
-        Ask::Advise { job, occurrence, step, workers, within_ms } => {
+        Message::Advise { job, occurrence, step, workers, within_ms } => {
             let within = Duration::from_millis(within_ms);
             node.advise_peer((&job, occurrence, step), &workers, within).await
         }
-        Ask::Unsure { id } => {
-            node.tries.borrow_mut().note_unsure(clock::now(), &id);
+        Message::Unsure { id } => {
+            node.attempts.borrow_mut().note_unsure(clock::now(), &id);
             Reply::Done
         }
-        Ask::Tried { id } => {
-            let is_unsure = node.tries.borrow().may_be_stored(clock::now(), &id);
+        Message::Tried { id } => {
+            let is_unsure = node.attempts.borrow().may_be_stored(clock::now(), &id);
             Reply::Tried { is_unsure }
         }
-        ask => match node.own(ask.pool()) {
-            Some(owner) => owner.answer(ask).await,
+        message => match node.local_owner(message.pool()) {
+            Some(owner) => owner.answer(message).await,
             None => Reply::NotOwner,
         },
     }
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -8,23 +8,23 @@
 use corianderfork_jobs::record::{Progress, State};
 
 /// The key prefix of acceptance records; pool and id follow.
-pub const JOBS: &str = "job/";
+pub const JOB_PREFIX: &str = "job/";
 /// The key prefix of progress records; pool and id follow.
-pub const RUNS: &str = "run/";
+pub const RUN_PREFIX: &str = "run/";
 
 /// Returns the key of a job's acceptance record.
 pub fn job_key(pool: &str, id: &str) -> String {
-    format!("{JOBS}{pool}/{id}")
+    format!("{JOB_PREFIX}{pool}/{id}")
 }
 
 /// Returns the key of a job's progress record.
 pub fn run_key(pool: &str, id: &str) -> String {
-    format!("{RUNS}{pool}/{id}")
+    format!("{RUN_PREFIX}{pool}/{id}")
 }
 
 /// The next step or the result of a [`Lookup`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum LookupStep {
     /// Read this key and pass its value to [`Lookup::learn`].
     Read(String),
     /// The job exists and is in this state.
@@ -43,22 +43,22 @@
 /// the first key is found under the second.
 ///
 /// ```
-/// use corianderfork_entry::lookup::{Lookup, Next};
+/// use corianderfork_entry::lookup::{Lookup, LookupStep};
 /// use corianderfork_jobs::record::State;
 ///
 /// let mut lookup = Lookup::new("pool", "0123456789abcdef");
-/// assert_eq!(lookup.next(), Next::Read("job/pool/0123456789abcdef".to_owned()));
+/// assert_eq!(lookup.next(), LookupStep::Read("job/pool/0123456789abcdef".to_owned()));
 /// lookup.learn(Some(b"{}"));
-/// assert_eq!(lookup.next(), Next::Read("run/pool/0123456789abcdef".to_owned()));
+/// assert_eq!(lookup.next(), LookupStep::Read("run/pool/0123456789abcdef".to_owned()));
 /// lookup.learn(None);
-/// assert_eq!(lookup.next(), Next::Found(State::Queued));
+/// assert_eq!(lookup.next(), LookupStep::Found(State::Queued));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Lookup {
     pool: String,
     id: String,
     is_accepted: Option<bool>,
-    found: Option<Next>,
+    found: Option<LookupStep>,
 }
 
 impl Lookup {
@@ -68,11 +68,11 @@
     }
 
     /// Returns the key to read next, or the result.
-    pub fn next(&self) -> Next {
+    pub fn next(&self) -> LookupStep {
         match (&self.found, self.is_accepted) {
             (Some(found), _) => found.clone(),
-            (None, None) => Next::Read(job_key(&self.pool, &self.id)),
-            (None, Some(_)) => Next::Read(run_key(&self.pool, &self.id)),
+            (None, None) => LookupStep::Read(job_key(&self.pool, &self.id)),
+            (None, Some(_)) => LookupStep::Read(run_key(&self.pool, &self.id)),
         }
     }
 
@@ -84,10 +84,10 @@
         };
         let progress = value.map(serde_json::from_slice::<Progress>);
         self.found = Some(match (progress, is_accepted) {
-            (Some(Ok(progress)), _) => Next::Found(progress.state),
-            (Some(Err(_)), _) => Next::Unreadable,
-            (None, true) => Next::Found(State::Queued),
-            (None, false) => Next::Absent,
+            (Some(Ok(progress)), _) => LookupStep::Found(progress.state),
+            (Some(Err(_)), _) => LookupStep::Unreadable,
+            (None, true) => LookupStep::Found(State::Queued),
+            (None, false) => LookupStep::Absent,
         });
     }
 }
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -12,11 +12,11 @@
         .env(corianderfork_adapter::SETTINGS)
         .value_parser(value_parser!(PathBuf))
         .required(true)
-        .help("The settings file, INI");
+        .help("Path of the settings file (INI)");
     let check = Arg::new("check")
         .long("check")
         .action(ArgAction::SetTrue)
-        .help("Check the settings and end");
+        .help("Check the settings and exit");
     let command = Command::new("corianderfork-entry")
         .about("Takes jobs from callers and runs them on the pools' workers")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/entry/src/member.rs
+++ b/crates/entry/src/member.rs
@@ -10,37 +10,37 @@
 use tokio::time::timeout;
 
 use crate::clock;
-use crate::duty::{DUTIES, FLEET, Holder, MEMBERS, Member, Past, Record};
-use crate::node::{Node, TTL};
+use crate::duty::{DUTY_PREFIX, FLEET, Holder, HolderHistory, MEMBER_PREFIX, Member, Record};
+use crate::node::{LEASE_TTL, Node};
 use crate::owner::Owner;
-use crate::placement::Entry;
+use crate::placement::QueueRecord;
 use crate::planner;
 use crate::store::Error;
 
 /// How often the lease is renewed: four times in its length.
-const RENEW: Duration = Duration::from_millis(600);
+const RENEW_INTERVAL: Duration = Duration::from_millis(600);
 /// The pause after a failed renewal.
-const AGAIN: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// How often duties are checked even if nothing has changed.
-const TICK: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Keeps this daemon's record and lease alive until it stops.
-pub async fn keep(node: Rc<Node>) {
+pub async fn maintain_membership(node: Rc<Node>) {
     let mut lease = None;
     while !node.stopping.get() {
         let sent = clock::now();
-        let kept = match lease {
+        let renewal = match lease {
             Some(number) => renew(&node, number).await,
             None => register(&node).await,
         };
-        match kept {
+        match renewal {
             Ok(Some(number)) => {
                 lease = Some(number);
-                node.renewed.set(sent);
-                tokio::time::sleep(RENEW).await;
+                node.lease_renewed_at.set(sent);
+                tokio::time::sleep(RENEW_INTERVAL).await;
             }
             Ok(None) => lease = None,
-            Err(_) => tokio::time::sleep(AGAIN).await,
+            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
     if let Some(number) = lease {
@@ -50,8 +50,8 @@
 
 async fn renew(node: &Rc<Node>, lease: u64) -> Result<Option<u64>, Error> {
     if !node.store.keep(lease).await? {
-        node.trace.key("lease lost", json!({ "lease": lease }));
-        node.doubted.set(clock::now());
+        node.trace.unlimited("lease lost", json!({ "lease": lease }));
+        node.ownership_doubted_at.set(clock::now());
         return Ok(None);
     }
     // The record may be missing although the lease is alive.
@@ -64,8 +64,8 @@
 }
 
 async fn register(node: &Rc<Node>) -> Result<Option<u64>, Error> {
-    let (lease, _) = node.store.lease(TTL).await?;
-    node.trace.key("lease taken", json!({ "lease": lease }));
+    let (lease, _) = node.store.lease(LEASE_TTL).await?;
+    node.trace.unlimited("lease taken", json!({ "lease": lease }));
     Ok(put_record(node, lease).await?.then_some(lease))
 }
 
@@ -79,27 +79,29 @@
         seen: Time::ZERO,
     };
     let value = serde_json::to_vec(&member).unwrap_or_default();
-    let key = format!("{MEMBERS}{}", node.settings.name);
+    let key = format!("{MEMBER_PREFIX}{}", node.settings.name);
     let txn = Txn { set: vec![(key, value, lease)], ..Txn::default() };
     Ok(matches!(node.store.txn(&txn).await?, Outcome::Written(_)))
 }
 
 /// Takes vacant duties and leaves those that another member holds.
-pub async fn attend(node: Rc<Node>) {
-    node.attended.set(clock::now());
+pub async fn maintain_duties(node: Rc<Node>) {
+    node.last_duty_check.set(clock::now());
     while !node.stopping.get() {
         let now = clock::now();
-        if node.is_frozen_since(now) {
+        if node.was_frozen(now) {
             // While the process was frozen or suspended others may have taken over. No order
             // is sent until the lease has been renewed again.
-            node.trace
-                .key("was away", json!({ "for_ms": crate::owner::ms(now - node.attended.get()) }));
-            node.renewed.set(Time::ZERO);
-            node.doubted.set(now);
+            node.trace.unlimited(
+                "was away",
+                json!({ "for_ms": crate::owner::ms(now - node.last_duty_check.get()) }),
+            );
+            node.lease_renewed_at.set(Time::ZERO);
+            node.ownership_doubted_at.set(now);
         }
-        node.attended.set(now);
-        look_through(&node, now);
-        let _ = timeout(TICK, node.changed.notified()).await;
+        node.last_duty_check.set(now);
+        check_duties(&node, now);
+        let _ = timeout(CHECK_INTERVAL, node.changed.notified()).await;
     }
 }
 
@@ -110,9 +112,9 @@
         config.pools.iter().filter(|pool| !pool.spare).map(|pool| pool.name.clone()).collect();
     // A pool that was removed from the configuration may have jobs left.
     let table = node.table.borrow();
-    let left = table.owned();
+    let left = table.owned_pools();
     // The same holds for a pool that was removed before it had an owner.
-    let named = table.queues.values().flat_map(Entry::pools).map(String::as_str);
+    let named = table.queues.values().flat_map(QueueRecord::pools).map(String::as_str);
     for name in left.chain(named) {
         if !duties.iter().any(|duty| duty == name) {
             duties.push(name.to_owned());
@@ -125,16 +127,16 @@
     duties
 }
 
-fn look_through(node: &Rc<Node>, now: Time) {
-    leave_others(node);
-    if now - node.renewed.get() >= TTL {
+fn check_duties(node: &Rc<Node>, now: Time) {
+    leave_lost_duties(node);
+    if now - node.lease_renewed_at.get() >= LEASE_TTL {
         return;
     }
     let duties = duties(node);
     resume(node, &duties);
     let name = node.settings.name.as_str();
-    let take = node.table.borrow_mut().due_for(now, name, &duties);
-    for duty in take {
+    let due = node.table.borrow_mut().due_duties(now, name, &duties);
+    for duty in due {
         if node.taking.borrow_mut().insert(duty.clone()) {
             spawn_local(take_duty(node.clone(), duty));
         }
@@ -142,7 +144,7 @@
 }
 
 /// Leaves duties whose record names another holder.
-fn leave_others(node: &Rc<Node>) {
+fn leave_lost_duties(node: &Rc<Node>) {
     let table = node.table.borrow();
     let is_lost = |duty: &str, fence: u64| {
         table.duties.get(duty).is_some_and(|r| r.revision > fence && !node.is_me(&r.holder))
@@ -166,10 +168,10 @@
         let record = node.table.borrow().duties.get(duty).cloned();
         let Some(record) = record else { continue };
         let is_taking = node.taking.borrow().contains(duty);
-        let is_over = node.has_given_up(duty, record.revision);
-        if node.is_me(&record.holder) && !is_taking && !is_held(node, duty) && !is_over {
-            let past = node.table.borrow().past(clock::now(), duty);
-            begin(node, duty, record.revision, past);
+        let is_relinquished = node.is_relinquished(duty, record.revision);
+        if node.is_me(&record.holder) && !is_taking && !is_held(node, duty) && !is_relinquished {
+            let history = node.table.borrow().history(clock::now(), duty);
+            start_duty(node, duty, record.revision, history);
         }
     }
 }
@@ -184,9 +186,9 @@
 
 async fn take_duty(node: Rc<Node>, duty: String) {
     let record = node.table.borrow().duties.get(&duty).cloned().unwrap_or_default();
-    let key = format!("{DUTIES}{duty}");
-    let holder = Holder { before: node.table.borrow().formers(&duty), ..node.holder() };
-    let past = node.table.borrow().past(clock::now(), &duty);
+    let key = format!("{DUTY_PREFIX}{duty}");
+    let holder = Holder { before: node.table.borrow().former_holders(&duty), ..node.holder() };
+    let history = node.table.borrow().history(clock::now(), &duty);
     let value = serde_json::to_vec(&holder).unwrap_or_default();
     let txn = Txn {
         expect: vec![(key.clone(), record.revision)],
@@ -194,29 +196,29 @@
         remove: Vec::new(),
     };
     let outcome = node.store.txn(&txn).await;
-    node.trace.key(
-        "duty taken",
+    node.trace.unlimited(
+        "duty takeover attempted",
         json!({ "duty": duty, "from": record.holder.name, "revision": record.revision,
             "outcome": format!("{outcome:?}") }),
     );
     if let Ok(Outcome::Written(fence)) = outcome {
         let taken = Record { holder, revision: fence };
         node.table.borrow_mut().put_duty(clock::now(), &duty, taken);
-        begin(&node, &duty, fence, past);
+        start_duty(&node, &duty, fence, history);
     } else {
         // The watch reports the current holder.
-        tokio::time::sleep(TICK * 2).await;
+        tokio::time::sleep(CHECK_INTERVAL * 2).await;
     }
     node.taking.borrow_mut().remove(&duty);
 }
 
-fn begin(node: &Rc<Node>, duty: &str, fence: u64, past: Past) {
+fn start_duty(node: &Rc<Node>, duty: &str, fence: u64, history: HolderHistory) {
     if duty == FLEET {
         node.planner.set(Some(fence));
         spawn_local(planner::plan(node.clone(), fence));
         return;
     }
-    let owner = Owner::start(node, duty, fence, past);
+    let owner = Owner::start(node, duty, fence, history);
     node.owners.borrow_mut().insert(duty.to_owned(), owner);
     node.changed.notify_waiters();
 }
@@ -227,26 +229,26 @@
         node.owners.borrow().iter().map(|(name, owner)| (name.clone(), owner.clone())).collect();
     // The planner leaves its duty by itself when it sees that the process is stopping.
     node.changed.notify_waiters();
-    let mut left = Vec::new();
+    let mut handovers = Vec::new();
     for (name, owner) in owners {
         let node = node.clone();
-        left.push(spawn_local(async move {
+        handovers.push(spawn_local(async move {
             owner.flush().await;
             owner.retire("planned stop");
-            vacate(node, (name, owner.fence())).await;
+            release_duty(node, (name, owner.fence())).await;
         }));
     }
-    for left in left {
+    for handover in handovers {
         // A duty whose handover fails is taken over when this process is gone.
-        let _ = left.await;
+        let _ = handover.await;
     }
 }
 
 /// Writes that a duty has no holder any more.
-pub async fn vacate(node: Rc<Node>, (duty, fence): (String, u64)) {
-    let key = format!("{DUTIES}{duty}");
+pub async fn release_duty(node: Rc<Node>, (duty, fence): (String, u64)) {
+    let key = format!("{DUTY_PREFIX}{duty}");
     // The address stays, so that the successor can ask for the grants.
-    let before = node.table.borrow().formers(&duty);
+    let before = node.table.borrow().former_holders(&duty);
     let before = before.into_iter().filter(|former| former.boot != node.boot).collect();
     let holder = Holder { name: String::new(), before, ..node.holder() };
     let value = serde_json::to_vec(&holder).unwrap_or_default();
@@ -254,5 +256,5 @@
         Txn { expect: vec![(key.clone(), fence)], set: vec![(key, value, 0)], remove: Vec::new() };
     let outcome = node.store.txn(&txn).await;
     let outcome = format!("{outcome:?}");
-    node.trace.key("duty handed over", json!({ "duty": duty, "outcome": outcome }));
+    node.trace.unlimited("duty handed over", json!({ "duty": duty, "outcome": outcome }));
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -12,37 +12,37 @@
 use serde_json::json;
 use tokio::sync::Notify;
 
-use crate::attempts::Tries;
+use crate::attempts::Attempts;
 use crate::clock;
-use crate::duty::{Former, Holder, Table};
-use crate::http::{Client, Failed};
+use crate::duty::{FormerHolder, Holder, Table};
+use crate::http::{CallError, Client};
 use crate::metrics::Metrics;
 use crate::owner::{Owner, ms};
-use crate::peer::{self, Ask, Reply};
-use crate::placement::{Entry, Search, queue_key};
-use crate::queue_counts::Heard;
+use crate::peer::{self, Message, Reply};
+use crate::placement::{QueueRecord, Search, queue_key};
+use crate::queue_counts::QueueCounts;
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::trace::Trace;
 
 /// The length of a member's lease. A holder that died is replaced when it expires;
 /// several renewals with their round trips must fit into it.
-pub const TTL: Duration = Duration::from_millis(2_500);
+pub const LEASE_TTL: Duration = Duration::from_millis(2_500);
 /// How long a holder continues without a renewal while the store responds to nobody: during
 /// such an outage nobody else can take over either.
-pub const HOLD_ON: Duration = Duration::from_millis(8_000);
+pub const OUTAGE_GRACE: Duration = Duration::from_millis(8_000);
 
 /// A pause between two duty checks that only a freeze of the process explains.
-pub const FROZEN: Duration = Duration::from_millis(900);
+pub const FREEZE_THRESHOLD: Duration = Duration::from_millis(900);
 
 /// The grants of an owner that has retired.
-pub struct Granted {
+pub struct RetiredGrants {
     /// The owner's fence.
     pub fence: u64,
     /// When it retired.
     pub at: Time,
     /// How many milliseconds the grants held from then, by worker instance.
-    pub left_ms: BTreeMap<String, u64>,
+    pub remaining_ms: BTreeMap<String, u64>,
 }
 
 /// The shared state of one daemon.
@@ -70,37 +70,37 @@
     /// The pools whose work this daemon owns.
     pub owners: RefCell<HashMap<String, Rc<Owner>>>,
     /// Duties that another process reported to have taken, with its fence.
-    pub given_up: RefCell<HashMap<String, u64>>,
+    pub relinquished: RefCell<HashMap<String, u64>>,
     /// The grants of this daemon's last retired owner of each pool.
-    pub granted: RefCell<HashMap<String, Granted>>,
+    pub retired_grants: RefCell<HashMap<String, RetiredGrants>>,
     /// Duties whose takeover is in progress.
     pub taking: RefCell<HashSet<String>>,
     /// The fence of the fleet's planner, while this daemon holds that duty.
     pub planner: Cell<Option<u64>>,
     /// Listed workers by instance id.
-    pub servers: RefCell<BTreeMap<String, Listed>>,
+    pub listed_workers: RefCell<BTreeMap<String, Listed>>,
     /// Whether the workers have been read once.
-    pub servers_known: Cell<bool>,
+    pub workers_loaded: Cell<bool>,
     /// Until when workers are expected to register for a pool that this daemon owns.
-    pub expects_until: Cell<Time>,
+    pub workers_expected_until: Cell<Time>,
     /// When the last successful renewal of the member's lease was sent.
-    pub renewed: Cell<Time>,
+    pub lease_renewed_at: Cell<Time>,
     /// When duties were last checked. This happens continually unless the process is
     /// frozen.
-    pub attended: Cell<Time>,
+    pub last_duty_check: Cell<Time>,
     /// When something last happened that may have cost this daemon its duties: a freeze or
     /// the loss of its lease.
-    pub doubted: Cell<Time>,
+    pub ownership_doubted_at: Cell<Time>,
     /// All changes of duties before this time are known.
-    pub duties_known: Cell<Time>,
+    pub duties_known_at: Cell<Time>,
     /// Whether the daemon is shutting down.
     pub stopping: Cell<bool>,
     /// Notified when members, duties or the configuration change.
     pub changed: Notify,
     /// The last known number of queued jobs of each queue.
-    pub heard: RefCell<Heard>,
+    pub queue_counts: RefCell<QueueCounts>,
     /// Attempts to store jobs.
-    pub tries: Rc<RefCell<Tries>>,
+    pub attempts: Rc<RefCell<Attempts>>,
 }
 
 impl Node {
@@ -112,21 +112,21 @@
     /// reported as queued.
     pub fn may_order(&self) -> bool {
         let now = clock::now();
-        if self.is_frozen_since(now) {
+        if self.was_frozen(now) {
             return false;
         }
-        let since = now - self.renewed.get();
-        if since < TTL {
+        let since = now - self.lease_renewed_at.get();
+        if since < LEASE_TTL {
             return true;
         }
-        let is_store_silent = self.store.answered() <= self.renewed.get() + TTL;
-        is_store_silent && since < HOLD_ON
+        let is_store_silent = self.store.last_response() <= self.lease_renewed_at.get() + LEASE_TTL;
+        is_store_silent && since < OUTAGE_GRACE
     }
 
     /// Whether so much time has passed since the last duty check that the process must have
     /// been frozen.
-    pub fn is_frozen_since(&self, now: Time) -> bool {
-        now - self.attended.get() > FROZEN
+    pub fn was_frozen(&self, now: Time) -> bool {
+        now - self.last_duty_check.get() > FREEZE_THRESHOLD
     }
 
     /// Whether a duty taken with `fence` is still this daemon's as far as it knows, and
@@ -136,7 +136,9 @@
     /// may have taken them, and the news of that may arrive after the lease.
     pub fn is_sure_of(&self, duty: &str, fence: u64) -> bool {
         let is_named = self.table.borrow().duties.get(duty).is_some_and(|r| r.revision == fence);
-        is_named && self.may_order() && self.duties_known.get() >= self.doubted.get()
+        is_named
+            && self.may_order()
+            && self.duties_known_at.get() >= self.ownership_doubted_at.get()
     }
 
     /// Returns the record by which this daemon holds duties.
@@ -146,9 +148,9 @@
     }
 
     /// Identifies this process to peers.
-    pub fn process(&self) -> Former {
+    pub fn process(&self) -> FormerHolder {
         let name = self.settings.name.as_str().to_owned();
-        Former { name, boot: self.boot, peers: Some(self.settings.peers) }
+        FormerHolder { name, boot: self.boot, peers: Some(self.settings.peers) }
     }
 
     /// Whether a record names this process.
@@ -160,30 +162,31 @@
     ///
     /// The new fence is remembered, since the store's record may still name this daemon for
     /// a while: it would resume with its old fence and grant beyond what it returned here.
-    pub fn give_way(&self, duty: &str, fence: u64) -> Option<BTreeMap<String, u64>> {
-        let mut given_up = self.given_up.borrow_mut();
-        let known = given_up.entry(duty.to_owned()).or_default();
+    pub fn relinquish(&self, duty: &str, fence: u64) -> Option<BTreeMap<String, u64>> {
+        let mut relinquished = self.relinquished.borrow_mut();
+        let known = relinquished.entry(duty.to_owned()).or_default();
         *known = fence.max(*known);
-        drop(given_up);
+        drop(relinquished);
         let owner = self.owners.borrow().get(duty).cloned();
-        if owner.is_some_and(|owner| !owner.give_way(fence)) {
+        if owner.is_some_and(|owner| !owner.relinquish(fence)) {
             return None;
         }
         let now = clock::now();
-        let granted = self.granted.borrow();
-        let granted = granted.get(duty).filter(|granted| granted.fence < fence)?;
-        let passed = ms(now - granted.at);
+        let retired_grants = self.retired_grants.borrow();
+        let retired_grants =
+            retired_grants.get(duty).filter(|retired_grants| retired_grants.fence < fence)?;
+        let passed = ms(now - retired_grants.at);
         let left = |(id, left): (&String, &u64)| (id.clone(), left.saturating_sub(passed));
-        Some(granted.left_ms.iter().map(left).collect())
+        Some(retired_grants.remaining_ms.iter().map(left).collect())
     }
 
     /// Whether a later holder has said that the duty's record of this revision is obsolete.
-    pub fn has_given_up(&self, duty: &str, revision: u64) -> bool {
-        self.given_up.borrow().get(duty).is_some_and(|fence| *fence > revision)
+    pub fn is_relinquished(&self, duty: &str, revision: u64) -> bool {
+        self.relinquished.borrow().get(duty).is_some_and(|fence| *fence > revision)
     }
 
     /// Returns the owner of a pool if it is this daemon and has loaded the pool.
-    pub fn own(&self, pool: &str) -> Option<Rc<Owner>> {
+    pub fn local_owner(&self, pool: &str) -> Option<Rc<Owner>> {
         self.owners.borrow().get(pool).filter(|owner| owner.is_loaded()).cloned()
     }
 
@@ -192,22 +195,22 @@
     /// # Errors
     ///
     /// Fails if no owner is known or it doesn't respond.
-    pub async fn ask_owner(
+    pub async fn send_to_owner(
         self: &Rc<Self>,
         pool: &str,
-        ask: Ask,
+        message: Message,
         within: Duration,
-    ) -> Result<Reply, Failed> {
-        if let Some(owner) = self.own(pool) {
-            return Ok(owner.answer(ask).await);
+    ) -> Result<Reply, CallError> {
+        if let Some(owner) = self.local_owner(pool) {
+            return Ok(owner.answer(message).await);
         }
         let peers = {
             let table = self.table.borrow();
             let holder = table.duties.get(pool).map(|record| record.holder.clone());
             holder.filter(|holder| !self.is_me(holder)).and_then(|holder| holder.peers)
         };
-        let Some(peers) = peers else { return Err(Failed::Unsent) };
-        peer::ask(&self.peers, peers, &ask, within).await
+        let Some(peers) = peers else { return Err(CallError::Unsent) };
+        peer::send(&self.peers, peers, &message, within).await
     }
 
     /// Applies a configuration unless its version or a newer one is known. `encoded_len`
@@ -217,7 +220,7 @@
         if config.version <= known {
             return;
         }
-        self.trace.key(
+        self.trace.unlimited(
             "configuration in force",
             json!({ "version": config.version, "before": known, "routes": config.routes.len(),
                 "bytes": encoded_len }),
@@ -246,12 +249,13 @@
     }
 
     /// Continues a search with the queue's record as read from the store.
-    pub async fn read_record(&self, queue: &str, search: &mut Search) {
+    pub async fn read_queue_record(&self, queue: &str, search: &mut Search) {
         let key = queue_key(queue);
-        let read = if self.store.is_away() { None } else { self.store.get(&key).await.ok() };
-        let Some(item) = read else { return search.unclear() };
-        let entry = item.map_or(Entry::Missing, |item| Entry::read(&item.value, item.revision));
-        if entry != Entry::Missing {
+        let read = if self.store.is_down() { None } else { self.store.get(&key).await.ok() };
+        let Some(item) = read else { return search.mark_unclear() };
+        let entry =
+            item.map_or(QueueRecord::Missing, |item| QueueRecord::read(&item.value, item.revision));
+        if entry != QueueRecord::Missing {
             self.table.borrow_mut().learn(queue, entry.clone());
         }
         search.learn(entry);
@@ -269,7 +273,7 @@
 
     /// Returns the listed workers of a pool.
     pub fn workers_of(&self, pool: &str) -> Vec<corianderfork_jobs::worker::Registration> {
-        let servers = self.servers.borrow();
-        servers.values().filter(|s| s.pool == pool).map(|s| s.entry.clone()).collect()
+        let listed_workers = self.listed_workers.borrow();
+        listed_workers.values().filter(|s| s.pool == pool).map(|s| s.entry.clone()).collect()
     }
 }
--- a/crates/entry/src/outage.rs
+++ b/crates/entry/src/outage.rs
@@ -8,16 +8,16 @@
 /// How long a call may be pending before the store is considered down. The store responds
 /// in milliseconds, in some 400 when it is at its slowest, and a store that is only slow must
 /// not be taken for one that is down.
-const SILENT: Duration = Duration::from_millis(550);
+const SILENCE_LIMIT: Duration = Duration::from_millis(550);
 /// How many calls have to fail in a row, with no response in between.
-const FAILURES: u32 = 2;
+const MIN_FAILURES: u32 = 2;
 /// How long there has to be no response if calls fail at once: a restart of one process
 /// resets all connections at one moment.
-const FAILING: Duration = Duration::from_millis(250);
+const MIN_FAILING_TIME: Duration = Duration::from_millis(250);
 
 /// A call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Call(u64);
+pub struct CallId(u64);
 
 /// The availability of the store, as observed by calls through any route. It does no I/O.
 ///
@@ -31,59 +31,60 @@
 ///
 /// let at = Time::from_millis;
 /// let mut outage = Outage::default();
-/// let call = outage.sent(at(0));
-/// assert!(!outage.is_away(at(400)), "it may be slow");
-/// assert!(outage.is_away(at(600)));
-/// outage.answered(at(700), call);
-/// assert!(!outage.is_away(at(700)));
+/// let call = outage.note_sent(at(0));
+/// assert!(!outage.is_down(at(400)), "the store may only be slow");
+/// assert!(outage.is_down(at(600)));
+/// outage.note_response(at(700), call);
+/// assert!(!outage.is_down(at(700)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Outage {
     calls: u64,
     /// Calls in flight, and when they were sent.
-    pending: BTreeMap<Call, Time>,
+    pending: BTreeMap<CallId, Time>,
     /// Calls that failed since the last response.
     failures: u32,
-    answered: Time,
+    last_response: Time,
 }
 
 impl Outage {
     /// Records that a call was sent that should get a response at once.
-    pub fn sent(&mut self, now: Time) -> Call {
+    pub fn note_sent(&mut self, now: Time) -> CallId {
         self.calls += 1;
-        self.pending.insert(Call(self.calls), now);
-        Call(self.calls)
+        self.pending.insert(CallId(self.calls), now);
+        CallId(self.calls)
     }
 
     /// Records that a call got a response.
-    pub fn answered(&mut self, now: Time, call: Call) {
+    pub fn note_response(&mut self, now: Time, call: CallId) {
         self.pending.remove(&call);
-        self.heard(now);
+        self.note_contact(now);
     }
 
     /// Records a response of the store to anything but a call that was
-    /// [sent](Self::sent).
-    pub fn heard(&mut self, now: Time) {
-        self.answered = now;
+    /// [sent](Self::note_sent).
+    pub fn note_contact(&mut self, now: Time) {
+        self.last_response = now;
         self.failures = 0;
     }
 
     /// Records that a call ended without a response or was rejected.
-    pub fn failed(&mut self, call: Call) {
+    pub fn note_failure(&mut self, call: CallId) {
         self.pending.remove(&call);
         self.failures = self.failures.saturating_add(1);
     }
 
     /// Whether the store is considered down.
-    pub fn is_away(&self, now: Time) -> bool {
+    pub fn is_down(&self, now: Time) -> bool {
         // Calls sent before the last response may have been lost individually.
-        let waits = |sent: &Time| *sent >= self.answered && now - *sent >= SILENT;
-        let is_failing = self.failures >= FAILURES && now - self.answered >= FAILING;
+        let waits = |sent: &Time| *sent >= self.last_response && now - *sent >= SILENCE_LIMIT;
+        let is_failing =
+            self.failures >= MIN_FAILURES && now - self.last_response >= MIN_FAILING_TIME;
         is_failing || self.pending.values().any(waits)
     }
 
     /// Returns the time since the last response and the number of calls failed since.
     pub fn evidence(&self, now: Time) -> (Duration, u32) {
-        (now - self.answered, self.failures)
+        (now - self.last_response, self.failures)
     }
 }
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -21,28 +21,28 @@
 use tokio::time::timeout;
 
 use crate::clock;
-use crate::duty::Past;
+use crate::duty::HolderHistory;
 use crate::lookup::{job_key, run_key};
-use crate::node::{Granted, Node};
-use crate::peer::{Ask, Reply};
+use crate::node::{Node, RetiredGrants};
+use crate::peer::{Message, Reply};
 use crate::predecessor::Tracker;
 
 /// The key prefix of the roster of a pool's workers.
-const ROSTERS: &str = "roster/";
+const ROSTER_PREFIX: &str = "roster/";
 /// The key prefix of the number of an owner's last write.
-const WRITES: &str = "write/";
+const WRITE_PREFIX: &str = "write/";
 
 /// The length of a lease on a worker: longer than a takeover, so that running tasks
 /// survive the death of an owner, and no longer, since the tasks of a worker that stops
 /// responding are only replaced when its lease has expired.
-const LEASE: Duration = Duration::from_millis(4_500);
+const WORKER_LEASE: Duration = Duration::from_millis(4_500);
 /// How long a cancellation waits for its write.
-const CANCEL: Duration = Duration::from_millis(2_200);
+const CANCEL_WRITE_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// How long a worker stays vacated after the planner's last request.
-const VACATE: Duration = Duration::from_millis(2_500);
+const VACATE_TTL: Duration = Duration::from_millis(2_500);
 
 /// How long workers are expected after the planner last announced them.
-const EXPECTED: Duration = Duration::from_millis(500);
+const WORKERS_EXPECTED_TTL: Duration = Duration::from_millis(500);
 
 /// Owns the work of a pool.
 pub struct Owner {
@@ -56,37 +56,37 @@
     pub wake: Notify,
     /// Whether the list of workers has changed.
     pub list_changed: Cell<bool>,
-    journal: Notify,
+    write_wake: Notify,
     /// Whether orders and polls have stopped and only writes continue.
     halted: Cell<bool>,
     /// Whether everything is written at once, without waiting for more.
     flushing: Cell<bool>,
     loaded: Cell<bool>,
     retired: Cell<bool>,
-    looking: RefCell<HashSet<worker::Key>>,
+    polled_workers: RefCell<HashSet<worker::Key>>,
     /// Advisers with a request in flight.
     busy_advisers: RefCell<HashSet<advise::Adviser>>,
     /// Advisers whose last request failed, and until when they are avoided.
     failed_advisers: RefCell<HashMap<advise::Adviser, Time>>,
-    waiting: RefCell<Vec<(JobId, oneshot::Sender<()>)>>,
+    cancel_waiters: RefCell<Vec<(JobId, oneshot::Sender<()>)>>,
     /// The store's revision of the record of the last write's number.
     write_revision: Cell<u64>,
-    writes: Cell<u64>,
+    last_write_number: Cell<u64>,
     /// The number of jobs accepted.
-    taken: Cell<usize>,
+    accepted_count: Cell<usize>,
 }
 
 impl Owner {
     /// Starts to own the work of the pool `name`, with `fence`.
-    pub fn start(node: &Rc<Node>, name: &str, fence: u64, past: Past) -> Rc<Self> {
-        let lease = LEASE.min(node.settings.max_lease);
+    pub fn start(node: &Rc<Node>, name: &str, fence: u64, history: HolderHistory) -> Rc<Self> {
+        let lease = WORKER_LEASE.min(node.settings.max_lease);
         let remember = node.settings.remember + Duration::from_secs(5);
         let now = clock::now();
-        let Past { formers, is_complete, may_grant } = past;
-        let mut predecessors = Tracker::new(now, formers, is_complete, lease);
+        let HolderHistory { former_holders, is_complete, may_grant } = history;
+        let mut predecessors = Tracker::new(now, former_holders, is_complete, lease);
         // No other owner of the pool is left in this process.
         predecessors.end(now, &node.process());
-        node.granted.borrow_mut().remove(name);
+        node.retired_grants.borrow_mut().remove(name);
         let config = Config::new(fence, now + may_grant + worker::max_lease_duration(lease))
             .lease(lease)
             .remember(remember)
@@ -98,18 +98,18 @@
             predecessors: RefCell::new(predecessors),
             wake: Notify::new(),
             list_changed: Cell::new(true),
-            journal: Notify::new(),
+            write_wake: Notify::new(),
             halted: Cell::new(false),
             flushing: Cell::new(false),
             loaded: Cell::new(false),
             retired: Cell::new(false),
-            looking: RefCell::default(),
+            polled_workers: RefCell::default(),
             busy_advisers: RefCell::default(),
             failed_advisers: RefCell::default(),
-            waiting: RefCell::default(),
+            cancel_waiters: RefCell::default(),
             write_revision: Cell::new(0),
-            writes: Cell::new(0),
-            taken: Cell::new(0),
+            last_write_number: Cell::new(0),
+            accepted_count: Cell::new(0),
         });
         spawn_local(owner.clone().run());
         owner
@@ -137,12 +137,12 @@
                 .trace
                 .line("duty left", json!({ "duty": self.name, "fence": self.fence(), "why": why }));
             let at = clock::now();
-            if let Some(left_ms) = self.pool.borrow().granted_leases(at) {
-                let granted = Granted { fence: self.fence(), at, left_ms };
-                self.node.granted.borrow_mut().insert(self.name.clone(), granted);
+            if let Some(remaining_ms) = self.pool.borrow().granted_leases(at) {
+                let retired_grants = RetiredGrants { fence: self.fence(), at, remaining_ms };
+                self.node.retired_grants.borrow_mut().insert(self.name.clone(), retired_grants);
             }
             self.wake.notify_one();
-            self.journal.notify_one();
+            self.write_wake.notify_one();
         }
     }
 
@@ -153,9 +153,9 @@
             return;
         }
         self.loaded.set(true);
-        self.node.trace.key(
+        self.node.trace.unlimited(
             "duty begun",
-            json!({ "duty": self.name, "fence": self.fence(), "jobs": self.taken.get(),
+            json!({ "duty": self.name, "fence": self.fence(), "jobs": self.accepted_count.get(),
                 "took_ms": ms(clock::now() - begun) }),
         );
         spawn_local(self.clone().follow_predecessors());
@@ -165,58 +165,60 @@
     }
 
     /// Handles a request of a peer or of this process itself.
-    pub async fn answer(&self, ask: Ask) -> Reply {
-        match ask {
-            Ask::Accepted { id, record, revision, .. } => {
+    pub async fn answer(&self, message: Message) -> Reply {
+        match message {
+            Message::Accepted { id, record, revision, .. } => {
                 if let Ok(id) = id.parse() {
                     self.accept(id, &record, None, revision);
                 }
                 Reply::Done
             }
-            Ask::State { id, .. } => self.state(&id),
-            Ask::Cancel { id, .. } => self.cancel(&id).await,
+            Message::State { id, .. } => self.state(&id),
+            Message::Cancel { id, .. } => self.cancel(&id).await,
             // An owner that may have been replaced doesn't hear of new jobs: it would
             // count none as queued while its successor has hundreds. Nor does it hear of
             // tasks that its successor started on workers that it would report as empty.
-            Ask::Queued { .. } | Ask::Vacate { .. } | Ask::Shrink { .. } if !self.is_sure() => {
+            Message::Queued { .. } | Message::Vacate { .. } | Message::Shrink { .. }
+                if !self.is_sure() =>
+            {
                 Reply::NotOwner
             }
-            Ask::Queued { queue, .. } => {
+            Message::Queued { queue, .. } => {
                 Reply::Queued { jobs: self.pool.borrow().queued_jobs(&queue) }
             }
-            Ask::Vacate { workers, .. } => {
+            Message::Vacate { workers, .. } => {
                 let now = clock::now();
                 let mut pool = self.pool.borrow_mut();
-                let is_empty = |id: &String| pool.vacate(now, id, VACATE) == Some(true);
+                let is_empty = |id: &String| pool.vacate(now, id, VACATE_TTL) == Some(true);
                 let empty = workers.into_iter().filter(is_empty).collect();
                 self.wake.notify_one();
                 Reply::Vacated { empty }
             }
-            Ask::Load { arrived, expects, .. } => {
+            Message::Load { arrived, expects, .. } => {
                 if expects {
-                    self.node.expects_until.set(clock::now() + EXPECTED);
+                    self.node.workers_expected_until.set(clock::now() + WORKERS_EXPECTED_TTL);
                 }
                 let pool = self.pool.borrow();
                 let counted = arrived.into_iter().filter(|id| pool.is_counted(id)).collect();
                 Reply::Load { load: pool.load(clock::now()), counted }
             }
-            Ask::Shrink { keep, .. } => {
-                let workers = self.pool.borrow_mut().shrink(clock::now(), keep, VACATE);
+            Message::Shrink { keep, .. } => {
+                let workers = self.pool.borrow_mut().shrink(clock::now(), keep, VACATE_TTL);
                 self.wake.notify_one();
                 Reply::Spare { workers }
             }
-            Ask::Gone { workers, .. } => {
+            Message::Gone { workers, .. } => {
                 for worker in &workers {
                     self.pool.borrow_mut().remove_gone_worker(clock::now(), worker);
                 }
                 self.wake.notify_one();
                 Reply::Done
             }
-            Ask::Retire { .. }
-            | Ask::Advise { .. }
-            | Ask::Unsure { .. }
-            | Ask::Tried { .. }
-            | Ask::Store { .. } => Reply::NotOwner,
+            Message::Retire { .. }
+            | Message::Advise { .. }
+            | Message::Unsure { .. }
+            | Message::Tried { .. }
+            | Message::Store { .. } => Reply::NotOwner,
         }
     }
 
@@ -248,7 +250,7 @@
             match self.node.store.get(&job_key(&self.name, text)).await {
                 Ok(Some(item)) => self.accept_item(&item.key, &item.value, None, item.revision),
                 Ok(None) => {
-                    if let Some(reply) = self.absence(id, text).await {
+                    if let Some(reply) = self.absence_reply(id, text).await {
                         return reply;
                     }
                 }
@@ -256,18 +258,18 @@
             }
         }
         self.pool.borrow_mut().cancel(clock::now(), id);
-        let (told, written) = oneshot::channel();
+        let (confirmation, written) = oneshot::channel();
         if self.pool.borrow().is_written(id) {
             return Reply::Done;
         }
-        self.waiting.borrow_mut().push((id, told));
+        self.cancel_waiters.borrow_mut().push((id, confirmation));
         self.wake.notify_one();
-        self.journal.notify_one();
+        self.write_wake.notify_one();
         // Running tasks are stopped anyway; the caller retries for the confirmation.
-        if self.node.store.is_away() {
+        if self.node.store.is_down() {
             return Reply::Later;
         }
-        match timeout(CANCEL, written).await {
+        match timeout(CANCEL_WRITE_TIMEOUT, written).await {
             Ok(Ok(())) => Reply::Done,
             _ => Reply::Later,
         }
@@ -278,7 +280,7 @@
     ///
     /// It may have become known and ended between the two lookups, or ended under another
     /// owner: then the store has a record of its progress.
-    async fn absence(&self, id: JobId, text: &str) -> Option<Reply> {
+    async fn absence_reply(&self, id: JobId, text: &str) -> Option<Reply> {
         if self.pool.borrow().state(id).is_some() {
             return None;
         }
@@ -292,7 +294,7 @@
 
     /// Retires in favour of another holder with `fence`, unless that fence is older.
     /// Returns whether this owner has retired.
-    pub fn give_way(&self, fence: u64) -> bool {
+    pub fn relinquish(&self, fence: u64) -> bool {
         if fence > self.fence() {
             self.retire("another holder says so");
         }
--- a/crates/entry/src/owner/advise.rs
+++ b/crates/entry/src/owner/advise.rs
@@ -17,15 +17,15 @@
 use super::{Owner, ms};
 use crate::clock;
 use crate::node::Node;
-use crate::peer::{self, Ask, Reply};
+use crate::peer::{self, Message, Reply};
 
 /// How long an entry VM is avoided after a request through it failed.
-const AVOID: Duration = Duration::from_millis(1_000);
+const AVOID_TIME: Duration = Duration::from_millis(1_000);
 /// The time allowed for a request beyond the service's own: transfer, and waiting behind
 /// other owners' requests from the same VM.
 const SLACK: Duration = Duration::from_millis(500);
 /// How many requests of other owners may be queued before this one at an entry VM.
-const BEFORE: u32 = 3;
+const MAX_QUEUED_BEFORE: u32 = 3;
 
 /// The entry VM through which a request is sent; `None` for this one.
 pub(super) type Adviser = Option<SocketAddr>;
@@ -60,7 +60,7 @@
     async fn advise(self: Rc<Self>, question: Query, adviser: Adviser) {
         let begun = clock::now();
         let workers: Vec<String> = question.workers.iter().map(|(_, id)| id.clone()).collect();
-        let within = self.within(workers.len());
+        let within = self.advice_timeout(workers.len());
         let advice = match adviser {
             None => self.node.advise(question.task, &workers, within).await,
             Some(peer) => self.advise_through(peer, question.task, workers, within).await,
@@ -68,9 +68,9 @@
         self.count("advice", begun, advice != Advice::Lost);
         self.busy_advisers.borrow_mut().remove(&adviser);
         if advice == Advice::Lost {
-            self.failed_advisers.borrow_mut().insert(adviser, clock::now() + AVOID);
+            self.failed_advisers.borrow_mut().insert(adviser, clock::now() + AVOID_TIME);
             self.node.trace.line(
-                "advice not told",
+                "advice request failed",
                 json!({ "job": question.task.job.to_string(), "step": question.task.step,
                     "through": adviser, "took_ms": ms(clock::now() - begun) }),
             );
@@ -79,12 +79,12 @@
         self.wake.notify_one();
     }
 
-    fn within(&self, workers: usize) -> Duration {
+    fn advice_timeout(&self, workers: usize) -> Duration {
         let terms = self.node.config.borrow().as_ref().and_then(|config| config.advised());
         let terms = terms.unwrap_or_default();
         let workers = u32::try_from(workers).unwrap_or(u32::MAX);
         let each = terms.per_query + terms.per_worker.saturating_mul(workers);
-        each.saturating_mul(1 + BEFORE) + SLACK
+        each.saturating_mul(1 + MAX_QUEUED_BEFORE) + SLACK
     }
 
     async fn advise_through(
@@ -94,14 +94,14 @@
         workers: Vec<String>,
         within: Duration,
     ) -> Advice {
-        let ask = Ask::Advise {
+        let message = Message::Advise {
             job: task.job.to_string(),
             occurrence: task.occurrence,
             step: task.step,
             workers,
             within_ms: ms(within),
         };
-        match peer::ask(&self.node.peers, peer, &ask, within + SLACK).await {
+        match peer::send(&self.node.peers, peer, &message, within + SLACK).await {
             Ok(Reply::Advised { good: Some(good), valid_ms }) => {
                 Advice::Received { allowed: good, ttl: Duration::from_millis(valid_ms) }
             }
--- a/crates/entry/src/owner/load.rs
+++ b/crates/entry/src/owner/load.rs
@@ -10,26 +10,26 @@
 use corianderfork_jobs::worker::Location;
 use serde_json::json;
 
-use super::{Owner, ROSTERS, WRITES, ms};
+use super::{Owner, ROSTER_PREFIX, WRITE_PREFIX, ms};
 use crate::clock;
-use crate::follow::{News, follow};
-use crate::lookup::{JOBS, RUNS};
+use crate::follow::{Update, follow};
+use crate::lookup::{JOB_PREFIX, RUN_PREFIX};
 use crate::store::Error;
 
 /// How long changes of accepted jobs are batched. The entry VM that accepted a job notifies
 /// the owner itself; the watch only covers lost notifications.
-const JOBS_TOGETHER: Duration = Duration::from_millis(250);
+const JOBS_BATCH_PAUSE: Duration = Duration::from_millis(250);
 
 impl Owner {
     pub(super) async fn load(self: &Rc<Self>) {
-        self.ask_predecessors().await;
+        self.query_predecessors().await;
         loop {
             if self.retired.get() {
                 return;
             }
             match self.read().await {
                 Ok((roster, jobs, runs)) => {
-                    self.take_in(roster, &jobs, &runs);
+                    self.apply_snapshot(roster, &jobs, &runs);
                     break;
                 }
                 Err(error) => {
@@ -41,30 +41,30 @@
                 }
             }
         }
-        while !self.node.servers_known.get() && !self.retired.get() {
+        while !self.node.workers_loaded.get() && !self.retired.get() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
     async fn read(&self) -> Result<(Vec<Location>, Vec<Item>, Vec<Item>), Error> {
         let store = &self.node.store;
-        let roster = store.get(&format!("{ROSTERS}{}", self.name)).await?;
+        let roster = store.get(&format!("{ROSTER_PREFIX}{}", self.name)).await?;
         let seats = roster.and_then(|item| serde_json::from_slice(&item.value).ok());
-        let write = store.get(&format!("{WRITES}{}", self.name)).await?;
+        let write = store.get(&format!("{WRITE_PREFIX}{}", self.name)).await?;
         self.write_revision.set(write.map_or(0, |item| item.revision));
         // Jobs first: when a job ends, only this owner moves it from one to the other.
-        let (jobs, _) = store.range(&format!("{JOBS}{}/", self.name)).await?;
-        let (runs, _) = store.range(&format!("{RUNS}{}/", self.name)).await?;
+        let (jobs, _) = store.range(&format!("{JOB_PREFIX}{}/", self.name)).await?;
+        let (runs, _) = store.range(&format!("{RUN_PREFIX}{}/", self.name)).await?;
         Ok((seats.unwrap_or_default(), jobs, runs))
     }
 
-    fn take_in(&self, roster: Vec<Location>, jobs: &[Item], runs: &[Item]) {
+    fn apply_snapshot(&self, roster: Vec<Location>, jobs: &[Item], runs: &[Item]) {
         let now = clock::now();
         let mut progress: BTreeMap<String, Progress> = BTreeMap::new();
         for item in runs {
             match serde_json::from_slice(&item.value) {
                 Ok(row) => drop(progress.insert(id_of(&item.key).to_owned(), row)),
-                Err(error) => self.unreadable(&item.key, &error.to_string()),
+                Err(error) => self.log_unreadable(&item.key, &error.to_string()),
             }
         }
         let mut pool = self.pool.borrow_mut();
@@ -85,7 +85,7 @@
         }
     }
 
-    fn unreadable(&self, key: &str, why: &str) {
+    fn log_unreadable(&self, key: &str, why: &str) {
         self.node.trace.line("record unreadable", json!({ "key": key, "why": why }));
     }
 
@@ -99,7 +99,7 @@
         let Ok(id) = id_of(key).parse() else { return };
         match serde_json::from_slice::<Record>(value) {
             Ok(record) => self.accept(id, &record, progress, revision),
-            Err(error) => self.unreadable(key, &error.to_string()),
+            Err(error) => self.log_unreadable(key, &error.to_string()),
         }
     }
 
@@ -113,11 +113,11 @@
         if pool.state(id).is_none() {
             pool.accept(now, age, id, record, progress, revision);
             drop(pool);
-            self.taken.set(self.taken.get() + 1);
+            self.accepted_count.set(self.accepted_count.get() + 1);
             // The jobs read by a takeover are logged in a single line.
             if self.loaded.get() {
                 self.node.trace.line(
-                    "job taken in",
+                    "accepted job added",
                     json!({ "job": id.to_string(), "queue": record.queue, "revision": revision,
                         "age_ms": ms(age), "fence": self.fence() }),
                 );
@@ -127,23 +127,29 @@
     }
 
     pub(super) async fn follow_jobs(self: Rc<Self>) {
-        let (learner, wanted) = (self.clone(), self.clone());
-        let learn = move |news: News| match news {
-            News::All(items) => {
+        let (owner, watched) = (self.clone(), self.clone());
+        let apply = move |update: Update| match update {
+            Update::All(items) => {
                 for item in items {
-                    learner.accept_item(&item.key, &item.value, None, item.revision);
+                    owner.accept_item(&item.key, &item.value, None, item.revision);
                 }
             }
-            News::Change(event) => {
+            Update::Change(event) => {
                 if let Some(value) = event.value {
-                    learner.accept_item(&event.key, &value, None, event.revision);
+                    owner.accept_item(&event.key, &value, None, event.revision);
                 }
             }
-            News::Upto(at) => learner.pool.borrow_mut().set_jobs_known_until(at),
+            Update::KnownUntil(at) => owner.pool.borrow_mut().set_jobs_known_until(at),
         };
-        let prefix = format!("{JOBS}{}/", self.name);
-        follow(self.node.clone(), prefix, || JOBS_TOGETHER, move || !wanted.retired.get(), learn)
-            .await;
+        let prefix = format!("{JOB_PREFIX}{}/", self.name);
+        follow(
+            self.node.clone(),
+            prefix,
+            || JOBS_BATCH_PAUSE,
+            move || !watched.retired.get(),
+            apply,
+        )
+        .await;
     }
 }
 
--- a/crates/entry/src/owner/predecessors.rs
+++ b/crates/entry/src/owner/predecessors.rs
@@ -8,39 +8,41 @@
 
 use super::{Owner, ms};
 use crate::clock;
-use crate::duty::Former;
+use crate::duty::FormerHolder;
 use crate::node::Node;
-use crate::peer::{self, Ask, Reply};
+use crate::peer::{self, Message, Reply};
 
 /// How long a former owner may take to respond.
-const ANSWER: Duration = Duration::from_millis(250);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// The pause before former owners that didn't respond are asked again.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 impl Owner {
     /// Tells former owners that they are replaced, and learns until when their grants hold.
     /// For those that don't respond, the longest possible lease is waited out.
-    pub(super) async fn ask_predecessors(&self) {
-        let formers = self.formers_to_ask();
-        let ask = Ask::Retire { duty: self.name.clone(), fence: self.fence() };
-        let answers: Vec<_> = formers
+    pub(super) async fn query_predecessors(&self) {
+        let former_holders = self.holders_to_query();
+        let message = Message::Retire { duty: self.name.clone(), fence: self.fence() };
+        let answers: Vec<_> = former_holders
             .into_iter()
-            .map(|former| spawn_local(ask_former(self.node.clone(), former, ask.clone())))
+            .map(|former| {
+                spawn_local(notify_former_holder(self.node.clone(), former, message.clone()))
+            })
             .collect();
         for answer in answers {
             if let Ok((former, Some(reply))) = answer.await {
-                self.hear_predecessor(&former, reply);
+                self.handle_reply(&former, reply);
             }
         }
     }
 
-    fn formers_to_ask(&self) -> Vec<Former> {
+    fn holders_to_query(&self) -> Vec<FormerHolder> {
         let mut predecessors = self.predecessors.borrow_mut();
         predecessors.observe(clock::now(), &self.node.table.borrow());
         predecessors.to_ask()
     }
 
-    fn hear_predecessor(&self, former: &Former, reply: Reply) {
+    fn handle_reply(&self, former: &FormerHolder, reply: Reply) {
         let Reply::Retired { grants, process } = reply else { return };
         let now = clock::now();
         let mut predecessors = self.predecessors.borrow_mut();
@@ -73,18 +75,22 @@
             if !self.pool.borrow().is_recovering(clock::now()) {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
-            self.ask_predecessors().await;
+            tokio::time::sleep(RETRY_PAUSE).await;
+            self.query_predecessors().await;
         }
         self.node.trace.line(
-            "former owners accounted for",
+            "grants of former owners known",
             json!({ "duty": self.name, "fence": self.fence(), "took_ms": ms(clock::now() - begun) }),
         );
     }
 }
 
-async fn ask_former(node: Rc<Node>, former: Former, ask: Ask) -> (Former, Option<Reply>) {
+async fn notify_former_holder(
+    node: Rc<Node>,
+    former: FormerHolder,
+    message: Message,
+) -> (FormerHolder, Option<Reply>) {
     let Some(address) = former.peers else { return (former, None) };
-    let reply = peer::ask(&node.peers, address, &ask, ANSWER).await.ok();
+    let reply = peer::send(&node.peers, address, &message, RESPONSE_TIMEOUT).await.ok();
     (former, reply)
 }
--- a/crates/entry/src/owner/workers.rs
+++ b/crates/entry/src/owner/workers.rs
@@ -13,36 +13,36 @@
 
 use super::{Owner, ms};
 use crate::clock;
-use crate::http::Failed;
+use crate::http::CallError;
 
 /// How long a worker may take to respond, beyond the time that it is asked to wait.
-const ANSWER: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The same for a worker that hasn't responded before: a takeover waits for the first
 /// poll of each worker.
-const FIRST_ANSWER: Duration = Duration::from_millis(300);
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often the pool is planned without any event.
-const TICK: Duration = Duration::from_millis(60);
+const PLAN_INTERVAL: Duration = Duration::from_millis(60);
 /// The shortest time between two plans, so that simultaneous events are planned together.
-const TOGETHER: Duration = Duration::from_millis(3);
+const MIN_PLAN_GAP: Duration = Duration::from_millis(3);
 /// The pause after a poll that returned ended tasks, so that the next ones come together.
 /// It grows by [`POLL_PAUSE_PER_WORKER`] for each worker of the pool, which bounds the
 /// polls of an owner: 250 workers that each end 11 tasks a second would be polled 2,750
 /// times a second, which is 0.13 of a core at the 46 us that a call is charged.
-const AFTER_ENDS: Duration = Duration::from_millis(10);
+const POLL_PAUSE_AFTER_ENDS: Duration = Duration::from_millis(10);
 /// See [`POLL_PAUSE_AFTER_ENDS`].
-const AFTER_ENDS_EACH: Duration = Duration::from_micros(250);
+const POLL_PAUSE_PER_WORKER: Duration = Duration::from_micros(250);
 /// The pause after a poll that returned only ends that are already being written.
-const NOTHING_NEW: Duration = Duration::from_millis(40);
+const POLL_PAUSE_NOTHING_NEW: Duration = Duration::from_millis(40);
 /// The pause after a poll that failed.
-const AFTER_SILENCE: Duration = Duration::from_millis(200);
+const POLL_PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(200);
 
 impl Owner {
     pub(super) async fn plan_loop(self: Rc<Self>) {
         while !self.retired.get() && !self.halted.get() {
             self.plan();
-            tokio::time::sleep(TOGETHER).await;
+            tokio::time::sleep(MIN_PLAN_GAP).await;
             // Without an event, the pool is planned after PLAN_INTERVAL.
-            let _ = timeout(TICK, self.wake.notified()).await;
+            let _ = timeout(PLAN_INTERVAL, self.wake.notified()).await;
         }
     }
 
@@ -52,7 +52,7 @@
             let entries = self.node.workers_of(&self.name);
             self.pool.borrow_mut().set_workers(now, &entries);
         }
-        self.start_looks();
+        self.start_polls();
         self.ask_advice();
         if self.node.may_order() {
             let orders = self.pool.borrow_mut().plan(now, clock::wall_ms());
@@ -65,7 +65,7 @@
         if is_deposed {
             self.retire("a worker saw a higher fence");
         }
-        self.journal.notify_one();
+        self.write_wake.notify_one();
     }
 
     fn log_notes(&self) {
@@ -80,25 +80,25 @@
         }
     }
 
-    fn start_looks(self: &Rc<Self>) {
+    fn start_polls(self: &Rc<Self>) {
         let keys: Vec<worker::Key> = self.pool.borrow().workers().collect();
         for key in keys {
-            if self.looking.borrow_mut().insert(key) {
-                spawn_local(self.clone().look_loop(key));
+            if self.polled_workers.borrow_mut().insert(key) {
+                spawn_local(self.clone().poll_loop(key));
             }
         }
     }
 
-    async fn look_loop(self: Rc<Self>, key: worker::Key) {
+    async fn poll_loop(self: Rc<Self>, key: worker::Key) {
         let mut newest = None;
         while !self.retired.get() && !self.halted.get() {
             if !self.node.may_order() {
-                tokio::time::sleep(AFTER_SILENCE).await;
+                tokio::time::sleep(POLL_PAUSE_AFTER_FAILURE).await;
                 continue;
             }
             let sent = clock::now();
-            let Some(look) = self.pool.borrow_mut().next_poll(sent, key) else { break };
-            let answer = self.look(&look).await;
+            let Some(poll) = self.pool.borrow_mut().next_poll(sent, key) else { break };
+            let answer = self.poll(&poll).await;
             if self.retired.get() || self.halted.get() {
                 break;
             }
@@ -107,29 +107,35 @@
             match &answer {
                 Answer::Done(report) if report.exits.is_empty() => {
                     // Pauses even if a worker responds at once although it was asked to wait.
-                    if clock::now() - sent < AFTER_ENDS {
-                        tokio::time::sleep(AFTER_ENDS).await;
+                    if clock::now() - sent < POLL_PAUSE_AFTER_ENDS {
+                        tokio::time::sleep(POLL_PAUSE_AFTER_ENDS).await;
                     }
                 }
                 Answer::Done(report) => {
                     let last = report.exits.iter().map(|ended| ended.number).max();
                     let is_new = last > newest;
                     newest = newest.max(last);
-                    let all = u32::try_from(self.looking.borrow().len()).unwrap_or(u32::MAX);
-                    let after = AFTER_ENDS + AFTER_ENDS_EACH.saturating_mul(all);
-                    tokio::time::sleep(if is_new { after } else { after.max(NOTHING_NEW) }).await;
+                    let all = u32::try_from(self.polled_workers.borrow().len()).unwrap_or(u32::MAX);
+                    let after = POLL_PAUSE_AFTER_ENDS + POLL_PAUSE_PER_WORKER.saturating_mul(all);
+                    tokio::time::sleep(if is_new {
+                        after
+                    } else {
+                        after.max(POLL_PAUSE_NOTHING_NEW)
+                    })
+                    .await;
                 }
-                _ => tokio::time::sleep(AFTER_SILENCE).await,
+                _ => tokio::time::sleep(POLL_PAUSE_AFTER_FAILURE).await,
             }
         }
-        self.looking.borrow_mut().remove(&key);
+        self.polled_workers.borrow_mut().remove(&key);
     }
 
-    async fn look(&self, look: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
-        let call = wire::look(look);
+    async fn poll(&self, poll: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
+        let call = wire::look(poll);
         let begun = clock::now();
-        let within = if look.deadline_ms.is_some() { ANSWER } else { FIRST_ANSWER };
-        let answer = self.node.client.call(look.address, &call, look.wait + within).await;
+        let within =
+            if poll.deadline_ms.is_some() { RESPONSE_TIMEOUT } else { FIRST_RESPONSE_TIMEOUT };
+        let answer = self.node.client.call(poll.address, &call, poll.wait + within).await;
         self.count("look", begun, answer.is_ok());
         match answer {
             Ok((status, body)) => wire::looked(status, &body).unwrap_or(Answer::Lost),
@@ -140,11 +146,11 @@
     async fn send(self: Rc<Self>, order: Order) {
         let call = wire::order(&order);
         let begun = clock::now();
-        let answer = self.node.client.call(order.address, &call, ANSWER).await;
+        let answer = self.node.client.call(order.address, &call, RESPONSE_TIMEOUT).await;
         self.count("order", begun, answer.is_ok());
         let answer = match answer {
             Ok((status, body)) => wire::ordered(status, &body).unwrap_or(Answer::Lost),
-            Err(Failed::Unsent | Failed::Lost) => Answer::Lost,
+            Err(CallError::Unsent | CallError::Lost) => Answer::Lost,
         };
         if !matches!(answer, Answer::Done(_)) {
             self.node.trace.line(
--- a/crates/entry/src/owner/write.rs
+++ b/crates/entry/src/owner/write.rs
@@ -9,9 +9,9 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use super::{Owner, ROSTERS, WRITES, ms};
+use super::{Owner, ROSTER_PREFIX, WRITE_PREFIX, ms};
 use crate::clock;
-use crate::duty::DUTIES;
+use crate::duty::DUTY_PREFIX;
 use crate::lookup::{job_key, run_key};
 
 /// Rows of a write besides those of the batch: the duty, the write's number twice, and
@@ -20,14 +20,14 @@
 /// How far ahead of their due time changes are written at a planned stop.
 const FLUSH_AHEAD: Duration = Duration::from_secs(2);
 /// How often, and how many times, a planned stop checks whether everything is written.
-const FLUSH_LOOK: Duration = Duration::from_millis(15);
-const FLUSH_LOOKS: u32 = 40;
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(15);
+const FLUSH_CHECKS: u32 = 40;
 
 impl Owner {
     pub(super) async fn write_loop(self: Rc<Self>) {
         while !self.retired.get() {
             if !self.write_once().await {
-                let _ = timeout(Duration::from_millis(200), self.journal.notified()).await;
+                let _ = timeout(Duration::from_millis(200), self.write_wake.notified()).await;
             }
         }
     }
@@ -42,10 +42,10 @@
         if batch.is_empty() && roster.is_none() {
             return false;
         }
-        let number = self.writes.get() + 1;
-        self.writes.set(number);
+        let number = self.last_write_number.get() + 1;
+        self.last_write_number.set(number);
         let token = format!("{}.{}.{number}", self.node.settings.name, self.node.boot);
-        let txn = self.txn(&batch, roster.as_ref(), &token);
+        let txn = self.build_txn(&batch, roster.as_ref(), &token);
         let begun = clock::now();
         let is_written = self.commit(&txn, &token).await;
         if is_written {
@@ -54,7 +54,7 @@
             if let Some(seats) = roster {
                 self.pool.borrow_mut().confirm_roster(seats);
             }
-            self.tell_waiting();
+            self.confirm_cancellations();
             self.wake.notify_one();
         }
         is_written
@@ -67,25 +67,25 @@
         let ended = batch.updates.iter().filter(|row| row.progress.state.is_final());
         let jobs: Vec<String> = ended.map(|row| row.id.to_string()).collect();
         if !jobs.is_empty() {
-            self.node.trace.key(
-                "ends written",
+            self.node.trace.unlimited(
+                "job ends written",
                 json!({ "duty": self.name, "fence": self.fence(),
                     "revision": self.write_revision.get(), "jobs": jobs, "took_ms": ms(took) }),
             );
         }
     }
 
-    fn txn(&self, batch: &Batch, roster: Option<&Vec<Location>>, token: &str) -> Txn {
-        let write_key = format!("{WRITES}{}", self.name);
+    fn build_txn(&self, batch: &Batch, roster: Option<&Vec<Location>>, token: &str) -> Txn {
+        let write_key = format!("{WRITE_PREFIX}{}", self.name);
         let mut txn = Txn::default();
-        txn.expect.push((format!("{DUTIES}{}", self.name), self.fence()));
+        txn.expect.push((format!("{DUTY_PREFIX}{}", self.name), self.fence()));
         // A write without a response may be applied seconds later. Each write expects the
         // revision of the previous one's number, so that it can't undo a newer one.
         txn.expect.push((write_key.clone(), self.write_revision.get()));
         txn.set.push((write_key, token.as_bytes().to_vec(), 0));
         if let Some(seats) = roster {
             let value = serde_json::to_vec(seats).unwrap_or_default();
-            txn.set.push((format!("{ROSTERS}{}", self.name), value, 0));
+            txn.set.push((format!("{ROSTER_PREFIX}{}", self.name), value, 0));
         }
         for row in &batch.updates {
             let id = row.id.to_string();
@@ -127,8 +127,8 @@
     /// Handles a failed condition: either this very write was applied before, or another
     /// holder has the duty.
     fn resolve(&self, items: &[Item], token: &str) -> bool {
-        let key = format!("{WRITES}{}", self.name);
-        let duty = format!("{DUTIES}{}", self.name);
+        let key = format!("{WRITE_PREFIX}{}", self.name);
+        let duty = format!("{DUTY_PREFIX}{}", self.name);
         let is_mine = |item: &&Item| item.key == key && item.value == token.as_bytes();
         if let Some(item) = items.iter().find(is_mine) {
             self.write_revision.set(item.revision);
@@ -143,15 +143,15 @@
         false
     }
 
-    fn tell_waiting(&self) {
-        let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
+    fn confirm_cancellations(&self) {
+        let cancel_waiters = std::mem::take(&mut *self.cancel_waiters.borrow_mut());
         let pool = self.pool.borrow();
-        for (id, told) in waiting {
+        for (id, confirmation) in cancel_waiters {
             if pool.is_written(id) {
                 // The receiver may have stopped waiting.
-                let _ = told.send(());
+                let _ = confirmation.send(());
             } else {
-                self.waiting.borrow_mut().push((id, told));
+                self.cancel_waiters.borrow_mut().push((id, confirmation));
             }
         }
     }
@@ -160,12 +160,12 @@
     pub async fn flush(&self) {
         self.halted.set(true);
         self.flushing.set(true);
-        for _ in 0..FLUSH_LOOKS {
+        for _ in 0..FLUSH_CHECKS {
             if self.pool.borrow().is_all_written() || self.retired.get() {
                 return;
             }
-            self.journal.notify_one();
-            tokio::time::sleep(FLUSH_LOOK).await;
+            self.write_wake.notify_one();
+            tokio::time::sleep(FLUSH_CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -15,19 +15,19 @@
 use hyper::body::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::duty::Former;
-use crate::http::{Client, Failed};
+use crate::duty::FormerHolder;
+use crate::http::{CallError, Client};
 
 /// How long a peer may take to respond.
-pub const ANSWER: Duration = Duration::from_millis(700);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The timeout of requests that are repeated often: a response takes a few milliseconds,
 /// and the next request follows soon.
-pub const PROMPT: Duration = Duration::from_millis(250);
+pub const SHORT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
-pub enum Ask {
+pub enum Message {
     /// Notifies the owner of a pool of an accepted job.
     Accepted {
         /// The pool.
@@ -135,7 +135,7 @@
     },
 }
 
-impl Ask {
+impl Message {
     /// Returns the pool whose owner the request is for; empty if it is for no owner.
     pub fn pool(&self) -> &str {
         match self {
@@ -206,7 +206,7 @@
         grants: Option<BTreeMap<String, u64>>,
         /// The process that responds.
         #[serde(default)]
-        process: Option<Former>,
+        process: Option<FormerHolder>,
     },
     /// Which workers may run a step.
     Advised {
@@ -236,13 +236,13 @@
 /// # Errors
 ///
 /// Fails if there is no valid reply.
-pub async fn ask(
+pub async fn send(
     client: &Rc<Client>,
     peer: SocketAddr,
-    ask: &Ask,
+    message: &Message,
     within: Duration,
-) -> Result<Reply, Failed> {
-    parse_reply(client.call(peer, &build_call(ask), within).await?)
+) -> Result<Reply, CallError> {
+    parse_reply(client.call(peer, &build_call(message), within).await?)
 }
 
 /// Like [`send`], for a reply that may be large: `within` bounds the time until the head of
@@ -251,23 +251,23 @@
 /// # Errors
 ///
 /// Fails if there is no valid reply.
-pub async fn ask_large(
+pub async fn send_large(
     client: &Rc<Client>,
     peer: SocketAddr,
-    ask: &Ask,
+    message: &Message,
     within: Duration,
-) -> Result<Reply, Failed> {
-    parse_reply(client.call_large(peer, &build_call(ask), within, |_| {}).await?)
+) -> Result<Reply, CallError> {
+    parse_reply(client.call_large(peer, &build_call(message), within, |_| {}).await?)
 }
 
-fn build_call(ask: &Ask) -> Call {
-    let body = serde_json::to_vec(ask).unwrap_or_default();
+fn build_call(message: &Message) -> Call {
+    let body = serde_json::to_vec(message).unwrap_or_default();
     Call { method: "POST", target: "/peer".to_owned(), headers: Vec::new(), body }
 }
 
-fn parse_reply((status, body): (u16, Bytes)) -> Result<Reply, Failed> {
+fn parse_reply((status, body): (u16, Bytes)) -> Result<Reply, CallError> {
     if status != 200 {
-        return Err(Failed::Lost);
+        return Err(CallError::Lost);
     }
-    serde_json::from_slice(&body).map_err(|_| Failed::Lost)
+    serde_json::from_slice(&body).map_err(|_| CallError::Lost)
 }
