--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -11,17 +11,17 @@
 use serde::{Deserialize, Serialize};
 
 /// The key prefix of queues' records; the name follows.
-pub const QUEUES: &str = "entry/queue/";
+pub const QUEUE_PREFIX: &str = "entry/queue/";
 
 /// Returns the key of a queue's record.
 pub fn queue_key(queue: &str) -> String {
-    format!("{QUEUES}{queue}")
+    format!("{QUEUE_PREFIX}{queue}")
 }
 
 /// The pools that may hold a queue's jobs, as stored. A pool is added by the write that
 /// accepts the first job there, and none is removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Places {
+pub struct PoolList {
     /// The version of the configuration that named the first pool.
     pub version: u64,
     /// The pools, the newest first.
@@ -30,16 +30,16 @@
 
 /// A queue's record, as far as known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Entry {
+pub enum QueueRecord {
     /// There is none: no job was accepted yet.
     #[default]
     Missing,
     /// It could be decoded.
-    Whole {
+    Valid {
         /// Its revision.
         revision: u64,
         /// Its content.
-        places: Places,
+        pool_list: PoolList,
     },
     /// Another writer overwrote it with something else or removed it (revision 0): the
     /// pools aren't known.
@@ -49,17 +49,17 @@
     },
 }
 
-impl Entry {
+impl QueueRecord {
     /// Decodes a record.
     ///
     /// ```
-    /// use corianderfork_entry::placement::Entry;
+    /// use corianderfork_entry::placement::QueueRecord;
     ///
-    /// assert_eq!(Entry::read(b"\xff{", 7), Entry::Damaged { revision: 7 });
+    /// assert_eq!(QueueRecord::read(b"\xff{", 7), QueueRecord::Damaged { revision: 7 });
     /// ```
     pub fn read(value: &[u8], revision: u64) -> Self {
-        match serde_json::from_slice::<Places>(value) {
-            Ok(places) if !places.pools.is_empty() => Self::Whole { revision, places },
+        match serde_json::from_slice::<PoolList>(value) {
+            Ok(pool_list) if !pool_list.pools.is_empty() => Self::Valid { revision, pool_list },
             _ => Self::Damaged { revision },
         }
     }
@@ -68,14 +68,14 @@
     pub const fn revision(&self) -> u64 {
         match self {
             Self::Missing => 0,
-            Self::Whole { revision, .. } | Self::Damaged { revision } => *revision,
+            Self::Valid { revision, .. } | Self::Damaged { revision } => *revision,
         }
     }
 
     /// Returns the pools that it names.
     pub fn pools(&self) -> &[String] {
         match self {
-            Self::Whole { places, .. } => &places.pools,
+            Self::Valid { pool_list, .. } => &pool_list.pools,
             Self::Missing | Self::Damaged { .. } => &[],
         }
     }
@@ -83,7 +83,7 @@
 
 /// The pool to which a configuration routes a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Way {
+pub struct QueueRoute {
     /// The configuration's version.
     pub version: u64,
     /// The pool.
@@ -100,7 +100,7 @@
     /// The other pools that may hold a job that is submitted again.
     pub earlier: Vec<String>,
     /// The new content of the record, if it has to change.
-    pub change: Option<Places>,
+    pub change: Option<PoolList>,
 }
 
 impl Placement {
@@ -112,31 +112,38 @@
     /// the queue back and forth.
     ///
     /// ```
-    /// use corianderfork_entry::placement::{Entry, Placement, Way};
+    /// use corianderfork_entry::placement::{QueueRecord, Placement, QueueRoute};
     ///
-    /// let way = Way { version: 1, pool: "alpha".to_owned() };
-    /// let first = Placement::new(&Entry::Missing, &way, []);
+    /// let queue_route = QueueRoute { version: 1, pool: "alpha".to_owned() };
+    /// let first = Placement::new(&QueueRecord::Missing, &queue_route, []);
     /// assert_eq!((first.revision, first.pool.as_str()), (0, "alpha"));
     /// assert!(first.change.is_some());
     /// ```
-    pub fn new<'a>(entry: &'a Entry, way: &Way, all: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn new<'a>(
+        entry: &'a QueueRecord,
+        queue_route: &QueueRoute,
+        all: impl IntoIterator<Item = &'a str>,
+    ) -> Self {
         let revision = entry.revision();
-        let before: Vec<&str> = match entry {
-            Entry::Whole { places, .. }
-                if places.pools[0] == way.pool || places.version >= way.version =>
+        let earlier_pools: Vec<&str> = match entry {
+            QueueRecord::Valid { pool_list, .. }
+                if pool_list.pools[0] == queue_route.pool
+                    || pool_list.version >= queue_route.version =>
             {
-                let (first, earlier) = (places.pools[0].clone(), places.pools[1..].to_vec());
+                let (first, earlier) = (pool_list.pools[0].clone(), pool_list.pools[1..].to_vec());
                 return Self { revision, pool: first, earlier, change: None };
             }
-            Entry::Whole { places, .. } => places.pools.iter().map(String::as_str).collect(),
-            Entry::Damaged { .. } => all.into_iter().collect(),
-            Entry::Missing => Vec::new(),
+            QueueRecord::Valid { pool_list, .. } => {
+                pool_list.pools.iter().map(String::as_str).collect()
+            }
+            QueueRecord::Damaged { .. } => all.into_iter().collect(),
+            QueueRecord::Missing => Vec::new(),
         };
-        let earlier = before.into_iter().filter(|pool| *pool != way.pool);
+        let earlier = earlier_pools.into_iter().filter(|pool| *pool != queue_route.pool);
         let earlier: Vec<String> = earlier.map(str::to_owned).collect();
-        let pools = std::iter::once(&way.pool).chain(&earlier).cloned().collect();
-        let change = Some(Places { version: way.version, pools });
-        Self { revision, pool: way.pool.clone(), earlier, change }
+        let pools = std::iter::once(&queue_route.pool).chain(&earlier).cloned().collect();
+        let change = Some(PoolList { version: queue_route.version, pools });
+        Self { revision, pool: queue_route.pool.clone(), earlier, change }
     }
 }
 
@@ -161,20 +168,20 @@
 /// pool, would be told that there is no such job.
 ///
 /// ```
-/// use corianderfork_entry::placement::{Entry, Search, Step};
+/// use corianderfork_entry::placement::{QueueRecord, Search, Step};
 ///
-/// let mut search = Search::new(Entry::Missing, "alpha");
+/// let mut search = Search::new(QueueRecord::Missing, "alpha");
 /// assert_eq!(search.next(), Step::Pool("alpha".to_owned()));
-/// search.absent();
+/// search.mark_absent();
 /// assert_eq!(search.next(), Step::Record);
-/// search.learn(Entry::Missing);
+/// search.learn(QueueRecord::Missing);
 /// assert_eq!(search.next(), Step::Absent);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Search {
-    known: Entry,
+    known: QueueRecord,
     searched: Vec<String>,
-    left: VecDeque<String>,
+    remaining_pools: VecDeque<String>,
     is_read: bool,
     is_unclear: bool,
 }
@@ -182,11 +189,11 @@
 impl Search {
     /// Starts a search of the pools of a record as known so far, and of the pool to which the
     /// queue is routed now.
-    pub fn new(known: Entry, pool: &str) -> Self {
+    pub fn new(known: QueueRecord, pool: &str) -> Self {
         let mut search = Self {
-            known: Entry::Missing,
+            known: QueueRecord::Missing,
             searched: Vec::new(),
-            left: VecDeque::new(),
+            remaining_pools: VecDeque::new(),
             is_read: false,
             is_unclear: false,
         };
@@ -198,15 +205,15 @@
 
     fn add(&mut self, pools: &[String]) {
         for pool in pools {
-            if !self.searched.contains(pool) && !self.left.contains(pool) {
-                self.left.push_back(pool.clone());
+            if !self.searched.contains(pool) && !self.remaining_pools.contains(pool) {
+                self.remaining_pools.push_back(pool.clone());
             }
         }
     }
 
     /// Returns the next step, or the result.
     pub fn next(&self) -> Step {
-        match self.left.front() {
+        match self.remaining_pools.front() {
             Some(pool) => Step::Pool(pool.clone()),
             None if !self.is_read => Step::Record,
             None if self.is_unclear => Step::Unclear,
@@ -215,26 +222,26 @@
     }
 
     /// Records that the job isn't in the pool that [`Search::next`] named.
-    pub fn absent(&mut self) {
-        self.searched.extend(self.left.pop_front());
+    pub fn mark_absent(&mut self) {
+        self.searched.extend(self.remaining_pools.pop_front());
     }
 
     /// Records that it isn't known whether the job is in the pool that [`Search::next`]
     /// named, or that the queue's record could not be read.
-    pub fn unclear(&mut self) {
+    pub fn mark_unclear(&mut self) {
         self.is_unclear = true;
-        if self.left.is_empty() {
+        if self.remaining_pools.is_empty() {
             self.is_read = true;
         }
-        self.absent();
+        self.mark_absent();
     }
 
     /// Records the queue's record as just read from the store.
-    pub fn learn(&mut self, entry: Entry) {
+    pub fn learn(&mut self, entry: QueueRecord) {
         self.is_read = true;
         // No daemon removes an existing record.
-        let is_removed = entry == Entry::Missing && self.known != Entry::Missing;
-        self.is_unclear |= is_removed || matches!(entry, Entry::Damaged { .. });
+        let is_removed = entry == QueueRecord::Missing && self.known != QueueRecord::Missing;
+        self.is_unclear |= is_removed || matches!(entry, QueueRecord::Damaged { .. });
         self.add(entry.pools());
     }
 }
--- a/crates/entry/src/planner.rs
+++ b/crates/entry/src/planner.rs
@@ -25,30 +25,30 @@
 use crate::elapsed::Elapsed;
 use crate::member;
 use crate::node::Node;
-use crate::peer::{self, Ask, Reply};
+use crate::peer::{self, Message, Reply};
 
 /// The key prefix of waves' progress; the number follows.
-const WAVES: &str = "fleet/wave/";
+const WAVE_PREFIX: &str = "fleet/wave/";
 /// The key of the recently ordered VMs.
-const ORDERS: &str = "fleet/orders";
+const ORDERS_KEY: &str = "fleet/orders";
 /// How often sizes are decided: any delay in noticing a queue's busy time makes its jobs
 /// wait longer. *Measured* against 0.25 s, on days of 34 s with a worker's heartbeats seen
 /// as soon: 0.008 and 0.013 of a day's worth.
-const TICK: Duration = Duration::from_millis(100);
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 /// How often the fleet is listed. The list lags by more than this, and each page of it is
 /// a call that is priced and counted.
-const LIST: Duration = Duration::from_millis(250);
+const LIST_INTERVAL: Duration = Duration::from_millis(250);
 /// How long the fleet service may take to respond.
-const ANSWER: Duration = Duration::from_millis(1_000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a VM whose maintenance was ordered counts as away although the lagging list
 /// shows it as up.
-const SETTLE: Duration = Duration::from_millis(1_200);
+const MAINTENANCE_LAG: Duration = Duration::from_millis(1_200);
 /// How long an owner's report that a worker is empty is relied on: less than the time for
 /// which the owner keeps it empty. The write that records an order takes seconds when the
 /// store is slow, and an order sent later would end a task that was started meanwhile.
-const EMPTY: Duration = Duration::from_millis(1_500);
+const EMPTY_VALIDITY: Duration = Duration::from_millis(1_500);
 /// How many VMs are vacated ahead of those that may be maintained now.
-const AHEAD: usize = 1;
+const VACATE_AHEAD: usize = 1;
 
 /// The progress of a wave, as stored.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -68,9 +68,9 @@
     waves: BTreeMap<u64, Progress>,
     elapsed: Elapsed,
     /// VMs whose maintenance was ordered, and when.
-    away: HashMap<String, Time>,
+    in_maintenance: HashMap<String, Time>,
     /// Waves whose start was reported to operators.
-    told: BTreeSet<u64>,
+    announced_waves: BTreeSet<u64>,
     /// VMs on their way to a pool.
     coming: Arrivals,
     /// The sizing state of each pool.
@@ -79,12 +79,12 @@
     absence: Absence,
     /// VMs that the previous holder ordered recently, and until when they are left alone:
     /// its order may still be in flight, and orders of two holders for one VM must not mix.
-    barred: BTreeMap<String, Time>,
+    quarantined: BTreeMap<String, Time>,
     /// VMs that this holder ordered recently.
-    ordered: BTreeMap<String, Time>,
+    recent_orders: BTreeMap<String, Time>,
     /// Orders that may be sent, as of `order_budget_at`.
-    allowed: f64,
-    allowed_at: Time,
+    order_budget: f64,
+    order_budget_at: Time,
     /// Whether pools wanted more VMs than there are at the last check.
     is_scarce: bool,
     /// The last list of the fleet, and when it was requested.
@@ -94,46 +94,47 @@
 /// Calls the fleet service.
 async fn call(node: &Node, call: &Call) -> Option<(u16, hyper::body::Bytes)> {
     let address = node.settings.fleet?;
-    node.client.call(address, call, ANSWER).await.ok()
+    node.client.call(address, call, RESPONSE_TIMEOUT).await.ok()
 }
 
 /// Plans until another process holds the duty.
 pub async fn plan(node: Rc<Node>, fence: u64) {
     let name = node.settings.name.as_str().to_owned();
     let holder = Holder { name, fence };
-    let (waves, away, told) = (BTreeMap::new(), HashMap::new(), BTreeSet::new());
+    let (waves, in_maintenance, announced_waves) =
+        (BTreeMap::new(), HashMap::new(), BTreeSet::new());
     let (coming, sizes) = (Arrivals::default(), HashMap::new());
-    let (barred, ordered) = (BTreeMap::new(), BTreeMap::new());
+    let (quarantined, recent_orders) = (BTreeMap::new(), BTreeMap::new());
     let mut planner = Planner {
         node: node.clone(),
         holder,
         waves,
         elapsed: Elapsed::default(),
-        away,
-        told,
+        in_maintenance,
+        announced_waves,
         coming,
         sizes,
         absence: Absence::default(),
-        barred,
-        ordered,
-        allowed: 0.0,
-        allowed_at: Time::ZERO,
+        quarantined,
+        recent_orders,
+        order_budget: 0.0,
+        order_budget_at: Time::ZERO,
         is_scarce: false,
         listed: None,
     };
     planner.load().await;
-    node.trace.key("duty begun", json!({ "duty": FLEET, "fence": fence }));
+    node.trace.unlimited("duty begun", json!({ "duty": FLEET, "fence": fence }));
     while planner.is_holder() {
         if node.may_order() {
             planner.tick().await;
         }
         // Wakes early for a stop of this process; other changes may wait for the interval.
-        let _ = timeout(TICK, node.changed.notified()).await;
+        let _ = timeout(PLAN_INTERVAL, node.changed.notified()).await;
     }
-    node.trace.key("duty left", json!({ "duty": FLEET, "fence": fence }));
+    node.trace.unlimited("duty left", json!({ "duty": FLEET, "fence": fence }));
     if node.stopping.get() && node.planner.get() == Some(fence) {
-        planner.write_ages().await;
-        member::vacate(node, (FLEET.to_owned(), fence)).await;
+        planner.write_order_ages().await;
+        member::release_duty(node, (FLEET.to_owned(), fence)).await;
     }
 }
 
@@ -144,15 +145,15 @@
 
     async fn load(&mut self) {
         while self.is_holder() {
-            let Ok(orders) = self.node.store.get(ORDERS).await else {
-                tokio::time::sleep(TICK).await;
+            let Ok(orders) = self.node.store.get(ORDERS_KEY).await else {
+                tokio::time::sleep(PLAN_INTERVAL).await;
                 continue;
             };
-            let ages = orders.and_then(|item| serde_json::from_slice(&item.value).ok());
-            self.bar(ages.unwrap_or_default());
-            if let Ok((items, _)) = self.node.store.range(WAVES).await {
+            let order_ages = orders.and_then(|item| serde_json::from_slice(&item.value).ok());
+            self.quarantine(order_ages.unwrap_or_default());
+            if let Ok((items, _)) = self.node.store.range(WAVE_PREFIX).await {
                 for item in items {
-                    let number = item.key.strip_prefix(WAVES).and_then(|n| n.parse().ok());
+                    let number = item.key.strip_prefix(WAVE_PREFIX).and_then(|n| n.parse().ok());
                     let progress = serde_json::from_slice(&item.value).ok();
                     if let (Some(number), Some(progress)) = (number, progress) {
                         let progress: Progress = progress;
@@ -163,13 +164,13 @@
                 }
                 return;
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(PLAN_INTERVAL).await;
         }
     }
 
     /// Tells owners that workers of their pools are gone. This is best effort: otherwise an
     /// owner notices when the worker's lease expires.
-    fn tell_gone(&self, vms: &[Vm]) {
+    fn report_gone_workers(&self, vms: &[Vm]) {
         let mut gone: BTreeMap<&str, Vec<String>> = BTreeMap::new();
         for vm in vms.iter().filter(|vm| !vm.worker.is_empty()) {
             gone.entry(&vm.pool).or_default().push(vm.worker.clone());
@@ -177,8 +178,8 @@
         for (pool, workers) in gone {
             let (node, pool) = (self.node.clone(), pool.to_owned());
             spawn_local(async move {
-                let ask = Ask::Gone { pool: pool.clone(), workers };
-                let _ = node.ask_owner(&pool, ask, peer::ANSWER).await;
+                let message = Message::Gone { pool: pool.clone(), workers };
+                let _ = node.send_to_owner(&pool, message, peer::RESPONSE_TIMEOUT).await;
             });
         }
     }
@@ -190,17 +191,17 @@
     /// others by its timeout, and with them the sizes of all pools. *Measured* with a third
     /// of the entry VMs cut off and VMs to be maintained: 0.8 to 2.2 s from one decision to
     /// the next, 0.3 s since.
-    async fn ask_all(&self, asks: Vec<Ask>) -> Vec<Option<Reply>> {
-        let ask = |ask: Ask| {
+    async fn send_to_owners(&self, asks: Vec<Message>) -> Vec<Option<Reply>> {
+        let message = |message: Message| {
             let node = self.node.clone();
             spawn_local(async move {
-                let pool = ask.pool().to_owned();
-                node.ask_owner(&pool, ask, peer::PROMPT).await.ok()
+                let pool = message.pool().to_owned();
+                node.send_to_owner(&pool, message, peer::SHORT_TIMEOUT).await.ok()
             })
         };
-        let asked: Vec<_> = asks.into_iter().map(ask).collect();
-        let mut replies = Vec::with_capacity(asked.len());
-        for reply in asked {
+        let tasks: Vec<_> = asks.into_iter().map(message).collect();
+        let mut replies = Vec::with_capacity(tasks.len());
+        for reply in tasks {
             replies.push(reply.await.ok().flatten());
         }
         replies
@@ -212,7 +213,7 @@
             let is_open = |number: &u64| !self.waves.get(number).is_some_and(|p| p.completed);
             all.values().map(|(wave, _)| wave).filter(|w| is_open(&w.number)).cloned().collect()
         };
-        let known = self.listed.clone().filter(|(at, _)| clock::now() - *at < LIST);
+        let known = self.listed.clone().filter(|(at, _)| clock::now() - *at < LIST_INTERVAL);
         let is_fresh = known.is_none();
         let (listed_at, vms) = match known {
             Some(listed) => listed,
@@ -224,7 +225,7 @@
         };
         self.listed = Some((listed_at, vms.clone()));
         if is_fresh {
-            self.settle(listed_at, &vms);
+            self.clear_maintained(listed_at, &vms);
             let wanted = waves.iter().flat_map(|wave| &wave.vms).map(String::as_str);
             self.absence.note(listed_at, wanted, |vm| vms.contains_key(vm));
             for wave in waves {
@@ -249,10 +250,10 @@
     }
 
     /// Forgets VMs under maintenance that are up again.
-    fn settle(&mut self, listed_at: Time, vms: &BTreeMap<String, Vm>) {
-        self.away.retain(|name, since| {
+    fn clear_maintained(&mut self, listed_at: Time, vms: &BTreeMap<String, Vm>) {
+        self.in_maintenance.retain(|name, since| {
             let is_up = vms.get(name).is_none_or(|vm| vm.state == State::Up);
-            !is_up || listed_at - *since < SETTLE
+            !is_up || listed_at - *since < MAINTENANCE_LAG
         });
     }
 }
--- a/crates/entry/src/planner/orders.rs
+++ b/crates/entry/src/planner/orders.rs
@@ -6,18 +6,18 @@
 use corianderfork_adapter::store::{Outcome, Txn};
 use corianderfork_model::Time;
 
-use super::{ORDERS, Planner};
+use super::{ORDERS_KEY, Planner};
 use crate::clock;
-use crate::duty::{DUTIES, FLEET};
+use crate::duty::{DUTY_PREFIX, FLEET};
 
 /// The share of the service's rate limit that is used: the previous holder may have used
 /// some of this second's.
-const SHARE: f64 = 0.8;
+const RATE_SHARE: f64 = 0.8;
 
 impl Planner {
     /// Whether this holder may order a VM.
     pub(super) fn may_order_vm(&self, vm: &str) -> bool {
-        self.barred.get(vm).is_none_or(|until| clock::now() >= *until)
+        self.quarantined.get(vm).is_none_or(|until| clock::now() >= *until)
     }
 
     /// Leaves the VMs that the previous holder ordered alone for a while, given the ages of
@@ -26,48 +26,52 @@
     /// These VMs count as away until the lagging list can show them so. Otherwise a wave
     /// that is taken over would have more VMs away at once than allowed: the list still
     /// shows a VM that was just ordered as up.
-    pub(super) fn bar(&mut self, ages: BTreeMap<String, u64>) {
+    pub(super) fn quarantine(&mut self, order_ages: BTreeMap<String, u64>) {
         let now = clock::now();
-        self.away.extend(ages.keys().map(|vm| (vm.clone(), now)));
-        let gap = self.gap();
-        let until = |age: u64| now + gap.saturating_sub(Duration::from_millis(age));
-        self.barred = ages.into_iter().map(|(vm, age)| (vm, until(age))).collect();
+        self.in_maintenance.extend(order_ages.keys().map(|vm| (vm.clone(), now)));
+        let holder_gap = self.holder_gap();
+        let until = |age: u64| now + holder_gap.saturating_sub(Duration::from_millis(age));
+        self.quarantined = order_ages.into_iter().map(|(vm, age)| (vm, until(age))).collect();
     }
 
     /// Returns the minimum time between two holders' orders for a VM: the platform's limit
     /// plus the time that an order may be in flight.
-    pub(super) fn gap(&self) -> Duration {
+    pub(super) fn holder_gap(&self) -> Duration {
         self.node.settings.order_gap + Duration::from_millis(300)
     }
 
     /// Returns the ages of recent orders of this holder and of those before it.
-    pub(super) fn ages(&self) -> BTreeMap<String, u64> {
+    pub(super) fn order_ages(&self) -> BTreeMap<String, u64> {
         let now = clock::now();
-        let gap = self.gap();
-        let left = |until: Time| crate::owner::ms(gap.saturating_sub(until - now));
-        let barred = self.barred.iter().filter(|(_, until)| now < **until);
-        let mut ages: BTreeMap<String, u64> =
-            barred.map(|(vm, until)| (vm.clone(), left(*until))).collect();
-        let own = self.ordered.iter().filter(|(_, at)| now - **at < gap);
-        ages.extend(own.map(|(vm, at)| (vm.clone(), crate::owner::ms(now - *at))));
-        ages
+        let holder_gap = self.holder_gap();
+        let left = |until: Time| crate::owner::ms(holder_gap.saturating_sub(until - now));
+        let quarantined = self.quarantined.iter().filter(|(_, until)| now < **until);
+        let mut order_ages: BTreeMap<String, u64> =
+            quarantined.map(|(vm, until)| (vm.clone(), left(*until))).collect();
+        let own = self.recent_orders.iter().filter(|(_, at)| now - **at < holder_gap);
+        order_ages.extend(own.map(|(vm, at)| (vm.clone(), crate::owner::ms(now - *at))));
+        order_ages
     }
 
     /// Records which VMs are about to be ordered, so that a successor leaves them alone for
     /// a while. Nothing may be ordered if this fails.
-    pub(super) async fn announce(&mut self, vms: &[String]) -> bool {
+    pub(super) async fn record_orders(&mut self, vms: &[String]) -> bool {
         let now = clock::now();
-        let gap = self.gap();
-        self.ordered.retain(|_, at| now - *at < gap);
-        self.ordered.extend(vms.iter().map(|vm| (vm.clone(), now)));
-        self.allowed -= vms.len() as f64;
-        self.write_ages().await
+        let holder_gap = self.holder_gap();
+        self.recent_orders.retain(|_, at| now - *at < holder_gap);
+        self.recent_orders.extend(vms.iter().map(|vm| (vm.clone(), now)));
+        self.order_budget -= vms.len() as f64;
+        self.write_order_ages().await
     }
 
-    pub(super) async fn write_ages(&mut self) -> bool {
+    pub(super) async fn write_order_ages(&mut self) -> bool {
         let txn = Txn {
-            expect: vec![(format!("{DUTIES}{FLEET}"), self.holder.fence)],
-            set: vec![(ORDERS.to_owned(), serde_json::to_vec(&self.ages()).unwrap_or_default(), 0)],
+            expect: vec![(format!("{DUTY_PREFIX}{FLEET}"), self.holder.fence)],
+            set: vec![(
+                ORDERS_KEY.to_owned(),
+                serde_json::to_vec(&self.order_ages()).unwrap_or_default(),
+                0,
+            )],
             remove: Vec::new(),
         };
         match self.node.store.txn(&txn).await {
@@ -84,10 +88,10 @@
     /// all clients together and refuses any beyond that.
     pub(super) fn allowance(&mut self) -> usize {
         let now = clock::now();
-        let rate = self.node.settings.fleet_orders * SHARE;
-        let since = (now - self.allowed_at).as_secs_f64();
-        self.allowed = (self.allowed + since * rate).min(rate);
-        self.allowed_at = now;
-        self.allowed as usize
+        let rate = self.node.settings.fleet_orders * RATE_SHARE;
+        let since = (now - self.order_budget_at).as_secs_f64();
+        self.order_budget = (self.order_budget + since * rate).min(rate);
+        self.order_budget_at = now;
+        self.order_budget as usize
     }
 }
--- a/crates/entry/src/planner/size.rs
+++ b/crates/entry/src/planner/size.rs
@@ -11,38 +11,38 @@
 use serde_json::json;
 use tokio::task::{JoinHandle, spawn_local};
 
-use super::{EMPTY, Planner};
+use super::{EMPTY_VALIDITY, Planner};
 use crate::arrivals::Stock;
 use crate::clock;
 use crate::exchange::Exchange;
-use crate::peer::{Ask, Reply};
+use crate::peer::{Message, Reply};
 
 /// The most orders in flight at once.
-const AT_ONCE: usize = 24;
+const MAX_CONCURRENT_ORDERS: usize = 24;
 /// Tells an owner to keep all workers.
-const ALL: u32 = u32::MAX;
+const KEEP_ALL: u32 = u32::MAX;
 
 /// The sizing state of a pool.
 #[derive(Default)]
 pub(super) struct Pool {
-    size: Sizer,
+    sizer: Sizer,
     /// Whether its owner was last asked to shrink it.
     is_shrunk: bool,
     /// The last target size.
     target: usize,
     exchange: Exchange,
     /// Whether it was last given fewer VMs than it needed.
-    is_short: bool,
+    has_shortage: bool,
 }
 
 /// What a pool has and wants.
-struct Asked {
+struct Demand {
     pool: String,
     load: Load,
     stock: Stock,
-    want: Request,
+    request: Request,
     /// Whether the owner reported this now; otherwise it is derived from its last report.
-    is_told: bool,
+    is_current: bool,
 }
 
 struct Need {
@@ -53,51 +53,51 @@
 impl Planner {
     /// Moves VMs to pools with waiting work, and idle ones to the spare pool.
     pub(super) async fn tick_sizes(&mut self, listed_at: Time, vms: &BTreeMap<String, Vm>) {
-        self.coming.settle(listed_at, vms);
+        self.coming.update(listed_at, vms);
         let (pools, spares) = self.pools();
-        let Some(each) = usual_room(vms) else { return };
+        let Some(vm_room) = usual_room(vms) else { return };
         let mut free = self.spare_vms(vms, &spares);
-        let mut asked = self.ask_loads(&pools, &each).await;
-        asked.extend(self.recalled(&pools, &asked, vms));
-        let wants: Vec<Request> = asked.iter().map(|asked| asked.want).collect();
-        let total = there(vms);
-        self.is_scarce = wants.iter().map(|want| want.current).sum::<u32>() > total;
+        let mut demands = self.fetch_demands(&pools, &vm_room).await;
+        demands.extend(self.recall_demands(&pools, &demands, vms));
+        let requests: Vec<Request> = demands.iter().map(|demand| demand.request).collect();
+        let total = vm_count(vms);
+        self.is_scarce = requests.iter().map(|request| request.current).sum::<u32>() > total;
         let mut needs = Vec::new();
-        let mut keeps = Vec::new();
-        for (asked, target) in asked.iter().zip(allocate(&wants, total)) {
+        let mut messages = Vec::new();
+        for (demand, target) in demands.iter().zip(allocate(&requests, total)) {
             let target = target as usize;
-            self.log_size(asked, target, clock::now() - listed_at);
-            let missing = asked.stock.missing(target);
+            self.log_size(demand, target, clock::now() - listed_at);
+            let missing = demand.stock.missing(target);
             if missing > 0 {
-                needs.push(Need { pool: asked.pool.clone(), missing });
+                needs.push(Need { pool: demand.pool.clone(), missing });
             }
-            if asked.is_told {
-                keeps.extend(self.keep(asked, target));
+            if demand.is_current {
+                messages.extend(self.shrink_message(demand, target));
             }
         }
         let asked_at = clock::now();
-        let idle = self.shrink(keeps, vms).await;
+        let idle = self.shrink(messages, vms).await;
         needs.sort_by_key(|need| std::cmp::Reverse(need.missing));
         free.extend(idle.iter().cloned());
         let moves = moves(&needs, &free, &idle, spares.first(), vms);
-        self.note_short(&needs, &moves);
-        let most = self.allowance();
-        let mut moves: Vec<(String, String)> = moves.into_iter().take(most).collect();
+        self.record_shortages(&needs, &moves);
+        let allowance = self.allowance();
+        let mut moves: Vec<(String, String)> = moves.into_iter().take(allowance).collect();
         let names: Vec<String> = moves.iter().map(|(vm, _)| vm.clone()).collect();
-        if names.is_empty() || !self.announce(&names).await {
+        if names.is_empty() || !self.record_orders(&names).await {
             return;
         }
-        if clock::now() - asked_at >= EMPTY {
+        if clock::now() - asked_at >= EMPTY_VALIDITY {
             moves.retain(|(vm, _)| !idle.contains(vm));
         }
-        for some in moves.chunks(AT_ONCE) {
-            self.transfer_some(some, vms).await;
+        for chunk in moves.chunks(MAX_CONCURRENT_ORDERS) {
+            self.send_moves(chunk, vms).await;
         }
     }
 
     /// Sends orders for moves concurrently: one after the other, the last one of a pool
     /// would be seconds late.
-    async fn transfer_some(&mut self, moves: &[(String, String)], vms: &BTreeMap<String, Vm>) {
+    async fn send_moves(&mut self, moves: &[(String, String)], vms: &BTreeMap<String, Vm>) {
         let mut sent = Vec::new();
         for (name, pool) in moves {
             if let Some(vm) = vms.get(name)
@@ -109,64 +109,65 @@
         let mut gone = Vec::new();
         for answer in sent {
             if let Ok((vm, answer)) = answer.await {
-                self.transferred(&vm, answer);
+                self.handle_transfer_answer(&vm, answer);
                 if answer == Some(Answer::Done) {
                     gone.push(vm);
                 }
             }
         }
-        self.tell_gone(&gone);
+        self.report_gone_workers(&gone);
     }
 
-    async fn ask_loads(&mut self, pools: &[String], each: &Room) -> Vec<Asked> {
-        let ask = |pool: &String| Ask::Load {
+    async fn fetch_demands(&mut self, pools: &[String], vm_room: &Room) -> Vec<Demand> {
+        let message = |pool: &String| Message::Load {
             pool: pool.clone(),
             arrived: self.coming.uncounted(pool),
-            expects: self.coming.number(pool) > 0,
+            expects: self.coming.count_coming(pool) > 0,
         };
-        let replies = self.ask_all(pools.iter().map(ask).collect()).await;
-        let mut asked = Vec::new();
+        let replies = self.send_to_owners(pools.iter().map(message).collect()).await;
+        let mut demands = Vec::new();
         for (pool, reply) in pools.iter().zip(replies) {
             let Some(Reply::Load { load, counted }) = reply else { continue };
-            self.coming.counted(pool, &counted);
-            let stock = Stock::new(&load, self.coming.number(pool));
-            let known = self.sizes.entry(pool.clone()).or_default();
-            let want = known.size.request(clock::now(), &load, each);
-            asked.push(Asked { pool: pool.clone(), load, stock, want, is_told: true });
+            self.coming.mark_counted(pool, &counted);
+            let stock = Stock::new(&load, self.coming.count_coming(pool));
+            let sizing = self.sizes.entry(pool.clone()).or_default();
+            let request = sizing.sizer.request(clock::now(), &load, vm_room);
+            demands.push(Demand { pool: pool.clone(), load, stock, request, is_current: true });
         }
-        asked
+        demands
     }
 
     /// Returns the demands of pools whose owners don't respond. VMs are still sent to them,
     /// based on the fleet's list of what they have.
-    fn recalled(
+    fn recall_demands(
         &self,
         pools: &[String],
-        asked: &[Asked],
+        demands: &[Demand],
         vms: &BTreeMap<String, Vm>,
-    ) -> Vec<Asked> {
+    ) -> Vec<Demand> {
         let now = clock::now();
-        let is_silent = |pool: &&String| !asked.iter().any(|asked| asked.pool == **pool);
+        let is_unreported = |pool: &&String| !demands.iter().any(|demand| demand.pool == **pool);
         let recall = |pool: &String| {
-            let want = self.sizes.get(pool)?.size.last_request(now)?;
-            let is_there =
-                |vm: &&Vm| vm.pool == *pool && vm.state == State::Up && !self.coming.has(&vm.name);
-            let there = vms.values().filter(is_there).count();
-            let stock = Stock { there, coming: self.coming.number(pool) };
+            let request = self.sizes.get(pool)?.sizer.last_request(now)?;
+            let is_present = |vm: &&Vm| {
+                vm.pool == *pool && vm.state == State::Up && !self.coming.contains(&vm.name)
+            };
+            let present = vms.values().filter(is_present).count();
+            let stock = Stock { present, coming: self.coming.count_coming(pool) };
             let (pool, load) = (pool.clone(), Load::default());
-            Some(Asked { pool, load, stock, want, is_told: false })
+            Some(Demand { pool, load, stock, request, is_current: false })
         };
-        pools.iter().filter(is_silent).filter_map(recall).collect()
+        pools.iter().filter(is_unreported).filter_map(recall).collect()
     }
 
-    fn log_size(&mut self, asked: &Asked, target: usize, listed: Duration) {
-        let Some(known) = self.sizes.get_mut(&asked.pool) else { return };
-        if std::mem::replace(&mut known.target, target) != target {
-            let (load, want) = (asked.load, asked.want);
+    fn log_size(&mut self, demand: &Demand, target: usize, listed: Duration) {
+        let Some(sizing) = self.sizes.get_mut(&demand.pool) else { return };
+        if std::mem::replace(&mut sizing.target, target) != target {
+            let (load, request) = (demand.load, demand.request);
             self.node.trace.line(
                 "pool sized",
-                json!({ "pool": asked.pool, "target": target, "now": want.current, "held": want.peak,
-                    "workers": load.workers, "surplus": load.surplus, "coming": asked.stock.coming, "rooted": load.rooted, "unfit": load.unfit, "refused": load.refused,
+                json!({ "pool": demand.pool, "target": target, "now": request.current, "held": request.peak,
+                    "workers": load.workers, "surplus": load.surplus, "coming": demand.stock.coming, "rooted": load.rooted, "unfit": load.unfit, "refused": load.refused,
                     "used": load.used, "waiting": load.waiting, "lasting": load.lasting,
                     "needed": load.needed, "noise": load.noise,
                     "listed_ms_ago": crate::owner::ms(listed) }),
@@ -187,57 +188,65 @@
     /// Returns the names of spare VMs that may be moved.
     fn spare_vms(&self, vms: &BTreeMap<String, Vm>, spares: &[String]) -> Vec<String> {
         let is_free = |vm: &&Vm| {
-            spares.contains(&vm.pool) && vm.state == State::Up && !self.is_ordered(&vm.name)
+            spares.contains(&vm.pool) && vm.state == State::Up && !self.is_order_pending(&vm.name)
         };
         vms.values().filter(is_free).map(|vm| vm.name.clone()).collect()
     }
 
-    fn is_ordered(&self, vm: &str) -> bool {
-        self.coming.has(vm) || self.away.contains_key(vm) || !self.may_order_vm(vm)
+    fn is_order_pending(&self, vm: &str) -> bool {
+        self.coming.contains(vm) || self.in_maintenance.contains_key(vm) || !self.may_order_vm(vm)
     }
 
     /// Returns the request that tells a pool's owner how many workers to keep, if needed:
     /// it keeps all until told otherwise.
-    fn keep(&mut self, asked: &Asked, target: usize) -> Option<Ask> {
-        let known = self.sizes.get_mut(&asked.pool)?;
-        let is_stuck = asked.load.refused > 0 && known.is_short;
-        let gives = known.exchange.gives(clock::now(), is_stuck);
-        let target = if gives { target.min(asked.stock.there.saturating_sub(1)) } else { target };
-        let keep = asked.stock.keep(target);
-        if keep.is_none() && !known.is_shrunk {
+    fn shrink_message(&mut self, demand: &Demand, target: usize) -> Option<Message> {
+        let sizing = self.sizes.get_mut(&demand.pool)?;
+        let is_stuck = demand.load.refused > 0 && sizing.has_shortage;
+        let should_release = sizing.exchange.should_release(clock::now(), is_stuck);
+        let target = if should_release {
+            target.min(demand.stock.present.saturating_sub(1))
+        } else {
+            target
+        };
+        let keep = demand.stock.keep(target);
+        if keep.is_none() && !sizing.is_shrunk {
             return None;
         }
-        known.is_shrunk = keep.is_some();
-        let keep = keep.and_then(|keep| u32::try_from(keep).ok()).unwrap_or(ALL);
-        Some(Ask::Shrink { pool: asked.pool.clone(), keep })
+        sizing.is_shrunk = keep.is_some();
+        let keep = keep.and_then(|keep| u32::try_from(keep).ok()).unwrap_or(KEEP_ALL);
+        Some(Message::Shrink { pool: demand.pool.clone(), keep })
     }
 
     /// Records which pools got fewer VMs than they needed.
-    fn note_short(&mut self, needs: &[Need], moves: &[(String, String)]) {
-        for (pool, known) in &mut self.sizes {
+    fn record_shortages(&mut self, needs: &[Need], moves: &[(String, String)]) {
+        for (pool, sizing) in &mut self.sizes {
             let missing = needs.iter().find(|need| need.pool == *pool).map_or(0, |n| n.missing);
-            known.is_short = moves.iter().filter(|(_, to)| to == pool).count() < missing;
+            sizing.has_shortage = moves.iter().filter(|(_, to)| to == pool).count() < missing;
         }
     }
 
     /// Asks owners to vacate surplus workers. Returns the VMs that may leave now.
-    async fn shrink(&self, keeps: Vec<Ask>, vms: &BTreeMap<String, Vm>) -> Vec<String> {
+    async fn shrink(&self, messages: Vec<Message>, vms: &BTreeMap<String, Vm>) -> Vec<String> {
         let mut empty: HashSet<String> = HashSet::new();
-        for reply in self.ask_all(keeps).await {
+        for reply in self.send_to_owners(messages).await {
             if let Some(Reply::Spare { workers }) = reply {
                 empty.extend(workers);
             }
         }
         let is_idle = |vm: &&Vm| {
-            vm.state == State::Up && empty.contains(&vm.worker) && !self.is_ordered(&vm.name)
+            vm.state == State::Up && empty.contains(&vm.worker) && !self.is_order_pending(&vm.name)
         };
         vms.values().filter(is_idle).map(|vm| vm.name.clone()).collect()
     }
 
     fn transfer(&mut self, vm: &Vm, pool: String) -> JoinHandle<(Vm, Option<Answer>)> {
-        if self.sizes.get_mut(&vm.pool).is_some_and(|known| known.exchange.gave(clock::now())) {
+        if self
+            .sizes
+            .get_mut(&vm.pool)
+            .is_some_and(|sizing| sizing.exchange.note_departure(clock::now()))
+        {
             self.node.trace.line(
-                "worker given up",
+                "worker released",
                 json!({ "pool": vm.pool, "vm": vm.name, "worker": vm.worker,
                     "why": "a step is allowed on none of the pool's workers, and no VM is free" }),
             );
@@ -251,7 +260,7 @@
         })
     }
 
-    fn transferred(&mut self, vm: &Vm, answer: Option<Answer>) {
+    fn handle_transfer_answer(&mut self, vm: &Vm, answer: Option<Answer>) {
         let pool = self.coming.pool_of(&vm.name);
         self.node.trace.line(
             "move ordered",
@@ -278,9 +287,9 @@
 /// Returns the number of VMs to share among pools. This includes VMs that are moving or
 /// being vacated: without them each VM that a pool gives up would lower every pool's share,
 /// also its own, until it had given up all.
-fn there(vms: &BTreeMap<String, Vm>) -> u32 {
-    let is_there = |vm: &&Vm| matches!(vm.state, State::Up | State::Moving);
-    u32::try_from(vms.values().filter(is_there).count()).unwrap_or(u32::MAX)
+fn vm_count(vms: &BTreeMap<String, Vm>) -> u32 {
+    let is_present = |vm: &&Vm| matches!(vm.state, State::Up | State::Moving);
+    u32::try_from(vms.values().filter(is_present).count()).unwrap_or(u32::MAX)
 }
 
 /// Assigns VMs to pools: free ones to the pools that miss most, and remaining idle ones to
@@ -296,8 +305,8 @@
     let mut free: Vec<&String> = free.iter().collect();
     let mut moves = Vec::new();
     for need in needs {
-        let is_there = |vm: &&String| vms.get(*vm).is_some_and(|vm| vm.pool == need.pool);
-        let (own, mut others): (Vec<_>, Vec<_>) = free.into_iter().partition(is_there);
+        let is_present = |vm: &&String| vms.get(*vm).is_some_and(|vm| vm.pool == need.pool);
+        let (own, mut others): (Vec<_>, Vec<_>) = free.into_iter().partition(is_present);
         let rest = others.split_off(need.missing.min(others.len()));
         moves.extend(others.into_iter().map(|vm| (vm.clone(), need.pool.clone())));
         free = rest.into_iter().chain(own).collect();
--- a/crates/entry/src/planner/wave.rs
+++ b/crates/entry/src/planner/wave.rs
@@ -9,97 +9,100 @@
 use serde_json::json;
 use tokio::task::{JoinHandle, spawn_local};
 
-use super::{AHEAD, EMPTY, Planner, Progress, WAVES};
+use super::{EMPTY_VALIDITY, Planner, Progress, VACATE_AHEAD, WAVE_PREFIX};
 use crate::clock;
-use crate::duty::{DUTIES, FLEET};
+use crate::duty::{DUTY_PREFIX, FLEET};
 use crate::owner::ms;
-use crate::peer::{Ask, Reply};
+use crate::peer::{Message, Reply};
 
 /// How long one round of a wave takes: a VM is vacated, which takes as long as its longest
 /// task, and maintained for two seconds.
-const ROUND: Duration = Duration::from_millis(4_500);
+const ROUND_DURATION: Duration = Duration::from_millis(4_500);
 /// The reserve kept before a wave's deadline: long-running tasks leave a VM one after the
 /// other.
 const RESERVE: Duration = Duration::from_millis(6_000);
 
 impl Planner {
     pub(super) async fn tick_wave(&mut self, wave: &Wave, vms: &BTreeMap<String, Vm>) {
-        if self.told.insert(wave.number) {
+        if self.announced_waves.insert(wave.number) {
             let done = self.waves.get(&wave.number).cloned().unwrap_or_default();
-            self.write(wave.number, done).await;
+            self.write_progress(wave.number, done).await;
         }
         let done = self.waves.get(&wave.number).map(|p| p.done.clone()).unwrap_or_default();
         let now = clock::now();
-        let is_left = |name: &&String| !done.contains(*name) && !self.absence.is_gone(now, name);
-        let names: Vec<&String> = wave.vms.iter().filter(is_left).collect();
+        let is_remaining =
+            |name: &&String| !done.contains(*name) && !self.absence.is_gone(now, name);
+        let names: Vec<&String> = wave.vms.iter().filter(is_remaining).collect();
         if names.is_empty() {
             let progress = Progress { done, completed: true, ..Progress::default() };
-            self.write(wave.number, progress).await;
+            self.write_progress(wave.number, progress).await;
             return;
         }
-        let left: Vec<&Vm> = names.into_iter().filter_map(|name| vms.get(name)).collect();
-        let may_wait = self.is_scarce && self.may_wait(wave, left.len());
+        let remaining: Vec<&Vm> = names.into_iter().filter_map(|name| vms.get(name)).collect();
+        let may_wait = self.is_scarce && self.may_wait(wave, remaining.len());
         let is_away = |name: &String| {
-            self.away.contains_key(name)
+            self.in_maintenance.contains_key(name)
                 || vms.get(name).is_some_and(|v| v.state == State::Maintained)
         };
-        let away = wave.vms.iter().filter(|name| is_away(name)).count();
-        let may_go = wave.most.saturating_sub(away);
-        if may_go == 0 {
+        let in_maintenance = wave.vms.iter().filter(|name| is_away(name)).count();
+        let capacity = wave.most.saturating_sub(in_maintenance);
+        if capacity == 0 {
             return;
         }
         let is_ready = |vm: &&Vm| {
-            vm.state == State::Up && self.may_order_vm(&vm.name) && !self.coming.has(&vm.name)
+            vm.state == State::Up && self.may_order_vm(&vm.name) && !self.coming.contains(&vm.name)
         };
-        let mut ready: Vec<&Vm> = left.into_iter().filter(is_ready).collect();
+        let mut ready: Vec<&Vm> = remaining.into_iter().filter(is_ready).collect();
         // VMs without a worker need no vacating and go first.
         ready.sort_by_key(|vm| (!vm.worker.is_empty(), vm.name.clone()));
         // If there is time, VMs whose tasks would have to move wait for lower load.
         ready.retain(|vm| vm.worker.is_empty() || !may_wait);
-        ready.truncate(may_go + AHEAD);
+        ready.truncate(capacity + VACATE_AHEAD);
         let allowance = self.allowance();
-        let asked = clock::now();
-        let mut empty = self.empty_of(&ready).await;
-        empty.truncate(may_go.min(allowance));
+        let asked_at = clock::now();
+        let mut empty = self.vacate(&ready).await;
+        empty.truncate(capacity.min(allowance));
         let names: Vec<String> = empty.iter().map(|vm| vm.name.clone()).collect();
-        if names.is_empty() || !self.announce(&names).await {
+        if names.is_empty() || !self.record_orders(&names).await {
             return;
         }
-        if clock::now() - asked >= EMPTY {
+        if clock::now() - asked_at >= EMPTY_VALIDITY {
             empty.retain(|vm| vm.worker.is_empty());
         }
-        if self.maintain_all(wave, &empty).await {
+        if self.order_maintenance(wave, &empty).await {
             let progress = self.waves.get(&wave.number).cloned().unwrap_or_default();
-            self.write(wave.number, progress).await;
+            self.write_progress(wave.number, progress).await;
         }
     }
 
     /// Whether there is enough time to maintain the remaining VMs later.
-    fn may_wait(&self, wave: &Wave, left: usize) -> bool {
-        let rounds = u32::try_from(left.div_ceil(wave.most)).unwrap_or(u32::MAX);
-        let needed = ROUND.saturating_mul(rounds).saturating_add(RESERVE);
+    fn may_wait(&self, wave: &Wave, remaining: usize) -> bool {
+        let rounds = u32::try_from(remaining.div_ceil(wave.most)).unwrap_or(u32::MAX);
+        let needed = ROUND_DURATION.saturating_mul(rounds).saturating_add(RESERVE);
         self.elapsed_of(wave.number).is_some_and(|elapsed| elapsed + needed < wave.within)
     }
 
     fn elapsed_of(&self, number: u64) -> Option<Duration> {
         let since = self.node.waves.borrow().get(&number).map(|(_, since)| *since)?;
-        Some(self.elapsed.of(clock::now(), number, since))
+        Some(self.elapsed.age(clock::now(), number, since))
     }
 
     /// Asks the owners of the VMs' pools to vacate them. Returns those on which nothing
     /// runs.
-    async fn empty_of<'a>(&self, vms: &[&'a Vm]) -> Vec<&'a Vm> {
+    async fn vacate<'a>(&self, vms: &[&'a Vm]) -> Vec<&'a Vm> {
         let mut by_pool: BTreeMap<&str, Vec<String>> = BTreeMap::new();
         for vm in vms.iter().filter(|vm| !vm.worker.is_empty()) {
             by_pool.entry(&vm.pool).or_default().push(vm.worker.clone());
         }
-        let ask =
-            |(pool, workers): (&str, Vec<String>)| Ask::Vacate { pool: pool.to_owned(), workers };
-        let replies = self.ask_all(by_pool.into_iter().map(ask).collect()).await;
+        let message = |(pool, workers): (&str, Vec<String>)| Message::Vacate {
+            pool: pool.to_owned(),
+            workers,
+        };
+        let replies = self.send_to_owners(by_pool.into_iter().map(message).collect()).await;
         let mut empty = HashSet::new();
         for reply in replies {
-            if let Some(Reply::Vacated { empty: some }) = reply {
-                empty.extend(some);
+            if let Some(Reply::Vacated { empty: workers }) = reply {
+                empty.extend(workers);
             }
         }
         let is_empty = |vm: &&&Vm| vm.worker.is_empty() || empty.contains(&vm.worker);
@@ -107,7 +110,7 @@
     }
 
     /// Orders the maintenance of VMs concurrently. Returns whether any VM was newly done.
-    async fn maintain_all(&mut self, wave: &Wave, vms: &[&Vm]) -> bool {
+    async fn order_maintenance(&mut self, wave: &Wave, vms: &[&Vm]) -> bool {
         let mut sent = Vec::new();
         for vm in vms {
             if self.is_holder() {
@@ -117,7 +120,7 @@
         let mut has_changed = false;
         for answer in sent {
             if let Ok((vm, answer)) = answer.await {
-                has_changed |= self.maintained(wave.number, &vm, answer);
+                has_changed |= self.handle_maintenance_answer(wave.number, &vm, answer);
             }
         }
         has_changed
@@ -126,7 +129,7 @@
     fn maintain(&mut self, wave: u64, vm: &Vm) -> JoinHandle<(Vm, Option<Answer>)> {
         let call = fleet::maintain(&vm.name, wave, &self.holder);
         // Recorded before sending: an order without a response may still be carried out.
-        self.away.insert(vm.name.clone(), clock::now());
+        self.in_maintenance.insert(vm.name.clone(), clock::now());
         let (node, vm) = (self.node.clone(), vm.clone());
         spawn_local(async move {
             let answer = super::call(&node, &call).await;
@@ -134,7 +137,7 @@
         })
     }
 
-    fn maintained(&mut self, wave: u64, vm: &Vm, answer: Option<Answer>) -> bool {
+    fn handle_maintenance_answer(&mut self, wave: u64, vm: &Vm, answer: Option<Answer>) -> bool {
         self.node.trace.line(
             "maintenance ordered",
             json!({ "vm": vm.name, "pool": vm.pool, "worker": vm.worker, "wave": wave,
@@ -142,15 +145,15 @@
         );
         match answer {
             Some(Answer::Done) => {
-                self.tell_gone(std::slice::from_ref(vm));
+                self.report_gone_workers(std::slice::from_ref(vm));
                 let progress = self.waves.entry(wave).or_default();
                 return progress.done.insert(vm.name.clone());
             }
             Some(Answer::Fenced) => self.node.planner.set(None),
-            Some(Answer::Busy | Answer::Unavailable) => drop(self.away.remove(&vm.name)),
+            Some(Answer::Busy | Answer::Unavailable) => drop(self.in_maintenance.remove(&vm.name)),
             Some(Answer::Refused) => {
                 // The VM is no longer part of this wave: nothing is left to do.
-                self.away.remove(&vm.name);
+                self.in_maintenance.remove(&vm.name);
                 let progress = self.waves.entry(wave).or_default();
                 return progress.done.insert(vm.name.clone());
             }
@@ -160,14 +163,14 @@
     }
 
     /// Writes a wave's progress, for a successor and for operators.
-    async fn write(&mut self, number: u64, mut progress: Progress) {
+    async fn write_progress(&mut self, number: u64, mut progress: Progress) {
         progress.elapsed_ms = self.elapsed_of(number).map_or(progress.elapsed_ms, ms);
         let value = serde_json::to_vec(&progress).unwrap_or_default();
         let status = config::wave_status(progress.completed);
         let txn = Txn {
-            expect: vec![(format!("{DUTIES}{FLEET}"), self.holder.fence)],
+            expect: vec![(format!("{DUTY_PREFIX}{FLEET}"), self.holder.fence)],
             set: vec![
-                (format!("{WAVES}{number}"), value, 0),
+                (format!("{WAVE_PREFIX}{number}"), value, 0),
                 (config::wave_status_key(number), status, 0),
             ],
             remove: Vec::new(),
@@ -182,7 +185,7 @@
             Ok(_) => self.node.planner.set(None),
             Err(error) => {
                 // Written again with the next change, or at the next tick.
-                self.told.remove(&number);
+                self.announced_waves.remove(&number);
                 self.node
                     .trace
                     .line("wave not written", json!({ "wave": number, "why": error.to_string() }));
--- a/crates/entry/src/predecessor.rs
+++ b/crates/entry/src/predecessor.rs
@@ -10,7 +10,7 @@
 use corianderfork_jobs::worker;
 use corianderfork_model::Time;
 
-use crate::duty::{Former, Table};
+use crate::duty::{FormerHolder, Table};
 
 /// Until when granted leases may hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 /// The former holders of one duty, newest first.
 #[derive(Debug)]
 pub struct Tracker {
-    rows: Vec<(Former, Grants)>,
+    holders: Vec<(FormerHolder, Grants)>,
     /// Whether the list names every former holder.
     is_complete: bool,
     /// The longest time for which a lease granted just now may hold.
@@ -43,47 +43,53 @@
 }
 
 impl Tracker {
-    /// Tracks the former holders `formers`, newest first, whose leases are `lease` long. One
+    /// Tracks the former holders `former_holders`, newest first, whose leases are `lease` long. One
     /// without a name has handed the duty over. If the list isn't complete, the grants of
     /// the unlisted holders are only known once the oldest listed one has reported them.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use corianderfork_entry::duty::Former;
+    /// use corianderfork_entry::duty::FormerHolder;
     /// use corianderfork_entry::predecessor::Tracker;
     /// use corianderfork_model::Time;
     ///
-    /// let former = Former { name: "e0".to_owned(), boot: 1, peers: None };
+    /// let former = FormerHolder { name: "e0".to_owned(), boot: 1, peers: None };
     /// let now = Time::from_millis(1_000);
     /// let mut tracker = Tracker::new(now, vec![former.clone()], true, Duration::from_secs(4));
     /// assert!(tracker.limit().is_none(), "it may still be granting");
     /// tracker.end(now, &former);
     /// assert_eq!(tracker.limit().unwrap().until, Time::from_millis(5_120));
     /// ```
-    pub fn new(now: Time, formers: Vec<Former>, is_complete: bool, lease: Duration) -> Self {
+    pub fn new(
+        now: Time,
+        former_holders: Vec<FormerHolder>,
+        is_complete: bool,
+        lease: Duration,
+    ) -> Self {
         let lease = worker::max_lease_duration(lease);
-        let grants = |former: &Former| {
+        let grants = |former: &FormerHolder| {
             if former.name.is_empty() { Grants::Until(now + lease) } else { Grants::Open }
         };
-        let rows = formers.into_iter().map(|former| (former.clone(), grants(&former))).collect();
-        Self { rows, is_complete, lease }
+        let holders =
+            former_holders.into_iter().map(|former| (former.clone(), grants(&former))).collect();
+        Self { holders, is_complete, lease }
     }
 
     /// Returns the former holders that may have more to report on their grants.
-    pub fn to_ask(&self) -> Vec<Former> {
-        let is_open = |row: &&(Former, Grants)| match row {
+    pub fn to_ask(&self) -> Vec<FormerHolder> {
+        let is_open = |holder: &&(FormerHolder, Grants)| match holder {
             (_, Grants::Open) => true,
             (former, Grants::Until(_)) => former.name.is_empty(),
             (_, Grants::ByWorker(_)) => false,
         };
-        self.rows.iter().filter(is_open).map(|(former, _)| former.clone()).collect()
+        self.holders.iter().filter(is_open).map(|(former, _)| former.clone()).collect()
     }
 
     /// Records that a former holder is known at `now` to have ended.
-    pub fn end(&mut self, now: Time, former: &Former) {
+    pub fn end(&mut self, now: Time, former: &FormerHolder) {
         let until = now + self.lease;
-        let row = self.rows.iter_mut().find(|(known, _)| known.is_same(former));
-        if let Some((_, grants @ Grants::Open)) = row {
+        let holder = self.holders.iter_mut().find(|(known, _)| known.is_same(former));
+        if let Some((_, grants @ Grants::Open)) = holder {
             *grants = Grants::Until(until);
         }
     }
@@ -99,23 +105,28 @@
 
     /// Records the report of a former holder that gave way: for how many more milliseconds
     /// the grants on each worker hold. They cover those of the holders before it.
-    pub fn learn(&mut self, now: Time, former: &Former, left_ms: &BTreeMap<String, u64>) {
-        let position = self.rows.iter().position(|(known, _)| known.is_same(former));
-        let Some(at) = position else { return };
+    pub fn learn(
+        &mut self,
+        now: Time,
+        former: &FormerHolder,
+        remaining_ms: &BTreeMap<String, u64>,
+    ) {
+        let position = self.holders.iter().position(|(known, _)| known.is_same(former));
+        let Some(position) = position else { return };
         let until = |(id, left): (&String, &u64)| (id.clone(), now + Duration::from_millis(*left));
-        self.rows.truncate(at + 1);
-        self.rows[at].1 = Grants::ByWorker(left_ms.iter().map(until).collect());
+        self.holders.truncate(position + 1);
+        self.holders[position].1 = Grants::ByWorker(remaining_ms.iter().map(until).collect());
     }
 
     /// Returns until when grants hold, or `None` while any former holder's are unknown.
     pub fn limit(&self) -> Option<Limit> {
         // Only the oldest listed holder can cover holders that aren't listed.
-        let is_covered = matches!(self.rows.last(), Some((_, Grants::ByWorker(_))));
+        let is_covered = matches!(self.holders.last(), Some((_, Grants::ByWorker(_))));
         if !self.is_complete && !is_covered {
             return None;
         }
         let mut limit = Limit { until: Time::ZERO, by_worker: BTreeMap::new() };
-        for (_, grants) in &self.rows {
+        for (_, grants) in &self.holders {
             match grants {
                 Grants::Open => return None,
                 Grants::Until(until) => limit.until = limit.until.max(*until),
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -6,13 +6,13 @@
 use corianderfork_adapter::Call;
 use hyper::body::Bytes;
 
-use crate::http::Failed;
+use crate::http::CallError;
 use crate::node::Node;
-use crate::peer::{self, Ask, Reply};
+use crate::peer::{self, Message, Reply};
 use crate::store::Relay;
 
 /// How many peers are tried for a call, one after the other.
-const RELAYS: usize = 2;
+const MAX_RELAYS: usize = 2;
 
 /// Makes a call to the store for a peer.
 pub async fn relayed(
@@ -33,7 +33,7 @@
             Reply::Store { status, sent: true, body: String::from_utf8_lossy(&body).into_owned() }
         }
         Err(failed) => {
-            Reply::Store { status: 0, sent: failed == Failed::Lost, body: String::new() }
+            Reply::Store { status: 0, sent: failed == CallError::Lost, body: String::new() }
         }
     }
 }
@@ -51,41 +51,41 @@
     node: &Rc<Node>,
     call: &Call,
     within: Duration,
-) -> Result<(u16, Bytes), Failed> {
+) -> Result<(u16, Bytes), CallError> {
     let me = node.settings.name.as_str();
     let mut peers: Vec<std::net::SocketAddr> = {
         let table = node.table.borrow();
         table.members.iter().filter(|(name, _)| *name != me).map(|(_, m)| m.peers).collect()
     };
     let mut is_lost = false;
-    for _ in 0..RELAYS {
+    for _ in 0..MAX_RELAYS {
         if peers.is_empty() {
             break;
         }
-        let peer = peers.swap_remove(draw(peers.len()));
-        let ask = Ask::Store {
+        let peer = peers.swap_remove(random_index(peers.len()));
+        let message = Message::Store {
             method: call.method.to_owned(),
             target: call.target.clone(),
             body: String::from_utf8_lossy(&call.body).into_owned(),
             within_ms: crate::owner::ms(within),
         };
         let slack = Duration::from_millis(100);
-        match peer::ask_large(&node.peers, peer, &ask, within + slack).await {
+        match peer::send_large(&node.peers, peer, &message, within + slack).await {
             Ok(Reply::Store { status, body, .. })
                 if status != 0 && status != 429 && status != 503 =>
             {
                 return Ok((status, Bytes::from(body)));
             }
             Ok(Reply::Store { sent, status, .. }) => is_lost |= sent && status == 0,
-            Err(Failed::Unsent) => {}
+            Err(CallError::Unsent) => {}
             _ => is_lost = true,
         }
     }
-    Err(if is_lost { Failed::Lost } else { Failed::Unsent })
+    Err(if is_lost { CallError::Lost } else { CallError::Unsent })
 }
 
 /// Draws a number below `bound`, so that relayed calls are spread over peers.
-fn draw(bound: usize) -> usize {
+fn random_index(bound: usize) -> usize {
     let seed = corianderfork_runtime::clock::seed() % (bound.max(1) as u64);
     usize::try_from(seed).unwrap_or(0)
 }
--- a/crates/entry/src/rendezvous.rs
+++ b/crates/entry/src/rendezvous.rs
@@ -18,16 +18,16 @@
 /// When a member joins or leaves, only the keys that it is selected for change members.
 ///
 /// ```
-/// use corianderfork_entry::rendezvous::draw;
+/// use corianderfork_entry::rendezvous::select;
 ///
 /// let members = ["e1", "e2", "e3", "e4"];
-/// let drawn = draw(members.into_iter(), "5c0e7a21d94b36f8", 2);
-/// assert_eq!(drawn.len(), 2);
+/// let selected = select(members.into_iter(), "5c0e7a21d94b36f8", 2);
+/// assert_eq!(selected.len(), 2);
 /// // Without the others, the same two are selected.
-/// let others = members.into_iter().filter(|name| drawn.contains(name));
-/// assert_eq!(draw(others, "5c0e7a21d94b36f8", 2), drawn);
+/// let others = members.into_iter().filter(|name| selected.contains(name));
+/// assert_eq!(select(others, "5c0e7a21d94b36f8", 2), selected);
 /// ```
-pub fn draw<'a>(members: impl Iterator<Item = &'a str>, key: &str, count: usize) -> Vec<&'a str> {
+pub fn select<'a>(members: impl Iterator<Item = &'a str>, key: &str, count: usize) -> Vec<&'a str> {
     let mut members: Vec<&str> = members.collect();
     members.sort_by_key(|member| (score(key, member), *member));
     members.truncate(count);
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -25,14 +25,14 @@
 /// Unused connections kept to each peer. A request takes milliseconds, and each connection
 /// kept by any entry VM is open at the receiver. *Measured* on days of 44 entry VMs: with 24
 /// each, unused connections took all 150 connections of the owner of a busy pool.
-const PEER_KEPT: usize = 4;
+const MAX_IDLE_PER_PEER: usize = 4;
 /// How often the settings file is checked: it may change without a signal.
-const SETTINGS: Duration = Duration::from_secs(2);
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
 /// How long new connections still arrive after SIGTERM: the balancer notices after two
 /// checks of a second each.
-const NOTICED: Duration = Duration::from_millis(2_600);
+const BALANCER_DELAY: Duration = Duration::from_millis(2_600);
 /// How long before the end of the grace period the daemon exits at the latest.
-const SPARE: Duration = Duration::from_millis(500);
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Runs the daemon.
 pub fn run(settings: Settings, path: &Path) -> ExitCode {
@@ -40,7 +40,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("no event loop ({error}); see the limits of the process");
+            eprintln!("cannot create the event loop ({error}); check the limits of the process");
             return ExitCode::FAILURE;
         }
     };
@@ -52,7 +52,7 @@
     let trace = Trace::start(settings.name.as_str());
     let metrics = Metrics::default();
     let client = Rc::new(Client::default());
-    let peers = Rc::new(Client::keeping(PEER_KEPT));
+    let peers = Rc::new(Client::with_max_idle(MAX_IDLE_PER_PEER));
     let store = Store::new(settings.store, client.clone(), trace.clone(), metrics.clone());
     Rc::new(Node {
         settings,
@@ -66,21 +66,21 @@
         waves: RefCell::default(),
         table: RefCell::default(),
         owners: RefCell::default(),
-        given_up: RefCell::default(),
-        granted: RefCell::default(),
+        relinquished: RefCell::default(),
+        retired_grants: RefCell::default(),
         taking: RefCell::default(),
         planner: Cell::new(None),
-        servers: RefCell::default(),
-        servers_known: Cell::new(false),
-        expects_until: Cell::new(Time::ZERO),
-        renewed: Cell::new(Time::ZERO),
-        attended: Cell::new(Time::ZERO),
-        doubted: Cell::new(Time::ZERO),
-        duties_known: Cell::new(Time::ZERO),
+        listed_workers: RefCell::default(),
+        workers_loaded: Cell::new(false),
+        workers_expected_until: Cell::new(Time::ZERO),
+        lease_renewed_at: Cell::new(Time::ZERO),
+        last_duty_check: Cell::new(Time::ZERO),
+        ownership_doubted_at: Cell::new(Time::ZERO),
+        duties_known_at: Cell::new(Time::ZERO),
         stopping: Cell::new(false),
         changed: Notify::new(),
-        heard: RefCell::default(),
-        tries: Rc::default(),
+        queue_counts: RefCell::default(),
+        attempts: Rc::default(),
     })
 }
 
@@ -88,21 +88,21 @@
     let node = node(settings);
     let gauges = Gauges::new(node.settings.max_fds);
     if let Err(error) = gauges.open(&node).await {
-        eprintln!("an address can't be had ({error}); see [listen] of the settings");
+        eprintln!("cannot bind an address ({error}); check [listen] in the settings");
         return ExitCode::FAILURE;
     }
-    node.trace.key("started", json!({ "boot": node.boot, "callers": node.settings.callers }));
+    node.trace.unlimited("started", json!({ "boot": node.boot, "callers": node.settings.callers }));
     node.store.set_relay(relay::relay(&node));
     let prober = node.clone();
     spawn_local(async move { prober.store.probe().await });
     spawn_local(follow::operators(node.clone()));
     spawn_local(follow::entries(node.clone()));
     spawn_local(follow::workers(node.clone()));
-    spawn_local(member::attend(node.clone()));
-    let kept = spawn_local(member::keep(node.clone()));
+    spawn_local(member::maintain_duties(node.clone()));
+    let membership = spawn_local(member::maintain_membership(node.clone()));
     spawn_local(watch_settings(node.clone(), path));
     wait_for_stop().await;
-    stop(&node, &gauges.callers, kept).await;
+    stop(&node, &gauges.callers, membership).await;
     ExitCode::SUCCESS
 }
 
@@ -123,15 +123,15 @@
 async fn watch_settings(node: Rc<Node>, path: PathBuf) {
     let mut last = node.settings.clone();
     loop {
-        tokio::time::sleep(SETTINGS).await;
+        tokio::time::sleep(SETTINGS_INTERVAL).await;
         match Settings::read(&path) {
             Ok(settings) if settings != last => {
-                node.trace.key("settings changed", json!({ "applied": "at the next start" }));
+                node.trace.unlimited("settings changed", json!({ "applied": "at the next start" }));
                 last = settings;
             }
             Ok(_) => {}
             Err(error) => {
-                node.trace.key("settings unreadable", json!({ "why": error.to_string() }))
+                node.trace.unlimited("settings unreadable", json!({ "why": error.to_string() }))
             }
         }
     }
@@ -139,9 +139,9 @@
 
 /// Shuts down gracefully: reports not ready, hands duties over, and answers requests on open
 /// connections until the end.
-async fn stop(node: &Rc<Node>, gauge: &Gauge, kept: tokio::task::JoinHandle<()>) {
+async fn stop(node: &Rc<Node>, gauge: &Gauge, membership: tokio::task::JoinHandle<()>) {
     let begun = clock::now();
-    node.trace.key(
+    node.trace.unlimited(
         "stopping",
         json!({ "requests": gauge.requests.get(), "duties": node.owners.borrow().len() }),
     );
@@ -149,17 +149,17 @@
     gauge.closing.set(true);
     member::hand_over(node).await;
     // Its record is removed only then: peers still ask for the grants.
-    let _ = kept.await;
-    let last = node.settings.grace.saturating_sub(SPARE);
+    let _ = membership.await;
+    let last = node.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
         let since = clock::now() - begun;
         let is_idle = gauge.requests.get() == 0 && gauge.connections.get() == 0;
-        if since >= last || (since >= NOTICED && is_idle) {
+        if since >= last || (since >= BALANCER_DELAY && is_idle) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    node.trace.key(
+    node.trace.unlimited(
         "stopped",
         json!({ "requests": gauge.requests.get(), "connections": gauge.connections.get() }),
     );
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -21,13 +21,13 @@
 use crate::trace::Trace;
 
 /// How long a client may take to send the head of a request.
-const HEAD: Duration = Duration::from_secs(15);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 /// The pause after a failed accept, which usually means that descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// A request with its whole body.
 #[derive(Debug)]
-pub struct Asked {
+pub struct HttpRequest {
     /// The method.
     pub method: String,
     /// The requested host.
@@ -42,7 +42,7 @@
 
 /// A response.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct HttpResponse {
     /// The status.
     pub status: u16,
     /// The body, as JSON or text.
@@ -51,7 +51,7 @@
     pub retry_after: Option<u64>,
 }
 
-impl Told {
+impl HttpResponse {
     /// Returns a response without a `Retry-After` header.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self { status, body, retry_after: None }
@@ -59,7 +59,7 @@
 }
 
 /// A request handler.
-pub type Handler = Rc<dyn Fn(Asked) -> Pin<Box<dyn Future<Output = Told>>>>;
+pub type Handler = Rc<dyn Fn(HttpRequest) -> Pin<Box<dyn Future<Output = HttpResponse>>>>;
 
 /// The load and limits of one address.
 #[derive(Clone, Default)]
@@ -73,17 +73,17 @@
     /// Whether connections are closed after their next response.
     pub closing: Rc<Cell<bool>>,
     /// The most open connections.
-    pub most: Rc<Cell<usize>>,
+    pub max_connections: Rc<Cell<usize>>,
     /// Connections closed at once because of that limit.
-    pub closed: Rc<Cell<usize>>,
+    pub rejected: Rc<Cell<usize>>,
     /// The longest accepted body, in bytes.
     pub max_body: Rc<Cell<usize>>,
 }
 
 impl Gauge {
     /// Returns the gauge of the address `name`, which allows `limit` connections.
-    pub fn new(name: &'static str, most: usize) -> Self {
-        Self { name, most: Rc::new(Cell::new(most)), ..Self::default() }
+    pub fn new(name: &'static str, max_connections: usize) -> Self {
+        Self { name, max_connections: Rc::new(Cell::new(max_connections)), ..Self::default() }
     }
 }
 
@@ -103,12 +103,12 @@
             Ok((stream, _)) => {
                 // Beyond the limit a connection is closed at once: descriptors are needed
                 // for the store and the workers.
-                if gauge.connections.get() < gauge.most.get() {
+                if gauge.connections.get() < gauge.max_connections.get() {
                     spawn_local(connection(stream, gauge.clone(), handler.clone()));
                 } else {
-                    gauge.closed.set(gauge.closed.get() + 1);
+                    gauge.rejected.set(gauge.rejected.get() + 1);
                     trace.line(
-                        "connection closed unheard",
+                        "connection rejected",
                         json!({ "address": gauge.name, "open": gauge.connections.get() }),
                     );
                 }
@@ -118,42 +118,42 @@
     }
 }
 
-struct Counted(Rc<Cell<usize>>);
+struct CountGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl CountGuard {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
 async fn connection(stream: TcpStream, gauge: Gauge, handler: Handler) {
-    let _open = Counted::new(&gauge.connections);
+    let _open = CountGuard::new(&gauge.connections);
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
         let (gauge, handler) = (gauge.clone(), handler.clone());
         async move {
-            let _busy = Counted::new(&gauge.requests);
-            let asked = read(request, gauge.max_body.get()).await;
-            let told = handler(asked).await;
-            respond(told, gauge.closing.get())
+            let _busy = CountGuard::new(&gauge.requests);
+            let http_request = read(request, gauge.max_body.get()).await;
+            let http_response = handler(http_request).await;
+            respond(http_response, gauge.closing.get())
         }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     // A connection broken by the client is not an error of this process.
     let _ = served.await;
 }
 
-async fn read(request: Request<Incoming>, max_body: usize) -> Asked {
+async fn read(request: Request<Incoming>, max_body: usize) -> HttpRequest {
     let (head, body) = request.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let host = text("host").or_else(|| head.uri.host()).unwrap_or_default().to_owned();
@@ -161,18 +161,22 @@
     let path = head.uri.path().to_owned();
     let body = Limited::new(body, max_body).collect().await;
     let body = body.ok().map(http_body_util::Collected::to_bytes);
-    Asked { method: head.method.as_str().to_owned(), host, path, deadline_ms, body }
+    HttpRequest { method: head.method.as_str().to_owned(), host, path, deadline_ms, body }
 }
 
-fn respond(told: Told, is_last: bool) -> Result<Response<Full<Bytes>>, hyper::http::Error> {
-    let status = StatusCode::from_u16(told.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+fn respond(
+    http_response: HttpResponse,
+    is_last: bool,
+) -> Result<Response<Full<Bytes>>, hyper::http::Error> {
+    let status =
+        StatusCode::from_u16(http_response.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response =
         Response::builder().status(status).header(header::CONTENT_TYPE, "application/json");
-    if let Some(seconds) = told.retry_after {
+    if let Some(seconds) = http_response.retry_after {
         response = response.header(header::RETRY_AFTER, seconds);
     }
     if is_last {
         response = response.header(header::CONNECTION, "close");
     }
-    response.body(Full::new(Bytes::from(told.body)))
+    response.body(Full::new(Bytes::from(http_response.body)))
 }
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -13,7 +13,7 @@
 use hyper::body::Bytes;
 
 use crate::clock;
-use crate::http::{Client, Failed};
+use crate::http::{CallError, Client};
 use crate::metrics::Metrics;
 use crate::outage::Outage;
 use crate::trace::Trace;
@@ -21,7 +21,7 @@
 
 /// How long the store may take to respond. It takes milliseconds, or some hundreds of them
 /// when it is slow.
-const ANSWER: Duration = Duration::from_millis(800);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How much longer a watch may take than the wait that it asks for.
 const WATCH_SLACK: Duration = Duration::from_millis(600);
 /// The most pages of one read, so that it always ends.
@@ -42,7 +42,7 @@
 pub type Relay = Rc<dyn Fn(Call, Duration) -> RelayFuture>;
 /// The answer to a relayed call.
 pub type RelayFuture =
-    std::pin::Pin<Box<dyn std::future::Future<Output = Result<(u16, Bytes), Failed>>>>;
+    std::pin::Pin<Box<dyn std::future::Future<Output = Result<(u16, Bytes), CallError>>>>;
 
 /// Client of the store.
 pub struct Store {
@@ -52,7 +52,7 @@
     metrics: Metrics,
     relay: RefCell<Option<Relay>>,
     /// When the store last responded, to this VM or through a peer.
-    answered: Cell<Time>,
+    last_response: Cell<Time>,
     /// Whether the last direct call was answered.
     is_direct: Cell<bool>,
     /// When the next direct call may be tried.
@@ -69,7 +69,7 @@
             trace,
             metrics,
             relay: RefCell::new(None),
-            answered: Cell::new(Time::ZERO),
+            last_response: Cell::new(Time::ZERO),
             is_direct: Cell::new(true),
             retry_direct: Cell::new(Time::ZERO),
             outage: RefCell::default(),
@@ -82,16 +82,16 @@
     }
 
     /// Returns when the store last responded.
-    pub fn answered(&self) -> Time {
-        self.answered.get()
+    pub fn last_response(&self) -> Time {
+        self.last_response.get()
     }
 
     /// Whether the store is considered down, for this VM and its peers.
-    pub fn is_away(&self) -> bool {
-        self.outage.borrow().is_away(clock::now())
+    pub fn is_down(&self) -> bool {
+        self.outage.borrow().is_down(clock::now())
     }
 
-    /// Returns the evidence for [`Store::is_away`], for the log: the time since the last
+    /// Returns the evidence for [`Store::is_down`], for the log: the time since the last
     /// response and the number of calls that have failed since.
     pub fn evidence(&self) -> (Duration, u32) {
         self.outage.borrow().evidence(clock::now())
@@ -112,8 +112,9 @@
     ///
     /// Fails if the store doesn't respond.
     pub async fn read(&self, key: &str) -> Result<Reading, Error> {
-        let (status, body) = self.call(&store::get(key), "get", ANSWER).await.map_err(failed)?;
-        store::got(status, &body).map_err(fault)
+        let (status, body) =
+            self.call(&store::get(key), "get", RESPONSE_TIMEOUT).await.map_err(from_call_error)?;
+        store::got(status, &body).map_err(from_fault)
     }
 
     /// Reads all keys with a prefix, page by page. Returns the revision of the first page:
@@ -128,8 +129,9 @@
         for _ in 0..MAX_PAGES {
             let after = items.last().map(|item| item.key.clone());
             let call = store::range(prefix, after.as_deref(), false);
-            let (status, body) = self.call(&call, "range", ANSWER).await.map_err(failed)?;
-            let page: Page = store::ranged(status, &body).map_err(fault)?;
+            let (status, body) =
+                self.call(&call, "range", RESPONSE_TIMEOUT).await.map_err(from_call_error)?;
+            let page: Page = store::ranged(status, &body).map_err(from_fault)?;
             revision.get_or_insert(page.revision);
             let is_last = !page.more || page.items.is_empty();
             items.extend(page.items);
@@ -148,8 +150,9 @@
     pub async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Watched, Error> {
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(1_000);
         let call = store::watch(prefix, after, wait_ms);
-        let (status, body) = self.call(&call, WATCH, wait + WATCH_SLACK).await.map_err(failed)?;
-        store::watched(status, &body).map_err(fault)
+        let (status, body) =
+            self.call(&call, WATCH, wait + WATCH_SLACK).await.map_err(from_call_error)?;
+        store::watched(status, &body).map_err(from_fault)
     }
 
     /// Applies a transaction: changes keys if its conditions hold.
@@ -158,8 +161,9 @@
     ///
     /// Fails if the store doesn't respond.
     pub async fn txn(&self, txn: &Txn) -> Result<Outcome, Error> {
-        let (status, body) = self.call(&store::txn(txn), "txn", ANSWER).await.map_err(failed)?;
-        store::txn_done(status, &body).map_err(fault)
+        let (status, body) =
+            self.call(&store::txn(txn), "txn", RESPONSE_TIMEOUT).await.map_err(from_call_error)?;
+        store::txn_done(status, &body).map_err(from_fault)
     }
 
     /// Creates a lease. Returns its number and its time to live.
@@ -169,9 +173,11 @@
     /// Fails if the store doesn't respond.
     pub async fn lease(&self, ttl: Duration) -> Result<(u64, Duration), Error> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(1_000);
-        let (status, body) =
-            self.call(&store::lease(ttl_ms), "lease", ANSWER).await.map_err(failed)?;
-        let (lease, ttl_ms) = store::leased(status, &body).map_err(fault)?;
+        let (status, body) = self
+            .call(&store::lease(ttl_ms), "lease", RESPONSE_TIMEOUT)
+            .await
+            .map_err(from_call_error)?;
+        let (lease, ttl_ms) = store::leased(status, &body).map_err(from_fault)?;
         Ok((lease, Duration::from_millis(ttl_ms)))
     }
 
@@ -181,26 +187,29 @@
     ///
     /// Fails if the store doesn't respond.
     pub async fn keep(&self, lease: u64) -> Result<bool, Error> {
-        let (status, _) = self.call(&store::keep(lease), "keep", ANSWER).await.map_err(failed)?;
-        store::kept(status).map_err(fault)
+        let (status, _) = self
+            .call(&store::keep(lease), "keep", RESPONSE_TIMEOUT)
+            .await
+            .map_err(from_call_error)?;
+        store::kept(status).map_err(from_fault)
     }
 
     /// Revokes a lease; if this fails, it expires.
     pub async fn end(&self, lease: u64) {
-        let _ = self.call(&store::end(lease), "end", ANSWER).await;
+        let _ = self.call(&store::end(lease), "end", RESPONSE_TIMEOUT).await;
     }
 }
 
-fn failed(failed: Failed) -> Error {
-    match failed {
-        Failed::Unsent => Error::NotDone("the store can't be reached".to_owned()),
-        Failed::Lost => Error::Unknown,
+fn from_call_error(from_call_error: CallError) -> Error {
+    match from_call_error {
+        CallError::Unsent => Error::NotDone("the store can't be reached".to_owned()),
+        CallError::Lost => Error::Unknown,
     }
 }
 
-fn fault(fault: Fault) -> Error {
-    match fault {
-        Fault::Refused(_) => Error::NotDone(fault.to_string()),
+fn from_fault(from_fault: Fault) -> Error {
+    match from_fault {
+        Fault::Refused(_) => Error::NotDone(from_fault.to_string()),
         // Any other failure leaves open whether the call was carried out.
         _ => Error::Unknown,
     }
--- a/crates/entry/src/store/routing.rs
+++ b/crates/entry/src/store/routing.rs
@@ -5,18 +5,18 @@
 use corianderfork_adapter::{Call, store};
 use hyper::body::Bytes;
 
-use super::{ANSWER, Store};
+use super::{RESPONSE_TIMEOUT, Store};
 use crate::clock;
-use crate::http::Failed;
+use crate::http::CallError;
 
 /// The kind of watch calls.
 pub(super) const WATCH: &str = "watch";
 /// The pause between two probes while the store is down.
-const PROBE: Duration = Duration::from_millis(200);
+const PROBE_PAUSE: Duration = Duration::from_millis(200);
 /// A key that is read to see whether the store responds; it need not exist.
 const PROBE_KEY: &str = "entry/probe";
 /// How long a rejected VM uses its peers before it tries directly again.
-const DETOUR: Duration = Duration::from_millis(700);
+const DIRECT_RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 impl Store {
     /// Probes the store while it is down or rejects this VM, so that its return is noticed
@@ -24,20 +24,21 @@
     /// whole timeout, and its caller would be told that the outcome is unknown.
     pub async fn probe(&self) {
         loop {
-            tokio::time::sleep(PROBE).await;
+            tokio::time::sleep(PROBE_PAUSE).await;
             let is_due = !self.is_direct.get() && clock::now() >= self.retry_direct.get();
-            if self.is_away() || is_due {
-                let answer = self.call_directly(&store::get(PROBE_KEY), "probe", ANSWER).await;
+            if self.is_down() || is_due {
+                let answer =
+                    self.call_directly(&store::get(PROBE_KEY), "probe", RESPONSE_TIMEOUT).await;
                 if is_answer(&answer) {
-                    self.outage.borrow_mut().heard(clock::now());
+                    self.outage.borrow_mut().note_contact(clock::now());
                 }
             }
         }
     }
 
     /// Makes a call for a peer: once, and only directly.
-    pub async fn relayed(&self, call: &Call, within: Duration) -> Result<(u16, Bytes), Failed> {
-        self.direct(call, "relayed", within).await
+    pub async fn relayed(&self, call: &Call, within: Duration) -> Result<(u16, Bytes), CallError> {
+        self.call_once(call, "relayed", within).await
     }
 
     /// Makes a call, through a peer if the store rejects this VM.
@@ -49,37 +50,37 @@
         call: &Call,
         kind: &'static str,
         within: Duration,
-    ) -> Result<(u16, Bytes), Failed> {
+    ) -> Result<(u16, Bytes), CallError> {
         // A watch may stay open until something changes, so its delay shows no outage.
         if kind == WATCH {
-            let answer = self.call_any_way(call, kind, within).await;
+            let answer = self.call_routed(call, kind, within).await;
             if is_answer(&answer) {
-                self.outage.borrow_mut().heard(clock::now());
+                self.outage.borrow_mut().note_contact(clock::now());
             }
             return answer;
         }
-        let sent = self.outage.borrow_mut().sent(clock::now());
-        let answer = self.call_any_way(call, kind, within).await;
+        let call_id = self.outage.borrow_mut().note_sent(clock::now());
+        let answer = self.call_routed(call, kind, within).await;
         if is_answer(&answer) {
-            self.outage.borrow_mut().answered(clock::now(), sent);
+            self.outage.borrow_mut().note_response(clock::now(), call_id);
         } else {
-            self.outage.borrow_mut().failed(sent);
+            self.outage.borrow_mut().note_failure(call_id);
         }
         answer
     }
 
-    async fn direct(
+    async fn call_once(
         &self,
         call: &Call,
         kind: &'static str,
         within: Duration,
-    ) -> Result<(u16, Bytes), Failed> {
+    ) -> Result<(u16, Bytes), CallError> {
         let begun = clock::now();
         let on_head = |status: u16| {
             if !is_refusal(status) {
                 // The head shows that the store is up: a slow body must not count as an outage.
-                self.answered.set(clock::now());
-                self.outage.borrow_mut().heard(clock::now());
+                self.last_response.set(clock::now());
+                self.outage.borrow_mut().note_contact(clock::now());
             }
         };
         let answer = self.client.call_large(self.address, call, within, on_head).await;
@@ -91,33 +92,33 @@
         self.metrics.store(kind, outcome, clock::now() - begun);
         let is_answered = outcome == "answered";
         if is_answered {
-            self.answered.set(clock::now());
+            self.last_response.set(clock::now());
         }
         if self.is_direct.replace(is_answered) != is_answered {
-            let event = if is_answered { "store regained" } else { "store lost" };
-            self.trace.key(event, serde_json::json!({ "call": kind, "outcome": outcome }));
+            let event = if is_answered { "store reachable" } else { "store unreachable" };
+            self.trace.unlimited(event, serde_json::json!({ "call": kind, "outcome": outcome }));
         }
         answer
     }
 
-    async fn call_any_way(
+    async fn call_routed(
         &self,
         call: &Call,
         kind: &'static str,
         within: Duration,
-    ) -> Result<(u16, Bytes), Failed> {
+    ) -> Result<(u16, Bytes), CallError> {
         if self.is_direct.get() {
             let first = self.call_directly(call, kind, within).await;
             return if is_answer(&first) {
                 first
             } else {
-                let is_lost = first == Err(Failed::Lost);
+                let is_lost = first == Err(CallError::Lost);
                 self.call_by_peers(call, within, is_lost).await
             };
         }
         // While rejected, only the probe and calls that find no peer go directly.
         let answer = self.call_by_peers(call, within, false).await;
-        if answer == Err(Failed::Unsent) && clock::now() >= self.retry_direct.get() {
+        if answer == Err(CallError::Unsent) && clock::now() >= self.retry_direct.get() {
             return self.call_directly(call, kind, within).await;
         }
         answer
@@ -128,9 +129,9 @@
         call: &Call,
         kind: &'static str,
         within: Duration,
-    ) -> Result<(u16, Bytes), Failed> {
-        let answer = self.direct(call, kind, within).await;
-        let pause = if is_answer(&answer) { Duration::ZERO } else { DETOUR };
+    ) -> Result<(u16, Bytes), CallError> {
+        let answer = self.call_once(call, kind, within).await;
+        let pause = if is_answer(&answer) { Duration::ZERO } else { DIRECT_RETRY_PAUSE };
         self.retry_direct.set(clock::now() + pause);
         answer
     }
@@ -141,26 +142,26 @@
         call: &Call,
         within: Duration,
         is_lost: bool,
-    ) -> Result<(u16, Bytes), Failed> {
+    ) -> Result<(u16, Bytes), CallError> {
         let relay = self.relay.borrow().clone();
         let answer = match relay {
             Some(relay) => relay(call.clone(), within).await,
-            None => Err(Failed::Unsent),
+            None => Err(CallError::Unsent),
         };
         match answer {
             Ok((status, body)) if !is_refusal(status) => {
-                self.answered.set(clock::now());
+                self.last_response.set(clock::now());
                 Ok((status, body))
             }
             Ok(answer) if !is_lost => Ok(answer),
-            Err(Failed::Unsent) if !is_lost => Err(Failed::Unsent),
-            _ => Err(Failed::Lost),
+            Err(CallError::Unsent) if !is_lost => Err(CallError::Unsent),
+            _ => Err(CallError::Lost),
         }
     }
 }
 
 /// Whether the store itself responded rather than rejecting the call.
-fn is_answer(answer: &Result<(u16, Bytes), Failed>) -> bool {
+fn is_answer(answer: &Result<(u16, Bytes), CallError>) -> bool {
     matches!(answer, Ok((status, _)) if !is_refusal(*status))
 }
 
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -12,11 +12,11 @@
 
 /// The most lines waiting to be written. If a reader of the output stalls, lines are dropped
 /// and counted; callers are never delayed.
-const QUEUE: usize = 2_048;
+const MAX_QUEUED_LINES: usize = 2_048;
 /// The sustained rate of lines a second: at about 200 bytes a line, 60 KB a second.
-const RATE: f64 = 300.0;
+const LINES_PER_SECOND: f64 = 300.0;
 /// The most lines in a burst.
-const BURST: f64 = 1_500.0;
+const MAX_BURST: f64 = 1_500.0;
 
 /// Writes the log. Clones write to the same log.
 #[derive(Clone)]
@@ -30,18 +30,18 @@
 impl Trace {
     /// Starts the writer thread: the output may block, the daemon must not.
     pub fn start(node: &str) -> Self {
-        let (sender, receiver) = sync_channel(QUEUE);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         let started =
             std::thread::Builder::new().name("log".to_owned()).spawn(move || write(&receiver));
         if let Err(error) = started {
-            eprintln!("no thread for the log ({error}); the log stays empty");
+            eprintln!("cannot start the log thread ({error}); nothing will be logged");
         }
-        let budget = Arc::new(Mutex::new((BURST, Instant::now())));
+        let budget = Arc::new(Mutex::new((MAX_BURST, Instant::now())));
         Self { sender, dropped: Arc::default(), budget, node: node.into() }
     }
 
     /// Writes a rare line, bypassing the rate limit: starts, stops, duties, dependencies.
-    pub fn key(&self, event: &'static str, fields: Value) {
+    pub fn unlimited(&self, event: &'static str, fields: Value) {
         self.send(event, &fields);
     }
 
@@ -76,7 +76,7 @@
         let Ok(mut budget) = self.budget.lock() else { return false };
         let (left, at) = *budget;
         let now = Instant::now();
-        let left = (left + now.duration_since(at).as_secs_f64() * RATE).min(BURST);
+        let left = (left + now.duration_since(at).as_secs_f64() * LINES_PER_SECOND).min(MAX_BURST);
         let is_left = left >= 1.0;
         *budget = (if is_left { left - 1.0 } else { left }, now);
         is_left
--- a/crates/entry/tests/admission.rs
+++ b/crates/entry/tests/admission.rs
@@ -4,22 +4,22 @@
 use std::collections::BTreeMap;
 
 use corianderfork_adapter::store::{Item, MAX_ROWS, Txn};
-use corianderfork_entry::admission::{Admission, Offer};
+use corianderfork_entry::admission::{Admission, Submission};
 use corianderfork_entry::duty::Table;
-use corianderfork_entry::placement::{Entry, Places, Way, queue_key};
+use corianderfork_entry::placement::{PoolList, QueueRecord, QueueRoute, queue_key};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-fn offer(queue: &str, version: u64, pool: &str, id: &str) -> Offer {
-    let way = Way { version, pool: pool.to_owned() };
-    Offer { queue: queue.to_owned(), way, id: id.to_owned(), value: b"{}".to_vec() }
+fn submission(queue: &str, version: u64, pool: &str, id: &str) -> Submission {
+    let queue_route = QueueRoute { version, pool: pool.to_owned() };
+    Submission { queue: queue.to_owned(), queue_route, id: id.to_owned(), value: b"{}".to_vec() }
 }
 
-fn many(queue: &str, version: u64, pool: &str, count: usize) -> Vec<Offer> {
-    (0..count).map(|n| offer(queue, version, pool, &format!("{n:016x}"))).collect()
+fn many(queue: &str, version: u64, pool: &str, count: usize) -> Vec<Submission> {
+    (0..count).map(|n| submission(queue, version, pool, &format!("{n:016x}"))).collect()
 }
 
-fn table(queues: BTreeMap<String, Entry>) -> Table {
+fn table(queues: BTreeMap<String, QueueRecord>) -> Table {
     let mut table = Table::default();
     table.queues = queues;
     table
@@ -63,21 +63,21 @@
 /// An entry VM: its configuration, what it knows, and writes that are on their way.
 #[derive(Clone)]
 struct Gateway {
-    offer: Offer,
-    entries: BTreeMap<String, Entry>,
+    submission: Submission,
+    entries: BTreeMap<String, QueueRecord>,
     sent: Vec<(Admission, Txn)>,
     is_told: bool,
 }
 
 impl Gateway {
     fn new(version: u64, pool: &str) -> Self {
-        let offer = offer("one", version, pool, ID);
-        Self { offer, entries: BTreeMap::new(), sent: Vec::new(), is_told: false }
+        let submission = submission("one", version, pool, ID);
+        Self { submission, entries: BTreeMap::new(), sent: Vec::new(), is_told: false }
     }
 
     fn send(&mut self) {
-        let admission = Admission::new([&self.offer], &table(self.entries.clone()));
-        let txn = admission.txn([&self.offer]);
+        let admission = Admission::new([&self.submission], &table(self.entries.clone()));
+        let txn = admission.txn([&self.submission]);
         self.sent.push((admission, txn));
     }
 
@@ -86,12 +86,12 @@
         let (admission, txn) = self.sent.remove(0);
         match store.carry(&txn) {
             Ok(revision) => {
-                self.entries.extend(admission.written(revision));
+                self.entries.extend(admission.written_records(revision));
                 self.is_told = true;
             }
             Err(items) => {
-                self.entries.extend(admission.seen(&items));
-                self.is_told |= admission.is_stored(&self.offer, &items);
+                self.entries.extend(admission.conflicting_records(&items));
+                self.is_told |= admission.is_stored(&self.submission, &items);
             }
         }
     }
@@ -104,7 +104,7 @@
     if left == 0 {
         *done += 1;
         for gateway in gateways.iter().filter(|gateway| gateway.is_told) {
-            assert_eq!(store.accepted().len(), 1, "told stored: {:?}", gateway.offer);
+            assert_eq!(store.accepted().len(), 1, "told stored: {:?}", gateway.submission);
         }
         return;
     }
@@ -159,12 +159,13 @@
 #[test]
 fn admission_of_many_jobs_on_a_normal_day() {
     // As many jobs go together as did before there was a record: ten.
-    let places = Places { version: 1, pools: vec!["alpha".to_owned()] };
-    let entries = BTreeMap::from([("one".to_owned(), Entry::Whole { revision: 9, places })]);
-    let offers = many("one", 1, "alpha", 25);
-    let admission = Admission::new(&offers, &table(entries));
+    let pool_list = PoolList { version: 1, pools: vec!["alpha".to_owned()] };
+    let entries =
+        BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
+    let submissions = many("one", 1, "alpha", 25);
+    let admission = Admission::new(&submissions, &table(entries));
     assert_eq!(admission.count(), 10);
-    let txn = admission.txn(&offers[..10]);
+    let txn = admission.txn(&submissions[..10]);
     assert_eq!((rows(&txn), txn.set.len()), (31, 10));
     assert!(txn.expect.contains(&(queue_key("one"), 9)));
 }
@@ -173,20 +174,21 @@
 fn admission_never_over_the_rows_of_a_write() {
     for earlier in 0..40 {
         let pools: Vec<String> = (0..=earlier).map(|n| format!("p{n}")).collect();
-        let places = Places { version: 1, pools };
-        let entries = BTreeMap::from([("one".to_owned(), Entry::Whole { revision: 9, places })]);
+        let pool_list = PoolList { version: 1, pools };
+        let entries =
+            BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
         for pool in ["p0", "new"] {
-            let mut offers = many("one", 2, pool, 12);
-            offers.extend(many("two", 2, pool, 12));
-            let admission = Admission::new(&offers, &table(entries.clone()));
+            let mut submissions = many("one", 2, pool, 12);
+            submissions.extend(many("two", 2, pool, 12));
+            let admission = Admission::new(&submissions, &table(entries.clone()));
             assert!(admission.count() > 0, "{earlier} pools before");
-            let taken = &offers[..admission.count()];
+            let taken = &submissions[..admission.count()];
             let txn = admission.txn(taken);
             assert!(rows(&txn) <= MAX_ROWS, "{earlier} pools before: {} rows", rows(&txn));
             // Each pool is expected to be without the job, or named to be read.
             let moved = usize::from(pool == "new");
-            let expected = txn.expect.iter().filter(|(key, _)| key.ends_with(&offers[0].id));
-            let checked = expected.count() / 2 + admission.unchecked(&offers[0]).len();
+            let expected = txn.expect.iter().filter(|(key, _)| key.ends_with(&submissions[0].id));
+            let checked = expected.count() / 2 + admission.unchecked_pools(&submissions[0]).len();
             assert_eq!(checked, 1 + earlier + moved);
         }
     }
@@ -194,15 +196,20 @@
 
 #[test]
 fn admission_of_jobs_by_two_configurations() {
-    let offers = [offer("one", 1, "alpha", ID), offer("one", 2, "beta", "00000000000000ff")];
-    assert_eq!(Admission::new(&offers, &Table::default()).count(), 1);
+    let submissions =
+        [submission("one", 1, "alpha", ID), submission("one", 2, "beta", "00000000000000ff")];
+    assert_eq!(Admission::new(&submissions, &Table::default()).count(), 1);
 }
 
 #[test]
 fn admission_sees_that_a_record_was_removed() {
-    let places = Places { version: 1, pools: vec!["alpha".to_owned()] };
-    let entries = BTreeMap::from([("one".to_owned(), Entry::Whole { revision: 9, places })]);
-    let offers = many("one", 1, "alpha", 1);
-    let admission = Admission::new(&offers, &table(entries));
-    assert_eq!(admission.seen(&[]), [("one".to_owned(), Entry::Damaged { revision: 0 })]);
+    let pool_list = PoolList { version: 1, pools: vec!["alpha".to_owned()] };
+    let entries =
+        BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
+    let submissions = many("one", 1, "alpha", 1);
+    let admission = Admission::new(&submissions, &table(entries));
+    assert_eq!(
+        admission.conflicting_records(&[]),
+        [("one".to_owned(), QueueRecord::Damaged { revision: 0 })]
+    );
 }
--- a/crates/entry/tests/arrivals.rs
+++ b/crates/entry/tests/arrivals.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn number_counts_a_worker_once_as_it_comes() {
+fn count_coming_counts_a_worker_once_as_it_comes() {
     // Symptom: VMs leave a pool in the middle of the ramp that sent for them, and
     //   are sent for again.
     // Sequence: 27 VMs are ordered; they come, and the pool's owner counts them;
@@ -43,29 +43,29 @@
     for number in 0..27 {
         arrivals.order(at(0), &format!("vm-{number}"), POOL);
     }
-    arrivals.settle(at(300), &list(27, State::Moving));
-    assert_eq!(Stock::new(&load(3, 0), arrivals.number(POOL)).missing(30), 0);
-    arrivals.settle(at(1_600), &list(27, State::Up));
+    arrivals.update(at(300), &list(27, State::Moving));
+    assert_eq!(Stock::new(&load(3, 0), arrivals.count_coming(POOL)).missing(30), 0);
+    arrivals.update(at(1_600), &list(27, State::Up));
     // The owner counts the first ten.
     let counted: Vec<String> = (0..10).map(|number| format!("i-{number}")).collect();
     assert_eq!(arrivals.uncounted(POOL).len(), 27);
-    arrivals.counted(POOL, &counted);
-    let stock = Stock::new(&load(13, 0), arrivals.number(POOL));
-    assert_eq!((stock.there, stock.coming), (13, 17));
+    arrivals.mark_counted(POOL, &counted);
+    let stock = Stock::new(&load(13, 0), arrivals.count_coming(POOL));
+    assert_eq!((stock.present, stock.coming), (13, 17));
     assert_eq!((stock.missing(30), stock.keep(30)), (0, None));
 }
 
 #[test]
-fn number_leaves_out_what_never_comes() {
+fn count_coming_leaves_out_what_never_comes() {
     let mut arrivals = Arrivals::default();
     arrivals.order(at(0), "vm-0", POOL);
-    arrivals.settle(at(1_600), &list(1, State::Up));
-    assert_eq!(arrivals.number(POOL), 1);
-    arrivals.settle(at(4_200), &list(1, State::Up));
-    assert_eq!(arrivals.number(POOL), 0, "its worker doesn't register");
+    arrivals.update(at(1_600), &list(1, State::Up));
+    assert_eq!(arrivals.count_coming(POOL), 1);
+    arrivals.update(at(4_200), &list(1, State::Up));
+    assert_eq!(arrivals.count_coming(POOL), 0, "its worker doesn't register");
     arrivals.order(at(5_000), "vm-0", POOL);
-    arrivals.settle(at(5_200), &list(1, State::Down));
-    assert_eq!(arrivals.number(POOL), 0, "it has failed");
+    arrivals.update(at(5_200), &list(1, State::Down));
+    assert_eq!(arrivals.count_coming(POOL), 0, "it has failed");
 }
 
 #[test]
--- a/crates/entry/tests/duty.rs
+++ b/crates/entry/tests/duty.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use corianderfork_entry::duty::{Former, Holder, Member, Record, Table};
+use corianderfork_entry::duty::{FormerHolder, Holder, Member, Record, Table};
 use corianderfork_model::Time;
 
 fn at(millis: u64) -> Time {
@@ -48,7 +48,7 @@
     let names: Vec<String> = table.members.keys().cloned().collect();
     let mut takers = Vec::new();
     for name in names {
-        let mine = table.due_for(at(now), &name, duties);
+        let mine = table.due_duties(at(now), &name, duties);
         takers.extend(mine.into_iter().map(|duty| (duty, name.clone())));
     }
     takers.sort();
@@ -118,8 +118,8 @@
 fn taken_from_a_silent_one() -> Table {
     let mut table = table(&[250, 250, 250]);
     table.put_duty(at(1_000), "a", Record { holder: holder("e0", 1), revision: 7 });
-    let before = table.formers("a");
-    assert_eq!(before, [Former { name: "e0".to_owned(), boot: 1, peers: Some(peers(1)) }]);
+    let before = table.former_holders("a");
+    assert_eq!(before, [FormerHolder { name: "e0".to_owned(), boot: 1, peers: Some(peers(1)) }]);
     let taken = Holder { before, ..holder("e1", 1) };
     table.put_duty(at(5_000), "a", Record { holder: taken, revision: 9 });
     table.members.insert("e1".to_owned(), member(1, 2, 250));
@@ -143,13 +143,13 @@
     let mut table = taken_from_a_silent_one();
     table.members.insert("e0".to_owned(), member(0, 2, 250));
     assert_eq!(table.may_grant(at(5_500), "a"), Duration::ZERO);
-    assert!(table.formers("a").is_empty());
+    assert!(table.former_holders("a").is_empty());
 }
 
 #[test]
 fn formers_by_one_that_began_later() {
     let table = taken_from_a_silent_one();
-    assert_eq!(table.formers("a").len(), 1, "e0 may go on; e1 has ended");
+    assert_eq!(table.former_holders("a").len(), 1, "e0 may go on; e1 has ended");
     // What it hasn't seen begin may have begun just now.
     let record = table.duties["a"].clone();
     let mut fresh = Table::default();
--- a/crates/entry/tests/elapsed.rs
+++ b/crates/entry/tests/elapsed.rs
@@ -13,9 +13,9 @@
     // Cause: the time was counted from the start of the process.
     let (mut elapsed, started) = (Elapsed::default(), Time::from_millis(300));
     let now = Time::from_millis(1_000);
-    assert_eq!(elapsed.of(now, 1, started), Duration::from_millis(700), "nothing is written");
+    assert_eq!(elapsed.age(now, 1, started), Duration::from_millis(700), "nothing is written");
     elapsed.learn(Time::from_millis(400), 1, Duration::from_secs(25));
-    assert_eq!(elapsed.of(now, 1, started), Duration::from_millis(25_600));
+    assert_eq!(elapsed.age(now, 1, started), Duration::from_millis(25_600));
 }
 
 #[test]
@@ -23,5 +23,5 @@
     let mut elapsed = Elapsed::default();
     elapsed.learn(Time::from_millis(40_000), 1, Duration::from_secs(2));
     let since = Time::from_millis(1_000);
-    assert_eq!(elapsed.of(Time::from_millis(41_000), 1, since), Duration::from_secs(40));
+    assert_eq!(elapsed.age(Time::from_millis(41_000), 1, since), Duration::from_secs(40));
 }
--- a/crates/entry/tests/exchange.rs
+++ b/crates/entry/tests/exchange.rs
@@ -10,8 +10,9 @@
 /// How many workers a pool gives up within `millis` that never helps.
 fn given(millis: u64) -> usize {
     let mut exchange = Exchange::default();
-    let mut gave = |now: u64| exchange.gives(at(now), true) && exchange.gave(at(now));
-    (0..millis).step_by(100).filter(|now| gave(*now)).count()
+    let mut note_departure =
+        |now: u64| exchange.should_release(at(now), true) && exchange.note_departure(at(now));
+    (0..millis).step_by(100).filter(|now| note_departure(*now)).count()
 }
 
 #[test]
@@ -28,16 +29,16 @@
 #[test]
 fn gives_nothing_while_the_pool_can_have_one_more() {
     let mut exchange = Exchange::default();
-    assert!(!exchange.gives(at(0), false));
-    assert!(!exchange.gave(at(0)), "a VM that leaves for another reason");
-    assert!(exchange.gives(at(100), true));
-    assert!(!exchange.gives(at(200), false), "a VM has come free");
+    assert!(!exchange.should_release(at(0), false));
+    assert!(!exchange.note_departure(at(0)), "a VM that leaves for another reason");
+    assert!(exchange.should_release(at(100), true));
+    assert!(!exchange.should_release(at(200), false), "a VM has come free");
 }
 
 #[test]
 fn gives_up_where_no_worker_runs_empty() {
     let mut exchange = Exchange::default();
-    assert!(exchange.gives(at(0), true));
-    assert!(exchange.gives(at(4_900), true));
-    assert!(!exchange.gives(at(5_000), true), "its workers take work again");
+    assert!(exchange.should_release(at(0), true));
+    assert!(exchange.should_release(at(4_900), true));
+    assert!(!exchange.should_release(at(5_000), true), "its workers take work again");
 }
--- a/crates/entry/tests/listen.rs
+++ b/crates/entry/tests/listen.rs
@@ -75,7 +75,7 @@
 }
 
 /// The answer to a request on a connection of its own; empty if it was closed.
-fn ask(address: SocketAddr, request: &str) -> String {
+fn message(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     // One that is closed shows by the answer that is missing.
@@ -94,8 +94,10 @@
     //   bound, and what came past it was closed.
     let daemon = Daemon::start("ready");
     let _kept = daemon.keep(daemon.peers, KEPT);
-    let answer =
-        ask(daemon.readiness, "GET /api/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    let answer = message(
+        daemon.readiness,
+        "GET /api/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
+    );
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
 }
 
@@ -110,6 +112,7 @@
     let _kept = daemon.keep(daemon.peers, KEPT);
     let body = r#"{"ask":"state","pool":"alpha","id":"5c0e7a21d94b36f8"}"#;
     let head = "POST /peer HTTP/1.1\r\nHost: a\r\nConnection: close\r\n";
-    let answer = ask(daemon.peers, &format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()));
+    let answer =
+        message(daemon.peers, &format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()));
     assert!(answer.contains("not-owner"), "{answer:?}");
 }
--- a/crates/entry/tests/lookup.rs
+++ b/crates/entry/tests/lookup.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use corianderfork_entry::lookup::{Lookup, Next, job_key, run_key};
+use corianderfork_entry::lookup::{Lookup, LookupStep, job_key, run_key};
 use corianderfork_jobs::record::{Progress, State};
 
 const POOL: &str = "alpha";
@@ -27,10 +27,10 @@
 }
 
 /// Looks the job up in a store that is `seen[n]` at the n-th read.
-fn look_up(seen: &[&Records]) -> Next {
+fn look_up(seen: &[&Records]) -> LookupStep {
     let mut lookup = Lookup::new(POOL, ID);
     for records in seen {
-        let Next::Read(key) = lookup.next() else { break };
+        let LookupStep::Read(key) = lookup.next() else { break };
         lookup.learn(records.get(&key).map(Vec::as_slice));
     }
     lookup.next()
@@ -48,7 +48,7 @@
     for first in 0..writes.len() {
         for second in first..writes.len() {
             let found = look_up(&[&writes[first], &writes[second]]);
-            assert!(matches!(found, Next::Found(_)), "{first}, then {second}: {found:?}");
+            assert!(matches!(found, LookupStep::Found(_)), "{first}, then {second}: {found:?}");
         }
     }
 }
@@ -57,15 +57,15 @@
 fn lookup_tells_the_newest_state() {
     let writes = writes();
     let at = |n: usize| look_up(&[&writes[n], &writes[n]]);
-    assert_eq!(at(0), Next::Found(State::Queued));
-    assert_eq!(at(1), Next::Found(State::Running));
-    assert_eq!(at(2), Next::Found(State::Completed));
+    assert_eq!(at(0), LookupStep::Found(State::Queued));
+    assert_eq!(at(1), LookupStep::Found(State::Running));
+    assert_eq!(at(2), LookupStep::Found(State::Completed));
 }
 
 #[test]
 fn lookup_of_no_job() {
     let none = Records::new();
-    assert_eq!(look_up(&[&none, &none]), Next::Absent);
+    assert_eq!(look_up(&[&none, &none]), LookupStep::Absent);
 }
 
 #[test]
@@ -75,5 +75,5 @@
     // Sequence: another writer lays bytes over how far the job is.
     // Cause: what can't be read is taken for what isn't there.
     let damaged = Records::from([(run_key(POOL, ID), b"\xff{".to_vec())]);
-    assert_eq!(look_up(&[&damaged, &damaged]), Next::Unreadable);
+    assert_eq!(look_up(&[&damaged, &damaged]), LookupStep::Unreadable);
 }
--- a/crates/entry/tests/predecessor.rs
+++ b/crates/entry/tests/predecessor.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use corianderfork_entry::duty::{Former, Holder, Member, Record, Table};
+use corianderfork_entry::duty::{FormerHolder, Holder, Member, Record, Table};
 use corianderfork_entry::predecessor::Tracker;
 use corianderfork_model::Time;
 
@@ -16,8 +16,8 @@
     Time::from_millis(millis)
 }
 
-fn former(name: &str, boot: u64) -> Former {
-    Former { name: name.to_owned(), boot, peers: Some(([127, 0, 0, 1], 7_000).into()) }
+fn former(name: &str, boot: u64) -> FormerHolder {
+    FormerHolder { name: name.to_owned(), boot, peers: Some(([127, 0, 0, 1], 7_000).into()) }
 }
 
 fn member(boot: u64) -> Member {
@@ -35,8 +35,8 @@
     Tracker::new(at(0), vec![former("e1", 1), former("e0", 1)], true, LEASE)
 }
 
-fn grants(left_ms: u64) -> BTreeMap<String, u64> {
-    BTreeMap::from([("w0".to_owned(), left_ms)])
+fn grants(remaining_ms: u64) -> BTreeMap<String, u64> {
+    BTreeMap::from([("w0".to_owned(), remaining_ms)])
 }
 
 #[test]
@@ -109,10 +109,10 @@
 #[test]
 fn past_of_a_record_that_names_nobody() {
     let mut table = Table::default();
-    assert!(!table.past(at(0), "a").is_complete, "no record");
+    assert!(!table.history(at(0), "a").is_complete, "no record");
     table.put_duty(at(0), "a", Record { holder: Holder::default(), revision: 7 });
-    assert!(!table.past(at(0), "a").is_complete, "one that can't be read");
+    assert!(!table.history(at(0), "a").is_complete, "one that can't be read");
     let handed_over = Holder { boot: 1, peers: former("e0", 1).peers, ..Holder::default() };
     table.put_duty(at(0), "a", Record { holder: handed_over, revision: 9 });
-    assert!(table.past(at(0), "a").is_complete);
+    assert!(table.history(at(0), "a").is_complete);
 }
