--- a/crates/entry/tests/absence.rs
+++ b/crates/entry/tests/absence.rs
@@ -1,4 +1,4 @@
-//! VMs that lists leave out.
+//! VMs that are missing from the fleet's list.
 
 use corianderfork_entry::absence::Absence;
 use corianderfork_model::Time;
@@ -8,12 +8,11 @@
 }
 
 #[test]
-fn is_gone_only_after_several_lists() {
-    // Symptom: a wave is told to be completed, and a VM of it was never
-    //   maintained.
-    // Sequence: the list is read page by page; the last VM of the wave goes from
-    //   the second page to the first in between, and no page names it.
-    // Cause: a VM that one list leaves out counted as taken away.
+fn is_gone_after_several_lists() {
+    // Failure: a wave is reported as completed although one of its VMs was never maintained.
+    // The list is read page by page. The last VM of the wave moved from the second page to
+    // the first in between, so no page named it, and a VM missing from a single list counted
+    // as removed.
     let mut absence = Absence::default();
     absence.note(at(0), ["vm-1", "vm-2"], |vm| vm == "vm-1");
     assert!(!absence.is_gone(at(0), "vm-2"));
--- a/crates/entry/tests/admission.rs
+++ b/crates/entry/tests/admission.rs
@@ -1,5 +1,4 @@
-//! Acceptance over all pools of a queue, while configurations change and writes
-//! are carried out late.
+//! Acceptance across all pools of a queue, with changing configurations and late writes.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +14,7 @@
     Submission { queue: queue.to_owned(), queue_route, id: id.to_owned(), value: b"{}".to_vec() }
 }
 
-fn many(queue: &str, version: u64, pool: &str, count: usize) -> Vec<Submission> {
+fn submissions_of(queue: &str, version: u64, pool: &str, count: usize) -> Vec<Submission> {
     (0..count).map(|n| submission(queue, version, pool, &format!("{n:016x}"))).collect()
 }
 
@@ -29,7 +28,7 @@
     txn.expect.len() + txn.set.len() + txn.remove.len()
 }
 
-/// The store: keys, values, revisions.
+/// A store of keys with values and revisions.
 #[derive(Clone, Default)]
 struct Store {
     revision: u64,
@@ -37,15 +36,15 @@
 }
 
 impl Store {
-    /// Carries a write out: its revision, or what is there instead.
-    fn carry(&mut self, txn: &Txn) -> Result<u64, Vec<Item>> {
+    /// Applies a write. Returns its revision, or the conflicting items.
+    fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<Item>> {
         let revision = |key: &String| self.items.get(key).map_or(0, |(_, revision)| *revision);
         if txn.expect.iter().any(|(key, expected)| revision(key) != *expected) {
-            let there = txn.expect.iter().filter_map(|(key, _)| {
+            let conflicts = txn.expect.iter().filter_map(|(key, _)| {
                 let (value, revision) = self.items.get(key)?.clone();
                 Some(Item { key: key.clone(), value, revision })
             });
-            return Err(there.collect());
+            return Err(conflicts.collect());
         }
         self.revision += 1;
         for (key, value, _) in &txn.set {
@@ -54,25 +53,25 @@
         Ok(self.revision)
     }
 
-    /// The pools in which the job was accepted.
+    /// Returns the keys of the job in all pools that accepted it.
     fn accepted(&self) -> Vec<&str> {
         self.items.keys().filter(|key| key.ends_with(ID)).map(String::as_str).collect()
     }
 }
 
-/// An entry VM: its configuration, what it knows, and writes that are on their way.
+/// An entry VM: its configuration, its known records, and its writes in flight.
 #[derive(Clone)]
 struct Gateway {
     submission: Submission,
     entries: BTreeMap<String, QueueRecord>,
     sent: Vec<(Admission, Txn)>,
-    is_told: bool,
+    is_confirmed: bool,
 }
 
 impl Gateway {
     fn new(version: u64, pool: &str) -> Self {
         let submission = submission("one", version, pool, ID);
-        Self { submission, entries: BTreeMap::new(), sent: Vec::new(), is_told: false }
+        Self { submission, entries: BTreeMap::new(), sent: Vec::new(), is_confirmed: false }
     }
 
     fn send(&mut self) {
@@ -81,88 +80,90 @@
         self.sent.push((admission, txn));
     }
 
-    /// The oldest write that is on its way is carried out.
-    fn arrive(&mut self, store: &mut Store) {
+    /// Applies the oldest write in flight.
+    fn apply_oldest(&mut self, store: &mut Store) {
         let (admission, txn) = self.sent.remove(0);
-        match store.carry(&txn) {
+        match store.apply(&txn) {
             Ok(revision) => {
                 self.entries.extend(admission.written_records(revision));
-                self.is_told = true;
+                self.is_confirmed = true;
             }
             Err(items) => {
                 self.entries.extend(admission.conflicting_records(&items));
-                self.is_told |= admission.is_stored(&self.submission, &items);
+                self.is_confirmed |= admission.is_stored(&self.submission, &items);
             }
         }
     }
 }
 
-/// All orders of `left` steps of two entry VMs: one sends the job, or a write of
-/// it is carried out.
-fn go_on(store: &Store, gateways: &[Gateway; 2], left: usize, done: &mut usize) {
+/// Explores all sequences of `remaining_steps` steps of two entry VMs. In each step one VM sends a
+/// write of the job, or its oldest write is applied.
+fn explore(store: &Store, gateways: &[Gateway; 2], remaining_steps: usize, sequences: &mut usize) {
     assert!(store.accepted().len() <= 1, "accepted in {:?}", store.accepted());
-    if left == 0 {
-        *done += 1;
-        for gateway in gateways.iter().filter(|gateway| gateway.is_told) {
-            assert_eq!(store.accepted().len(), 1, "told stored: {:?}", gateway.submission);
+    if remaining_steps == 0 {
+        *sequences += 1;
+        for gateway in gateways.iter().filter(|gateway| gateway.is_confirmed) {
+            assert_eq!(
+                store.accepted().len(),
+                1,
+                "confirmed but not stored: {:?}",
+                gateway.submission
+            );
         }
         return;
     }
     for at in 0..2 {
         let (mut store, mut gateways) = (store.clone(), gateways.clone());
         if !gateways[at].sent.is_empty() {
-            gateways[at].arrive(&mut store);
-            go_on(&store, &gateways, left - 1, done);
+            gateways[at].apply_oldest(&mut store);
+            explore(&store, &gateways, remaining_steps - 1, sequences);
         }
     }
     for at in 0..2 {
         let mut gateways = gateways.clone();
         if gateways[at].sent.len() < 2 {
             gateways[at].send();
-            go_on(store, &gateways, left - 1, done);
+            explore(store, &gateways, remaining_steps - 1, sequences);
         }
     }
 }
 
 #[test]
-fn admission_while_the_queue_is_moved() {
-    // Symptom: a job is accepted in two pools and runs twice.
-    // Sequence: the queue is moved; an entry VM that knows it looks whether the job
-    //   is in the pool before, finds nothing and accepts it in the new one; one that
-    //   doesn't know it yet, or a write that was on its way, accepts it in the pool
-    //   before.
-    // Cause: a look at some keys and then a write of others.
+fn admission_while_a_queue_is_moved() {
+    // Failure: a job is accepted in two pools and runs twice. The queue is moved. One entry
+    // VM knows this, finds the job missing in the old pool, and accepts it in the new one;
+    // another VM that doesn't know it, or a late write, accepts it in the old pool. The cause
+    // was a read of some keys followed by a separate write of others.
     let gateways = [Gateway::new(1, "alpha"), Gateway::new(2, "beta")];
-    let mut done = 0;
-    go_on(&Store::default(), &gateways, 11, &mut done);
-    assert!(done > 10_000, "{done} orders only");
+    let mut sequences = 0;
+    explore(&Store::default(), &gateways, 11, &mut sequences);
+    assert!(sequences > 10_000, "only {sequences} sequences");
 }
 
 #[test]
-fn admission_comes_to_an_end_behind_a_move() {
-    // Of a store whose record has changed each try tells what it says now, so that
-    // the next one is accepted.
+fn admission_succeeds_after_a_move() {
+    // Each conflict reports the store's current records, so that the next attempt succeeds.
     let mut store = Store::default();
     let (mut old, mut new) = (Gateway::new(1, "alpha"), Gateway::new(2, "beta"));
     new.send();
-    new.arrive(&mut store);
+    new.apply_oldest(&mut store);
     store.items.retain(|key, _| !key.ends_with(ID));
     old.send();
-    old.arrive(&mut store);
-    assert!(!old.is_told);
+    old.apply_oldest(&mut store);
+    assert!(!old.is_confirmed);
     old.send();
-    old.arrive(&mut store);
-    assert!(old.is_told);
+    old.apply_oldest(&mut store);
+    assert!(old.is_confirmed);
     assert_eq!(store.accepted(), [format!("job/beta/{ID}")]);
 }
 
 #[test]
-fn admission_of_many_jobs_on_a_normal_day() {
-    // As many jobs go together as did before there was a record: ten.
+fn admission_many_jobs() {
+    // Ten jobs fit into one write, as many as before queues had records.
     let pool_list = PoolList { version: 1, pools: vec!["alpha".to_owned()] };
     let entries =
         BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
-    let submissions = many("one", 1, "alpha", 25);
+    let submissions = submissions_of("one", 1, "alpha", 25);
     let admission = Admission::new(&submissions, &table(entries));
     assert_eq!(admission.count(), 10);
     let txn = admission.txn(&submissions[..10]);
@@ -171,21 +172,21 @@
 }
 
 #[test]
-fn admission_never_over_the_rows_of_a_write() {
+fn admission_within_the_row_limit() {
     for earlier in 0..40 {
         let pools: Vec<String> = (0..=earlier).map(|n| format!("p{n}")).collect();
         let pool_list = PoolList { version: 1, pools };
         let entries =
             BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
         for pool in ["p0", "new"] {
-            let mut submissions = many("one", 2, pool, 12);
-            submissions.extend(many("two", 2, pool, 12));
+            let mut submissions = submissions_of("one", 2, pool, 12);
+            submissions.extend(submissions_of("two", 2, pool, 12));
             let admission = Admission::new(&submissions, &table(entries.clone()));
-            assert!(admission.count() > 0, "{earlier} pools before");
+            assert!(admission.count() > 0, "{earlier} earlier pools");
             let taken = &submissions[..admission.count()];
             let txn = admission.txn(taken);
-            assert!(rows(&txn) <= MAX_ROWS, "{earlier} pools before: {} rows", rows(&txn));
-            // Each pool is expected to be without the job, or named to be read.
+            assert!(rows(&txn) <= MAX_ROWS, "{earlier} earlier pools: {} rows", rows(&txn));
+            // Each earlier pool is either checked by the write or named to be read.
             let moved = usize::from(pool == "new");
             let expected = txn.expect.iter().filter(|(key, _)| key.ends_with(&submissions[0].id));
             let checked = expected.count() / 2 + admission.unchecked_pools(&submissions[0]).len();
@@ -195,18 +196,18 @@
 }
 
 #[test]
-fn admission_of_jobs_by_two_configurations() {
+fn admission_two_configurations() {
     let submissions =
         [submission("one", 1, "alpha", ID), submission("one", 2, "beta", "00000000000000ff")];
     assert_eq!(Admission::new(&submissions, &Table::default()).count(), 1);
 }
 
 #[test]
-fn admission_sees_that_a_record_was_removed() {
+fn conflicting_records_removed_record() {
     let pool_list = PoolList { version: 1, pools: vec!["alpha".to_owned()] };
     let entries =
         BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
-    let submissions = many("one", 1, "alpha", 1);
+    let submissions = submissions_of("one", 1, "alpha", 1);
     let admission = Admission::new(&submissions, &table(entries));
     assert_eq!(
         admission.conflicting_records(&[]),
--- a/crates/entry/tests/arrivals.rs
+++ b/crates/entry/tests/arrivals.rs
@@ -1,6 +1,6 @@
-//! What a pool has while its workers come. The load is the begin of a queue's
-//! busy time: a pool of three workers is to have thirty, and they come in batches
-//! as long after the order as a move takes.
+//! The stock of a pool while workers arrive. The scenario is the start of a queue's busy
+//! time: a pool of three workers grows to thirty, and they arrive in batches, one move time
+//! after the order.
 
 use std::collections::BTreeMap;
 
@@ -32,13 +32,10 @@
 }
 
 #[test]
-fn count_coming_counts_a_worker_once_as_it_comes() {
-    // Symptom: VMs leave a pool in the middle of the ramp that sent for them, and
-    //   are sent for again.
-    // Sequence: 27 VMs are ordered; they come, and the pool's owner counts them;
-    //   the next size is decided before the list has settled.
-    // Cause: each of them counted as there and as coming, so 57 were had where 30
-    //   were wanted.
+fn count_coming_counts_an_arrival_once() {
+    // Failure: VMs leave a pool in the middle of the ramp-up that requested them, and are
+    // requested again. 27 VMs were ordered and arrived, and the owner counted them before the
+    // list settled. Each counted as present and as coming, which made 57 where 30 were wanted.
     let mut arrivals = Arrivals::default();
     for number in 0..27 {
         arrivals.order(at(0), &format!("vm-{number}"), POOL);
@@ -56,7 +53,7 @@
 }
 
 #[test]
-fn count_coming_leaves_out_what_never_comes() {
+fn count_coming_omits_failed_moves() {
     let mut arrivals = Arrivals::default();
     arrivals.order(at(0), "vm-0", POOL);
     arrivals.update(at(1_600), &list(1, State::Up));
@@ -65,17 +62,16 @@
     assert_eq!(arrivals.count_coming(POOL), 0, "its worker doesn't register");
     arrivals.order(at(5_000), "vm-0", POOL);
     arrivals.update(at(5_200), &list(1, State::Down));
-    assert_eq!(arrivals.count_coming(POOL), 0, "it has failed");
+    assert_eq!(arrivals.count_coming(POOL), 0, "the VM has failed");
 }
 
 #[test]
-fn keep_goes_on_while_workers_run_empty() {
-    // Symptom: a pool that is to give up twenty workers gives up none for seconds.
-    // Sequence: they are told to run empty; at the next decision the others are no
-    //   more than it keeps, and it is told to keep all.
-    // Cause: those that run empty didn't count, and took work again each time.
+fn keep_while_workers_are_vacated() {
+    // Failure: a pool that should give up twenty workers gives up none for seconds. Workers
+    // being vacated didn't count as present, so at the next decision the pool had no surplus
+    // and was told to keep all, and they took work again each time.
     let stock = Stock::new(&load(8, 20), 0);
     assert_eq!(stock.keep(8), Some(8));
-    assert_eq!(stock.missing(20), 0, "they take work again instead");
+    assert_eq!(stock.missing(20), 0, "vacated workers take work again instead");
     assert_eq!(stock.keep(28), None);
 }
--- a/crates/entry/tests/attempts.rs
+++ b/crates/entry/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Tries of one job that overlap, at one entry VM.
+//! Overlapping attempts to store one job at one entry VM.
 
 use corianderfork_entry::attempts::Attempts;
 use corianderfork_model::Time;
@@ -8,23 +8,22 @@
 }
 
 #[test]
-fn may_be_stored_while_one_of_two_tries_goes_on() {
-    // Symptom: a caller is told that its job never runs, and it runs.
-    // Sequence: a job is handed in twice; the second try is refused unwritten while
-    //   the first one's write is on its way.
-    // Cause: a try that was refused was taken for all of them.
+fn may_be_stored_during_another_attempt() {
+    // Failure: a caller is told that its job never runs, but it runs. The job was submitted
+    // twice; the second attempt was refused unwritten while the first one's write was in
+    // flight, and that refusal was taken for the result of both.
     let mut attempts = Attempts::default();
     attempts.begin("a");
     attempts.begin("a");
     attempts.end("a");
-    assert!(attempts.may_be_stored(at(0), "a"), "the other goes on");
+    assert!(attempts.may_be_stored(at(0), "a"), "the other attempt is in progress");
     assert!(!attempts.may_be_stored(at(0), "b"));
     attempts.end("a");
     assert!(!attempts.may_be_stored(at(0), "a"));
 }
 
 #[test]
-fn may_be_stored_for_a_while_after_a_write_was_given_up() {
+fn may_be_stored_after_an_unsure_write() {
     let mut attempts = Attempts::default();
     attempts.begin("a");
     attempts.note_unsure(at(1_000), "a");
--- a/crates/entry/tests/check.rs
+++ b/crates/entry/tests/check.rs
@@ -1,9 +1,9 @@
-//! The daemon's command line: settings are checked without a start.
+//! The `--check` option, which checks the settings without starting the daemon.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Settings that are in order.
+/// Valid settings.
 const GOOD: &str = "\
 [process]
 name = vm-1
@@ -19,7 +19,7 @@
 address = 127.0.0.1:18083
 ";
 
-/// What `--check` says of settings.
+/// Runs the daemon with `--check` on the given settings.
 fn check(name: &str, settings: &str) -> Output {
     let path: PathBuf = std::env::temp_dir().join(format!("{name}-{}.ini", std::process::id()));
     std::fs::write(&path, settings).expect("a temporary file");
@@ -30,22 +30,21 @@
 }
 
 #[test]
-fn check_settings_in_order() {
+fn check_valid_settings() {
     let output = check("good", GOOD);
     assert!(output.status.success(), "{output:?}");
     assert_eq!(output.stdout, b"the settings are in order\n");
 }
 
 #[test]
-fn check_names_all_that_is_wrong() {
-    // Symptom: a daemon is restarted again and again by its supervisor.
-    // Sequence: settings with two mistakes are rolled out; the first one is
-    //   mended, and the second one found by the next roll-out.
-    // Cause: only the first mistake is told, and only at a start.
+fn check_reports_all_mistakes() {
+    // Failure: a supervisor restarts the daemon again and again. Settings with two mistakes
+    // were rolled out; only the first mistake was reported, and only at startup, so the
+    // second one was found by the next rollout.
     let settings = GOOD.replace("name = vm-1\n", "").replace("peers_port", "peer_port");
     let output = check("bad", &settings);
     assert!(!output.status.success());
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert!(told.contains("name"), "{told}");
-    assert!(told.contains("peer_port"), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(stderr.contains("name"), "{stderr}");
+    assert!(stderr.contains("peer_port"), "{stderr}");
 }
--- a/crates/entry/tests/duty.rs
+++ b/crates/entry/tests/duty.rs
@@ -1,4 +1,4 @@
-//! Who takes which duty.
+//! Assignment of duties to members.
 #![allow(clippy::unwrap_used)]
 
 use std::net::SocketAddr;
@@ -43,20 +43,20 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// Who takes each duty at once.
+/// Returns which member takes each duty immediately.
 fn takers(table: &mut Table, now: u64, duties: &[String]) -> Vec<(String, String)> {
     let names: Vec<String> = table.members.keys().cloned().collect();
     let mut takers = Vec::new();
     for name in names {
-        let mine = table.due_duties(at(now), &name, duties);
-        takers.extend(mine.into_iter().map(|duty| (duty, name.clone())));
+        let due = table.due_duties(at(now), &name, duties);
+        takers.extend(due.into_iter().map(|duty| (duty, name.clone())));
     }
     takers.sort();
     takers
 }
 
 #[test]
-fn due_for_each_duty_has_one_first_taker() {
+fn due_duties_one_taker_each() {
     let mut table = table(&[250, 250, 250, 250, 250]);
     let duties = duties(&["a", "b", "c", "d", "fleet"]);
     let takers = takers(&mut table, 20_000, &duties);
@@ -68,54 +68,51 @@
 }
 
 #[test]
-fn due_for_a_weak_member_comes_after_the_strong_ones() {
-    // Symptom: the owner of the largest pool answers everything a second late.
-    // Sequence: its duty is vacant; a member with a thin network takes it.
-    // Cause: members are told apart by a hash alone.
+fn due_duties_weak_member_last() {
+    // Failure: the owner of the largest pool responds a second late, because its vacant duty
+    // went to a member with a slow network. Members were chosen by a hash alone.
     let mut table = table(&[50, 500, 50]);
     let takers = takers(&mut table, 20_000, &duties(&["a", "b", "c"]));
     assert!(takers.iter().all(|(_, name)| name == "e1"), "{takers:?}");
 }
 
 #[test]
-fn due_for_waits_while_a_holder_may_only_have_lost_its_lease() {
-    // Symptom: all duties change hands after an outage of the store.
-    // Sequence: leases run out while the store is away; it returns, and one
-    //   member registers before the holders have.
-    // Cause: a member that isn't listed is taken for dead.
+fn due_duties_wait_after_a_lost_lease() {
+    // Failure: all duties change hands after an outage of the store. Leases expired during
+    // the outage, one member registered again before the holders had, and an unregistered
+    // member was taken for dead.
     let mut table = table(&[250, 250]);
     table.duties.insert("a".to_owned(), Record { holder: holder("e9", 4), revision: 7 });
     assert!(takers(&mut table, 20_000, &duties(&["a"])).is_empty());
     table.members.insert("e9".to_owned(), member(9, 4, 250));
-    assert!(takers(&mut table, 21_500, &duties(&["a"])).is_empty(), "it is back");
+    assert!(takers(&mut table, 21_500, &duties(&["a"])).is_empty(), "the holder is back");
     table.members.remove("e9");
     assert!(takers(&mut table, 22_000, &duties(&["a"])).is_empty());
-    assert_eq!(takers(&mut table, 23_000, &duties(&["a"])).len(), 1, "it stays away");
+    assert_eq!(takers(&mut table, 23_000, &duties(&["a"])).len(), 1, "the holder stays away");
 }
 
 #[test]
-fn due_for_takes_at_once_from_a_holder_that_has_started_anew() {
+fn due_duties_at_once_from_a_restarted_holder() {
     let mut table = table(&[250, 250]);
     table.duties.insert("a".to_owned(), Record { holder: holder("e1", 99), revision: 7 });
     assert_eq!(takers(&mut table, 20_000, &duties(&["a"])).len(), 1);
 }
 
 #[test]
-fn due_for_prefers_the_youngest_while_members_are_restarted() {
-    // Symptom: a duty is handed over with each member that is restarted.
-    // Sequence: members are stopped one after the other; each duty goes to one
-    //   that is still to be stopped.
-    // Cause: nobody minds who has been restarted already.
+fn due_duties_youngest_first_in_a_rolling_restart() {
+    // Failure: a duty is handed over with each restarted member. Members were stopped one
+    // after the other, and each duty went to one that was still to be stopped, because recent
+    // restarts weren't considered.
     let mut table = table(&[250, 250, 250]);
-    let mut young = member(1, 2, 250);
-    young.seen = at(19_000);
-    table.members.insert("e1".to_owned(), young);
+    let mut restarted = member(1, 2, 250);
+    restarted.seen = at(19_000);
+    table.members.insert("e1".to_owned(), restarted);
     let takers = takers(&mut table, 20_000, &duties(&["a", "b"]));
     assert!(takers.iter().all(|(_, name)| name == "e1"), "{takers:?}");
 }
 
-/// A duty that `e1` took from `e0`, and `e1` has started anew since.
-fn taken_from_a_silent_one() -> Table {
+/// Returns a table with a duty that `e1` took from `e0` before `e1` restarted.
+fn table_with_a_restarted_successor() -> Table {
     let mut table = table(&[250, 250, 250]);
     table.put_duty(at(1_000), "a", Record { holder: holder("e0", 1), revision: 7 });
     let before = table.former_holders("a");
@@ -127,30 +124,29 @@
 }
 
 #[test]
-fn may_grant_behind_a_holder_that_started_anew() {
-    // Symptom: a task runs twice at once.
-    // Sequence: a pool's owner is cut off from the store and goes on, on a worker that
-    //   it alone reaches; a second one takes over and starts anew at once; a third
-    //   one takes over, can't reach the worker, and starts its task elsewhere.
-    // Cause: the second one has ended, so nothing was taken to be granted any more.
-    let table = taken_from_a_silent_one();
+fn may_grant_before_a_restarted_holder() {
+    // Failure: a task runs twice at once. A pool's owner is cut off from the store and goes
+    // on, on a worker that only it can reach. A second owner takes over and restarts at once.
+    // A third one takes over, can't reach the worker, and starts its task elsewhere: since
+    // the second one had ended, no grants were assumed to be left.
+    let table = table_with_a_restarted_successor();
     assert!(table.may_grant(at(5_500), "a") > Duration::from_millis(8_000));
-    assert_eq!(table.may_grant(at(15_500), "a"), Duration::ZERO, "long over");
+    assert_eq!(table.may_grant(at(15_500), "a"), Duration::ZERO, "the grace period has passed");
 }
 
 #[test]
-fn may_grant_nothing_where_all_before_have_ended() {
-    let mut table = taken_from_a_silent_one();
+fn may_grant_nothing_if_all_have_ended() {
+    let mut table = table_with_a_restarted_successor();
     table.members.insert("e0".to_owned(), member(0, 2, 250));
     assert_eq!(table.may_grant(at(5_500), "a"), Duration::ZERO);
     assert!(table.former_holders("a").is_empty());
 }
 
 #[test]
-fn formers_by_one_that_began_later() {
-    let table = taken_from_a_silent_one();
-    assert_eq!(table.former_holders("a").len(), 1, "e0 may go on; e1 has ended");
-    // What it hasn't seen begin may have begun just now.
+fn former_holders_seen_by_a_later_member() {
+    let table = table_with_a_restarted_successor();
+    assert_eq!(table.former_holders("a").len(), 1, "e0 may still run; e1 has ended");
+    // A record that was first seen just now may be new.
     let record = table.duties["a"].clone();
     let mut fresh = Table::default();
     fresh.members = table.members;
--- a/crates/entry/tests/listen.rs
+++ b/crates/entry/tests/listen.rs
@@ -1,4 +1,4 @@
-//! What a daemon answers while many connections to it are open.
+//! Responses of a daemon while many connections to it are open.
 #![allow(clippy::expect_used)]
 
 use std::io::{Read, Write};
@@ -7,12 +7,12 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Connections that peers keep: ten of each of forty.
-const KEPT: usize = 400;
-/// How long the daemon may take to start, and to answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Connections that peers keep: ten from each of forty.
+const PEER_CONNECTIONS: usize = 400;
+/// How long the daemon may take to start and to respond.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A daemon whose store isn't there.
+/// A daemon without a store.
 struct Daemon {
     child: Child,
     settings: PathBuf,
@@ -22,7 +22,7 @@
 
 impl Daemon {
     fn start(name: &str) -> Self {
-        let [callers, readiness, peers, metrics, store] = free();
+        let [callers, readiness, peers, metrics, store] = free_addresses();
         let text = format!(
             "[process]\nname = vm-1\ndata_centre = dc-1\nip = 127.0.0.1\n\
              [listen]\ncallers = {callers}\nreadiness = {readiness}\n\
@@ -41,21 +41,21 @@
             .spawn()
             .expect("it starts");
         let daemon = Self { child, settings, readiness, peers };
-        drop(daemon.keep(readiness, 1));
+        drop(daemon.open_connections(readiness, 1));
         daemon
     }
 
-    /// Opens connections, and leaves them unused.
-    fn keep(&self, address: SocketAddr, count: usize) -> Vec<TcpStream> {
-        let until = Instant::now() + PATIENCE;
-        let mut kept = Vec::new();
-        while kept.len() < count {
+    /// Opens connections and leaves them unused.
+    fn open_connections(&self, address: SocketAddr, count: usize) -> Vec<TcpStream> {
+        let deadline = Instant::now() + TIMEOUT;
+        let mut connections = Vec::new();
+        while connections.len() < count {
             match TcpStream::connect(address) {
-                Ok(stream) => kept.push(stream),
-                Err(error) => assert!(Instant::now() < until, "{address}: {error}"),
+                Ok(stream) => connections.push(stream),
+                Err(error) => assert!(Instant::now() < deadline, "{address}: {error}"),
             }
         }
-        kept
+        connections
     }
 }
 
@@ -67,52 +67,49 @@
     }
 }
 
-/// Addresses that were free a moment ago.
-fn free() -> [SocketAddr; 5] {
+/// Returns addresses whose ports were free just now.
+fn free_addresses() -> [SocketAddr; 5] {
     let listeners =
         [(); 5].map(|()| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port"));
     listeners.map(|listener| listener.local_addr().expect("an address"))
 }
 
-/// The answer to a request on a connection of its own; empty if it was closed.
-fn message(address: SocketAddr, request: &str) -> String {
+/// Sends a request on a new connection. Returns the response; empty if it was closed.
+fn send_request(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    // One that is closed shows by the answer that is missing.
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    // A closed connection shows as a missing response.
     let _ = stream.write_all(request.as_bytes());
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 #[test]
-fn ready_is_told_while_peers_keep_connections() {
-    // Symptom: the balancer takes an entry VM away that runs and is asked most.
-    // Sequence: a pool is busy, and the entry VMs ask its owner about jobs; each
-    //   keeps the connections that it used; the balancer opens one more.
-    // Cause: what listens for the balancer and what listens for peers shared one
-    //   bound, and what came past it was closed.
+fn readiness_while_peers_keep_connections() {
+    // Failure: the balancer removes an entry VM that works and has the most load. A pool was
+    // busy, and the entry VMs that asked its owner about jobs kept their connections. The
+    // listeners for the balancer and for peers shared one limit, and further connections
+    // were closed.
     let daemon = Daemon::start("ready");
-    let _kept = daemon.keep(daemon.peers, KEPT);
-    let answer = message(
+    let _connections = daemon.open_connections(daemon.peers, PEER_CONNECTIONS);
+    let response = send_request(
         daemon.readiness,
         "GET /api/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
     );
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
+    assert!(response.starts_with("HTTP/1.1 503"), "{response:?}");
 }
 
 #[test]
-fn peer_is_answered_while_others_keep_connections() {
-    // Symptom: a pool's owner answers nobody for as long as its queue is busy;
-    //   each question about a job costs two reads of the store, and no VMs are sent
-    //   to the pool.
-    // Sequence: as above, and another entry VM asks.
-    // Cause: the bound was that of a handful of entry VMs.
+fn peer_request_while_others_keep_connections() {
+    // Failure: a pool's owner responds to nobody while its queue is busy: each request for a
+    // job's state costs two reads of the store, and the pool gets no VMs. The connection
+    // limit was made for a few entry VMs; see the test above.
     let daemon = Daemon::start("peer");
-    let _kept = daemon.keep(daemon.peers, KEPT);
+    let _connections = daemon.open_connections(daemon.peers, PEER_CONNECTIONS);
     let body = r#"{"ask":"state","pool":"alpha","id":"5c0e7a21d94b36f8"}"#;
     let head = "POST /peer HTTP/1.1\r\nHost: a\r\nConnection: close\r\n";
-    let answer =
-        message(daemon.peers, &format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()));
-    assert!(answer.contains("not-owner"), "{answer:?}");
+    let response =
+        send_request(daemon.peers, &format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()));
+    assert!(response.contains("not-owner"), "{response:?}");
 }
--- a/crates/entry/tests/lookup.rs
+++ b/crates/entry/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! A job's two records, read while they change.
+//! Lookups of a job's two records while they change.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,14 @@
 
 type Records = BTreeMap<String, Vec<u8>>;
 
-/// How far a job is, as an owner writes it.
+/// Returns a progress record as an owner writes it.
 fn progress(state: State) -> Vec<u8> {
     let progress = Progress { state, queue: "q".to_owned(), ..Progress::default() };
     serde_json::to_vec(&progress).expect("plain data")
 }
 
-/// The store with an accepted job, then with its first task under way, then with
-/// its end: each is one write.
+/// Returns the store's content with an accepted job, after the start of its first task, and
+/// after its end. Each step is one write.
 fn writes() -> Vec<Records> {
     let accepted = Records::from([(job_key(POOL, ID), b"{}".to_vec())]);
     let mut running = accepted.clone();
@@ -26,7 +26,7 @@
     vec![accepted, running, ended]
 }
 
-/// Looks the job up in a store that is `seen[n]` at the n-th read.
+/// Looks the job up in a store whose content at the n-th read is `seen[n]`.
 fn look_up(seen: &[&Records]) -> LookupStep {
     let mut lookup = Lookup::new(POOL, ID);
     for records in seen {
@@ -38,12 +38,10 @@
 
 #[test]
 fn lookup_while_the_job_ends() {
-    // Symptom: a caller is told that there is no job which was accepted four
-    //   seconds before.
-    // Sequence: the entry VM can't reach the owner and reads the store: how far
-    //   the job is (nothing was written yet); the owner writes its end, which
-    //   removes the record of its acceptance; the entry VM reads that one.
-    // Cause: both reads find nothing, though the job was there all the time.
+    // Failure: a caller is told that a job accepted four seconds before doesn't exist. The
+    // entry VM couldn't reach the owner and read the progress record, which didn't exist
+    // yet; then the owner wrote the job's end and removed the acceptance record, which the
+    // entry VM read next. Both reads found nothing although the job existed all the time.
     let writes = writes();
     for first in 0..writes.len() {
         for second in first..writes.len() {
@@ -54,7 +52,7 @@
 }
 
 #[test]
-fn lookup_tells_the_newest_state() {
+fn lookup_newest_state() {
     let writes = writes();
     let at = |n: usize| look_up(&[&writes[n], &writes[n]]);
     assert_eq!(at(0), LookupStep::Found(State::Queued));
@@ -63,17 +61,16 @@
 }
 
 #[test]
-fn lookup_of_no_job() {
-    let none = Records::new();
-    assert_eq!(look_up(&[&none, &none]), LookupStep::Absent);
+fn lookup_unknown_job() {
+    let empty = Records::new();
+    assert_eq!(look_up(&[&empty, &empty]), LookupStep::Absent);
 }
 
 #[test]
-fn lookup_of_a_record_that_is_damaged() {
-    // Symptom: a caller is told that there is no job, or that it waits, though it
-    //   ended.
-    // Sequence: another writer lays bytes over how far the job is.
-    // Cause: what can't be read is taken for what isn't there.
+fn lookup_damaged_record() {
+    // Failure: a caller is told that a job doesn't exist or is queued although it ended.
+    // Another writer overwrote the progress record, and an undecodable record was taken for
+    // a missing one.
     let damaged = Records::from([(run_key(POOL, ID), b"\xff{".to_vec())]);
     assert_eq!(look_up(&[&damaged, &damaged]), LookupStep::Unreadable);
 }
--- a/crates/entry/tests/placement.rs
+++ b/crates/entry/tests/placement.rs
@@ -1,8 +1,8 @@
-//! Which pools a queue's jobs may lie in, and what a search of them concludes.
+//! The pools that may hold a queue's jobs, and what a search of them concludes.
 
 use corianderfork_entry::placement::{Placement, PoolList, QueueRecord, QueueRoute, Search, Step};
 
-fn entry(version: u64, pools: &[&str]) -> QueueRecord {
+fn record(version: u64, pools: &[&str]) -> QueueRecord {
     let pools = pools.iter().map(|pool| (*pool).to_owned()).collect();
     QueueRecord::Valid { revision: 10 + version, pool_list: PoolList { version, pools } }
 }
@@ -11,8 +11,7 @@
     QueueRoute { version, pool: pool.to_owned() }
 }
 
-/// The pools that a search asks for until it has to read the record or concludes,
-/// none of which has the job.
+/// Returns the pools that a search names until its next other step; none has the job.
 fn pools(search: &mut Search) -> Vec<String> {
     let mut pools = Vec::new();
     while let Step::Pool(pool) = search.next() {
@@ -23,15 +22,15 @@
 }
 
 #[test]
-fn placement_of_a_queue_that_is_not_moved() {
-    let placement = Placement::new(&entry(1, &["alpha"]), &queue_route(5, "alpha"), []);
+fn placement_unmoved_queue() {
+    let placement = Placement::new(&record(1, &["alpha"]), &queue_route(5, "alpha"), []);
     assert_eq!((placement.revision, placement.pool.as_str()), (11, "alpha"));
     assert_eq!((placement.earlier.len(), placement.change), (0, None));
 }
 
 #[test]
-fn placement_keeps_the_pools_before() {
-    let placement = Placement::new(&entry(1, &["beta", "alpha"]), &queue_route(2, "gamma"), []);
+fn placement_keeps_earlier_pools() {
+    let placement = Placement::new(&record(1, &["beta", "alpha"]), &queue_route(2, "gamma"), []);
     assert_eq!(
         (placement.pool.as_str(), placement.earlier),
         ("gamma", vec!["beta".to_owned(), "alpha".to_owned()])
@@ -43,8 +42,8 @@
 }
 
 #[test]
-fn placement_of_a_queue_that_comes_back() {
-    let placement = Placement::new(&entry(2, &["beta", "alpha"]), &queue_route(3, "alpha"), []);
+fn placement_returning_queue() {
+    let placement = Placement::new(&record(2, &["beta", "alpha"]), &queue_route(3, "alpha"), []);
     assert_eq!(
         placement.change.map(|pool_list| pool_list.pools.join(" ")),
         Some("alpha beta".to_owned())
@@ -53,21 +52,19 @@
 }
 
 #[test]
-fn placement_by_an_older_configuration() {
-    // Symptom: a job is accepted in the pool that its queue has left, seconds after
-    //   others were accepted in the new one.
-    // Sequence: a configuration moves the queue; an entry VM that hasn't heard of
-    //   it takes a job.
-    // Cause: each gateway goes by its own configuration.
-    let placement = Placement::new(&entry(2, &["beta", "alpha"]), &queue_route(1, "alpha"), []);
+fn placement_older_configuration() {
+    // Failure: a job is accepted in the pool that its queue has left, seconds after others
+    // were accepted in the new one. An entry VM that hadn't received the new configuration
+    // took the job: each gateway followed only its own configuration.
+    let placement = Placement::new(&record(2, &["beta", "alpha"]), &queue_route(1, "alpha"), []);
     assert_eq!((placement.pool.as_str(), placement.change), ("beta", None));
 }
 
 #[test]
-fn placement_by_a_damaged_record() {
-    // Symptom: a job that is handed in again runs in a second pool.
-    // Sequence: another writer lays bytes over the queue's record; the queue goes on.
-    // Cause: what can't be read is taken for a queue that was never moved.
+fn placement_damaged_record() {
+    // Failure: a job that is submitted again runs in a second pool. Another writer overwrote
+    // the queue's record, and a record that can't be decoded was taken for that of a queue
+    // that was never moved.
     let all = ["alpha", "beta", "gamma"];
     let damaged = QueueRecord::read(b"[1]", 30);
     let placement = Placement::new(&damaged, &queue_route(2, "beta"), all);
@@ -82,7 +79,7 @@
 }
 
 #[test]
-fn read_of_a_record_that_names_no_pool() {
+fn read_record_without_pools() {
     assert_eq!(
         QueueRecord::read(br#"{"version":1,"pools":[]}"#, 4),
         QueueRecord::Damaged { revision: 4 }
@@ -90,38 +87,37 @@
 }
 
 #[test]
-fn search_goes_through_the_record_and_the_route() {
-    let mut search = Search::new(entry(2, &["beta", "alpha"]), "gamma");
+fn search_record_and_route() {
+    let mut search = Search::new(record(2, &["beta", "alpha"]), "gamma");
     assert_eq!(pools(&mut search), ["beta", "alpha", "gamma"]);
-    search.learn(entry(2, &["beta", "alpha"]));
+    search.learn(record(2, &["beta", "alpha"]));
     assert_eq!(search.next(), Step::Absent);
 }
 
 #[test]
-fn search_by_a_record_that_is_not_known_yet() {
-    // Symptom: a caller is told that there is no job which was accepted before.
-    // Sequence: an entry VM starts after the queue was moved; a caller asks before
-    //   it has read the records.
-    // Cause: that a pool isn't known here is taken for that there is none.
+fn search_unknown_record() {
+    // Failure: a caller is told that an accepted job doesn't exist. An entry VM started after
+    // the queue was moved and was asked before it had read the records: a pool that it didn't
+    // know was taken for one that doesn't exist.
     let mut search = Search::new(QueueRecord::Missing, "beta");
     assert_eq!(pools(&mut search), ["beta"]);
     assert_eq!(search.next(), Step::Record);
-    search.learn(entry(2, &["beta", "alpha"]));
+    search.learn(record(2, &["beta", "alpha"]));
     assert_eq!(pools(&mut search), ["alpha"]);
     assert_eq!(search.next(), Step::Absent);
 }
 
 #[test]
-fn search_without_an_answer_of_a_pool() {
-    let mut search = Search::new(entry(2, &["beta", "alpha"]), "beta");
+fn search_pool_not_responding() {
+    let mut search = Search::new(record(2, &["beta", "alpha"]), "beta");
     search.mark_unclear();
     assert_eq!(pools(&mut search), ["alpha"]);
-    search.learn(entry(2, &["beta", "alpha"]));
+    search.learn(record(2, &["beta", "alpha"]));
     assert_eq!(search.next(), Step::Unclear);
 }
 
 #[test]
-fn search_without_an_answer_of_the_store() {
+fn search_store_not_responding() {
     let mut search = Search::new(QueueRecord::Missing, "beta");
     assert_eq!(pools(&mut search), ["beta"]);
     search.mark_unclear();
@@ -129,12 +125,12 @@
 }
 
 #[test]
-fn search_by_a_record_that_is_damaged_or_removed() {
-    // Symptom: a caller is told that there is no job which was accepted before.
-    // Sequence: another writer lays bytes over the queue's record, or removes it.
-    // Cause: a record that names no pool is taken for that there is none.
+fn search_damaged_or_removed_record() {
+    // Failure: a caller is told that an accepted job doesn't exist. Another writer overwrote
+    // or removed the queue's record, and a record that names no pool was taken for a queue
+    // without jobs.
     for read in [QueueRecord::read(b"\xff{", 40), QueueRecord::Missing] {
-        let mut search = Search::new(entry(1, &["alpha"]), "alpha");
+        let mut search = Search::new(record(1, &["alpha"]), "alpha");
         assert_eq!(pools(&mut search), ["alpha"]);
         search.learn(read);
         assert_eq!(search.next(), Step::Unclear);
--- a/crates/entry/tests/predecessor.rs
+++ b/crates/entry/tests/predecessor.rs
@@ -1,4 +1,4 @@
-//! Until when former holders of a duty may grant leases.
+//! The time until which former holders of a duty may grant leases.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use corianderfork_model::Time;
 
 const LEASE: Duration = Duration::from_millis(4_500);
-/// A lease of that length on a worker whose clock is slow.
+/// The longest time that such a lease holds, on a worker whose clock is slow.
 const LONGEST_MS: u64 = 4_635;
 
 fn at(millis: u64) -> Time {
@@ -31,7 +31,7 @@
     }
 }
 
-fn two() -> Tracker {
+fn two_former_holders() -> Tracker {
     Tracker::new(at(0), vec![former("e1", 1), former("e0", 1)], true, LEASE)
 }
 
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn limit_while_a_former_holder_may_go_on() {
-    let mut tracker = two();
+fn limit_unknown_while_one_may_grant() {
+    let mut tracker = two_former_holders();
     tracker.end(at(100), &former("e1", 1));
     assert_eq!(tracker.limit(), None);
     assert_eq!(tracker.to_ask(), [former("e0", 1)]);
 }
 
-// Guards against a wait for a process that is known to have ended.
+// Guards against waiting for a process that is known to have ended.
 #[test]
-fn limit_once_the_last_former_holder_has_registered_anew() {
-    let mut tracker = two();
+fn limit_after_a_restart() {
+    let mut tracker = two_former_holders();
     tracker.end(at(100), &former("e1", 1));
     let mut table = Table::default();
     table.members.insert("e0".to_owned(), member(1));
@@ -63,55 +63,55 @@
 }
 
 #[test]
-fn limit_by_the_word_of_the_last_holder() {
-    let mut tracker = two();
+fn limit_reported_by_the_last_holder() {
+    let mut tracker = two_former_holders();
     tracker.learn(at(1_000), &former("e1", 1), &grants(3_000));
     let limit = tracker.limit().unwrap();
-    assert_eq!(limit.until, Time::ZERO, "it knew of all workers");
+    assert_eq!(limit.until, Time::ZERO, "its report covers all workers");
     assert_eq!(limit.by_worker["w0"], at(4_000));
 }
 
-// Guards against a wait for a holder that gave way to one that was killed then.
+// Guards against waiting for a holder that gave way to one that was then killed.
 #[test]
-fn limit_by_the_word_of_the_one_before_a_holder_that_ended() {
-    let mut tracker = two();
+fn limit_reported_by_an_earlier_holder() {
+    let mut tracker = two_former_holders();
     tracker.end(at(500), &former("e1", 1));
     tracker.learn(at(1_000), &former("e0", 1), &grants(9_000));
     let limit = tracker.limit().unwrap();
-    assert_eq!(limit.until, at(500 + LONGEST_MS), "what the one that ended granted");
+    assert_eq!(limit.until, at(500 + LONGEST_MS), "grants of the holder that ended");
     assert_eq!(limit.by_worker["w0"], at(10_000));
 }
 
 #[test]
-fn limit_behind_one_that_handed_the_duty_over() {
+fn limit_after_a_handover() {
     let handed_over = former("", 1);
     let tracker = Tracker::new(at(0), vec![handed_over.clone()], true, LEASE);
     assert_eq!(tracker.limit().unwrap().until, at(LONGEST_MS));
-    assert_eq!(tracker.to_ask(), [handed_over], "its word may be sooner");
+    assert_eq!(tracker.to_ask(), [handed_over], "its report may shorten the wait");
 }
 
 #[test]
-fn limit_of_a_list_that_is_not_complete() {
+fn limit_incomplete_list() {
     let mut tracker = Tracker::new(at(0), vec![former("e0", 1)], false, LEASE);
     tracker.end(at(100), &former("e0", 1));
     assert_eq!(tracker.limit(), None);
     tracker.learn(at(200), &former("e0", 1), &grants(1_000));
-    assert!(tracker.limit().is_some(), "its word covers those before it");
+    assert!(tracker.limit().is_some(), "its report covers earlier holders");
 }
 
 #[test]
-fn end_of_another_process_of_that_name() {
+fn end_of_another_process() {
     let mut tracker = Tracker::new(at(0), vec![former("e0", 1)], true, LEASE);
     tracker.end(at(100), &former("e0", 2));
     assert_eq!(tracker.limit(), None);
 }
 
 #[test]
-fn past_of_a_record_that_names_nobody() {
+fn history_record_without_holder() {
     let mut table = Table::default();
     assert!(!table.history(at(0), "a").is_complete, "no record");
     table.put_duty(at(0), "a", Record { holder: Holder::default(), revision: 7 });
-    assert!(!table.history(at(0), "a").is_complete, "one that can't be read");
+    assert!(!table.history(at(0), "a").is_complete, "undecodable record");
     let handed_over = Holder { boot: 1, peers: former("e0", 1).peers, ..Holder::default() };
     table.put_duty(at(0), "a", Record { holder: handed_over, revision: 9 });
     assert!(table.history(at(0), "a").is_complete);
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -31,14 +31,14 @@
     let settings = Settings::parse(GOOD).unwrap();
     assert_eq!(settings.name.as_str(), "front-1");
     assert_eq!(settings.peers, ([127, 0, 0, 1], 8103).into());
-    assert_eq!(settings.fleet, None, "an empty address is none");
+    assert_eq!(settings.fleet, None, "an empty address means no service");
     assert_eq!(settings.grace, Duration::from_secs(6));
     assert_eq!(settings.max_lease, Duration::from_secs(6));
-    assert_eq!(settings.capacity, 50, "its network is the thinner part");
+    assert_eq!(settings.capacity, 50, "the network limits the capacity");
 }
 
 #[test]
-fn parse_names_all_that_is_wrong() {
+fn parse_reports_all_mistakes() {
     let text = GOOD.replace("name = front-1\n", "").replace("cpu_share", "cpu_shares");
     let error = Settings::parse(&text).unwrap_err().to_string();
     assert!(error.contains("has no `name`"), "{error}");
