--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -80,8 +80,8 @@
             }
             self.rows = rows;
         } else {
-            let entry = table.queues.get(&submission.queue).unwrap_or(&QueueRecord::Missing);
-            let placement = Placement::new(entry, &submission.queue_route, table.owned_pools());
+            let record = table.queues.get(&submission.queue).unwrap_or(&QueueRecord::Missing);
+            let placement = Placement::new(record, &submission.queue_route, table.owned_pools());
             let queue_rows = if placement.change.is_some() { QUEUE_ROWS } else { 1 };
             let rows = self.rows + job_rows(&placement) + queue_rows;
             if rows > MAX_ROWS {
@@ -150,12 +150,12 @@
     pub fn conflicting_records(&self, items: &[Item]) -> Vec<(String, QueueRecord)> {
         let conflicting = self.queues.iter().filter_map(|(queue, (_, placement))| {
             let item = items.iter().find(|item| item.key == queue_key(queue));
-            let entry = match item {
+            let record = match item {
                 Some(item) => QueueRecord::read(&item.value, item.revision),
                 // It existed: another writer removed it.
                 None => QueueRecord::Damaged { revision: 0 },
             };
-            (entry.revision() != placement.revision).then(|| (queue.clone(), entry))
+            (record.revision() != placement.revision).then(|| (queue.clone(), record))
         });
         conflicting.collect()
     }
--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -19,7 +19,7 @@
 pub const MEMBER_PREFIX: &str = "entry/member/";
 /// The key prefix of duties' records; the name follows.
 pub const DUTY_PREFIX: &str = "entry/duty/";
-/// The common prefix of members' and duties' records.
+/// The common prefix of members', duties' and queues' records.
 pub const PREFIX: &str = "entry/";
 /// The duty of planning for the fleet.
 pub const FLEET: &str = "fleet";
@@ -141,12 +141,12 @@
 
 impl Table {
     /// Updates a queue's record unless a newer one is known. Returns whether it changed.
-    pub fn learn(&mut self, queue: &str, entry: QueueRecord) -> bool {
+    pub fn learn(&mut self, queue: &str, record: QueueRecord) -> bool {
         let known = self.queues.entry(queue.to_owned()).or_default();
-        let is_removed = entry == QueueRecord::Damaged { revision: 0 };
-        let is_changed = *known != entry && (is_removed || entry.revision() > known.revision());
+        let is_removed = record == QueueRecord::Damaged { revision: 0 };
+        let is_changed = *known != record && (is_removed || record.revision() > known.revision());
         if is_changed {
-            *known = entry;
+            *known = record;
         }
         is_changed
     }
@@ -276,7 +276,7 @@
         let is_recent = |member: &Member| now - member.seen < RESTART_WINDOW;
         let is_rolling =
             self.members.values().any(is_recent) && !self.members.values().all(is_recent);
-        let most = self.members.values().map(|member| member.capacity).max().unwrap_or(0);
+        let max_capacity = self.members.values().map(|member| member.capacity).max().unwrap_or(0);
         let mut candidates: Vec<(u64, u64, &String)> = self
             .members
             .iter()
@@ -284,7 +284,7 @@
                 let duties = duty_counts.get(name).copied().unwrap_or(0) + 1;
                 let load = duties * 1_000_000 / member.capacity.max(1);
                 // Weak members come after the strong ones even if they are young.
-                if is_rolling && member.capacity * 2 >= most {
+                if is_rolling && member.capacity * 2 >= max_capacity {
                     return (load / CROWDED_LOAD, u64::MAX - member.revision, name);
                 }
                 (load, score(duty, name), name)
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -25,7 +25,7 @@
 use crate::peer::{self, Message, Reply};
 use crate::placement::{QueueRoute, Step};
 use crate::server::{HttpRequest, HttpResponse};
-use accept::{Accepted, PendingJob, store_timeout};
+use accept::{PendingJob, StoreResult, store_timeout};
 
 /// The `Retry-After` of refused requests, in seconds.
 const RETRY_AFTER: u64 = 1;
@@ -55,20 +55,20 @@
     }
 
     /// Handles a request.
-    pub async fn answer(self: &Rc<Self>, request: HttpRequest) -> HttpResponse {
-        let begun = clock::now();
+    pub async fn handle(self: &Rc<Self>, request: HttpRequest) -> HttpResponse {
+        let started = clock::now();
         let config = self.node.config.borrow().clone();
         let Some(config) = config else {
             return self.log(
                 &request,
-                begun,
+                started,
                 refuse("this entry VM has no configuration yet"),
                 "no configuration",
             );
         };
         let Some(route) = config.route(&request.host, &request.path) else {
             let response = HttpResponse::new(404, caller::error("no such queue"));
-            return self.log(&request, begun, response, "no route");
+            return self.log(&request, started, response, "no route");
         };
         let id = request.path[route.prefix.len()..].to_owned();
         let (response, why) = match (request.method.as_str(), id.as_str()) {
@@ -78,17 +78,17 @@
             ("DELETE", id) => self.cancel(route, id).await,
             _ => (HttpResponse::new(405, caller::error("send POST, GET or DELETE")), "method"),
         };
-        self.log(&request, begun, response, why)
+        self.log(&request, started, response, why)
     }
 
     fn log(
         &self,
         request: &HttpRequest,
-        begun: Time,
+        started: Time,
         response: HttpResponse,
         why: &'static str,
     ) -> HttpResponse {
-        let took = clock::now() - begun;
+        let took = clock::now() - started;
         self.node.metrics.request(&request.method, response.status, took);
         // Successful reads are frequent and are only counted in the metrics.
         if request.method != "GET" || response.status >= 400 {
@@ -133,21 +133,21 @@
             value: serde_json::to_vec(&record).unwrap_or_default(),
         };
         match self.store(submission, store_timeout(request)).await {
-            Accepted::Stored(pool, revision) => {
+            StoreResult::Stored(pool, revision) => {
                 self.notify_owner(&pool, id, record, revision);
                 (HttpResponse::new(200, b"{}".to_vec()), "stored")
             }
-            Accepted::Known => (HttpResponse::new(200, b"{}".to_vec()), "known"),
+            StoreResult::Known => (HttpResponse::new(200, b"{}".to_vec()), "known"),
             // The store may have accepted the job before it started rejecting calls.
-            Accepted::NotStored if self.is_owned(route, id).await => {
+            StoreResult::NotStored if self.is_owned(route, id).await => {
                 (HttpResponse::new(200, b"{}".to_vec()), "known")
             }
-            Accepted::NotStored if !self.may_be_stored(id).await => {
+            StoreResult::NotStored if !self.may_be_stored(id).await => {
                 (refuse("the store took no job; come back"), "not stored")
             }
             // Another attempt of the job is uncertain, and it records that itself.
-            Accepted::NotStored => unknown(),
-            Accepted::Unknown => {
+            StoreResult::NotStored => unknown(),
+            StoreResult::Unknown => {
                 self.note_unsure(id).await;
                 unknown()
             }
@@ -173,8 +173,8 @@
     async fn is_owned(&self, route: &Route, id: &str) -> bool {
         for pool in self.node.pools_of(&route.name, &route.pool) {
             let message = Message::State { pool: pool.clone(), id: id.to_owned() };
-            let answer = self.node.send_to_owner(&pool, message, peer::SHORT_TIMEOUT).await;
-            if let Ok(Reply::State { .. } | Reply::Ending | Reply::Known) = answer {
+            let reply = self.node.send_to_owner(&pool, message, peer::SHORT_TIMEOUT).await;
+            if let Ok(Reply::State { .. } | Reply::Ending | Reply::Known) = reply {
                 return true;
             }
         }
@@ -250,15 +250,15 @@
 
     /// Counts the queued jobs of a queue in all of its pools; `None` if any owner fails.
     async fn count_queued(&self, route: &Route) -> Option<usize> {
-        let mut all = 0;
+        let mut total = 0;
         for pool in self.node.pools_of(&route.name, &route.pool) {
             let message = Message::Queued { pool: pool.clone(), queue: route.name.clone() };
             match self.node.send_to_owner(&pool, message, peer::RESPONSE_TIMEOUT).await {
-                Ok(Reply::Queued { jobs }) => all += jobs,
+                Ok(Reply::Queued { jobs }) => total += jobs,
                 _ => return None,
             }
         }
-        Some(all)
+        Some(total)
     }
 }
 
--- a/crates/entry/src/gateway/accept.rs
+++ b/crates/entry/src/gateway/accept.rs
@@ -32,7 +32,7 @@
 const MAX_WRITES: usize = 4;
 
 /// The outcome of a submission.
-pub(super) enum Accepted {
+pub(super) enum StoreResult {
     /// It is stored in this pool, at this revision.
     Stored(String, u64),
     /// It was stored before.
@@ -51,7 +51,7 @@
     deadline: Time,
     /// Whether a write of it may have been carried out unconfirmed.
     may_be_written: bool,
-    result_sender: oneshot::Sender<Accepted>,
+    result_sender: oneshot::Sender<StoreResult>,
     /// Held while a write includes the job.
     in_flight: Option<InFlight>,
 }
@@ -82,7 +82,7 @@
         self: &Rc<Self>,
         submission: Submission,
         within: Duration,
-    ) -> Accepted {
+    ) -> StoreResult {
         let (result_sender, result) = oneshot::channel();
         let (attempt, deadline) = (self.submission_count.get(), clock::now() + within);
         self.submission_count.set(attempt + 1);
@@ -98,18 +98,18 @@
         self.pending_jobs.borrow_mut().push_back(job);
         self.start_write();
         match timeout(within, result).await {
-            Ok(result) => result.unwrap_or(Accepted::Unknown),
+            Ok(result) => result.unwrap_or(StoreResult::Unknown),
             Err(_) => self.withdraw(attempt),
         }
     }
 
     /// Gives up on a job whose time is over. If it still waits for its write, it is
     /// certainly not stored; a write in flight may still be carried out.
-    fn withdraw(&self, attempt: u64) -> Accepted {
+    fn withdraw(&self, attempt: u64) -> StoreResult {
         let mut pending_jobs = self.pending_jobs.borrow_mut();
         let len_before = pending_jobs.len();
         pending_jobs.retain(|job| job.attempt != attempt || job.may_be_written);
-        if pending_jobs.len() < len_before { Accepted::NotStored } else { Accepted::Unknown }
+        if pending_jobs.len() < len_before { StoreResult::NotStored } else { StoreResult::Unknown }
     }
 
     /// Starts a write of waiting jobs, unless enough writes are in flight. Jobs that arrive
@@ -140,11 +140,11 @@
     }
 
     /// Updates queues' records. Returns whether any of them changed.
-    fn learn(&self, entries: Vec<(String, QueueRecord)>) -> bool {
+    fn learn(&self, records: Vec<(String, QueueRecord)>) -> bool {
         let mut table = self.node.table.borrow_mut();
-        entries.into_iter().fold(false, |is_changed, (queue, entry)| {
+        records.into_iter().fold(false, |is_changed, (queue, record)| {
             // `learn` comes first so that every record is updated.
-            table.learn(&queue, entry) || is_changed
+            table.learn(&queue, record) || is_changed
         })
     }
 
@@ -169,7 +169,7 @@
                     for job in jobs {
                         let pool = admission.pool(&job.submission).to_owned();
                         // A caller that left finds its job when it retries.
-                        let _ = job.result_sender.send(Accepted::Stored(pool, revision));
+                        let _ = job.result_sender.send(StoreResult::Stored(pool, revision));
                     }
                     return;
                 }
@@ -228,7 +228,8 @@
         let is_expired = |job: &PendingJob| is_down || now >= job.deadline;
         let (expired, remaining): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_expired);
         for job in expired {
-            let result = if job.may_be_written { Accepted::Unknown } else { Accepted::NotStored };
+            let result =
+                if job.may_be_written { StoreResult::Unknown } else { StoreResult::NotStored };
             let is_received = job.result_sender.send(result).is_ok();
             // The caller left and may retry at another entry VM.
             if job.may_be_written && !is_received {
@@ -243,7 +244,7 @@
 fn report_known(jobs: Vec<PendingJob>) {
     for job in jobs {
         // A caller that left finds its job when it retries.
-        let _ = job.result_sender.send(Accepted::Known);
+        let _ = job.result_sender.send(StoreResult::Known);
     }
 }
 
--- a/crates/entry/src/gateway/lookup_log.rs
+++ b/crates/entry/src/gateway/lookup_log.rs
@@ -32,10 +32,10 @@
 }
 
 impl PoolLookup {
-    /// Records the owner's reply to a request sent at `begun`.
-    pub fn new(pool: &str, begun: Time, answer: &Result<Reply, CallError>) -> Self {
-        let owner_ms = ms(clock::now() - begun);
-        Self { pool: pool.to_owned(), owner: describe(answer), owner_ms, reads: Vec::new() }
+    /// Records the owner's reply to a request sent at `started`.
+    pub fn new(pool: &str, started: Time, reply: &Result<Reply, CallError>) -> Self {
+        let owner_ms = ms(clock::now() - started);
+        Self { pool: pool.to_owned(), owner: describe(reply), owner_ms, reads: Vec::new() }
     }
 
     /// Records that the owner of `pool` isn't asked.
@@ -43,14 +43,14 @@
         Self { pool: pool.to_owned(), owner: "not asked", owner_ms: 0, reads: Vec::new() }
     }
 
-    /// Records a read that started at `begun`; `there` is `None` if it failed.
-    pub fn note(&mut self, key: String, begun: Time, there: Option<bool>, revision: Option<u64>) {
-        self.reads.push(Read { key, there, revision, took_ms: ms(clock::now() - begun) });
+    /// Records a read that started at `started`; `there` is `None` if it failed.
+    pub fn note(&mut self, key: String, started: Time, there: Option<bool>, revision: Option<u64>) {
+        self.reads.push(Read { key, there, revision, took_ms: ms(clock::now() - started) });
     }
 }
 
-fn describe(answer: &Result<Reply, CallError>) -> &'static str {
-    match answer {
+fn describe(reply: &Result<Reply, CallError>) -> &'static str {
+    match reply {
         Ok(Reply::State { .. }) => "a state",
         Ok(Reply::Ending) => "ended, perhaps not written",
         Ok(Reply::Unknown) => "no such job",
--- a/crates/entry/src/gateway/state.rs
+++ b/crates/entry/src/gateway/state.rs
@@ -39,18 +39,18 @@
                 Step::Absent => break,
             };
             let message = Message::State { pool: pool.clone(), id: id.to_owned() };
-            let begun = clock::now();
-            let answer = self.node.send_to_owner(&pool, message, peer::RESPONSE_TIMEOUT).await;
-            let mut lookup_log = PoolLookup::new(&pool, begun, &answer);
-            let has_begun = matches!(answer, Ok(Reply::Ending));
-            match answer {
+            let started = clock::now();
+            let reply = self.node.send_to_owner(&pool, message, peer::RESPONSE_TIMEOUT).await;
+            let mut lookup_log = PoolLookup::new(&pool, started, &reply);
+            let has_started = matches!(reply, Ok(Reply::Ending));
+            match reply {
                 Ok(Reply::State { state }) => {
                     return (HttpResponse::new(200, caller::state(state)), "owner");
                 }
                 _ if self.node.store.is_down() => search.mark_unclear(),
                 _ => match self.look_up(&pool, id, &mut lookup_log).await {
                     // The record of a job's first tasks is written after they start.
-                    Ok(LookupStep::Found(State::Queued)) if has_begun => {
+                    Ok(LookupStep::Found(State::Queued)) if has_started => {
                         return (HttpResponse::new(200, caller::state(State::Running)), "owner");
                     }
                     Ok(LookupStep::Found(state)) => {
@@ -94,11 +94,11 @@
                 LookupStep::Read(key) => key,
                 found => return Ok(found),
             };
-            let begun = clock::now();
+            let started = clock::now();
             let reading = self.node.store.read(&key).await;
             let there = reading.as_ref().ok().map(|reading| reading.item.is_some());
             let revision = reading.as_ref().ok().and_then(|reading| reading.revision);
-            log.note(key, begun, there, revision);
+            log.note(key, started, there, revision);
             lookup.learn(reading?.item.as_ref().map(|item| item.value.as_slice()));
         }
     }
--- a/crates/entry/src/gateway/uncertain.rs
+++ b/crates/entry/src/gateway/uncertain.rs
@@ -20,7 +20,7 @@
 /// The entry VMs that remember a job, seen from one of all entry VMs.
 struct Keepers {
     /// Whether this VM is among them.
-    is_one: bool,
+    includes_self: bool,
     /// The addresses of the others.
     others: Vec<SocketAddr>,
 }
@@ -58,7 +58,7 @@
         let keepers = self.keepers(id);
         let replies = self.send_to_peers(&keepers.others, &Message::Tried { id: id.to_owned() });
         // Without other keepers, the local record is all there is.
-        let mut answers = usize::from(keepers.is_one || replies.is_empty());
+        let mut answers = usize::from(keepers.includes_self || replies.is_empty());
         let mut is_unsure = false;
         for reply in replies {
             if let Ok(Ok(Reply::Tried { is_unsure: theirs })) = reply.await {
@@ -82,7 +82,7 @@
         let selected = select(table.members.keys().map(String::as_str), id, KEEPERS);
         let others = selected.iter().filter(|name| **name != me);
         Keepers {
-            is_one: selected.contains(&me),
+            includes_self: selected.contains(&me),
             others: others.map(|name| table.members[*name].peers).collect(),
         }
     }
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -41,7 +41,7 @@
     #[error("no connection; nothing was sent")]
     Unsent,
     /// The call may have been carried out, or may still be.
-    #[error("no answer; it may have been done")]
+    #[error("no response; the call may have been carried out")]
     Lost,
 }
 
@@ -58,17 +58,17 @@
     total: Duration,
 }
 
-/// Why an exchange has no answer.
+/// Why an exchange has no response.
 enum ExchangeError {
-    /// The connection failed, or the answer is larger than [`MAX_RESPONSE`].
-    CallError(CallError),
+    /// The connection failed, or the response is larger than [`MAX_RESPONSE`].
+    Call(CallError),
     /// One of the [`Timeouts`] expired.
     TimedOut,
 }
 
 impl From<CallError> for ExchangeError {
-    fn from(failed: CallError) -> Self {
-        Self::CallError(failed)
+    fn from(error: CallError) -> Self {
+        Self::Call(error)
     }
 }
 
@@ -150,13 +150,13 @@
         };
         let request = build_request(address, call).ok_or(CallError::Unsent)?;
         let received = Cell::new(0);
-        let answer = exchange(&mut sender, request, timeouts, on_head, &received);
-        match timeout(timeouts.total, answer).await.unwrap_or(Err(ExchangeError::TimedOut)) {
-            Ok(answer) => {
+        let response = exchange(&mut sender, request, timeouts, on_head, &received);
+        match timeout(timeouts.total, response).await.unwrap_or(Err(ExchangeError::TimedOut)) {
+            Ok(response) => {
                 self.put_idle(address, sender);
-                Ok(answer)
+                Ok(response)
             }
-            Err(ExchangeError::CallError(failed)) => Err(failed),
+            Err(ExchangeError::Call(error)) => Err(error),
             Err(ExchangeError::TimedOut) => {
                 if received.get() > 0 {
                     self.truncated_responses.set(self.truncated_responses.get() + 1);
@@ -178,8 +178,8 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         connections.retain(|(sender, since)| !sender.is_closed() && now - *since < IDLE_TIMEOUT);
-        let at = connections.iter().rposition(|(sender, _)| sender.is_ready())?;
-        Some(connections.swap_remove(at).0)
+        let position = connections.iter().rposition(|(sender, _)| sender.is_ready())?;
+        Some(connections.swap_remove(position).0)
     }
 
     fn put_idle(&self, address: SocketAddr, sender: Sender) {
@@ -247,7 +247,7 @@
     {
         let Ok(data) = frame.map_err(|_| CallError::Lost)?.into_data() else { continue };
         if content.len() + data.len() > MAX_RESPONSE {
-            return Err(ExchangeError::CallError(CallError::Lost));
+            return Err(ExchangeError::Call(CallError::Lost));
         }
         content.extend_from_slice(&data);
         received.set(content.len());
--- a/crates/entry/src/listen.rs
+++ b/crates/entry/src/listen.rs
@@ -133,7 +133,7 @@
             if request.path == caller::READY {
                 return HttpResponse::new(404, caller::error("no such queue"));
             }
-            gateway.answer(request).await
+            gateway.handle(request).await
         })
     })
 }
@@ -148,13 +148,13 @@
             let Some(message) = message else {
                 return HttpResponse::new(400, b"a peer sends a message of this version".to_vec());
             };
-            let reply = answer(&node, message).await;
+            let reply = handle_message(&node, message).await;
             HttpResponse::new(200, serde_json::to_vec(&reply).unwrap_or_default())
         })
     })
 }
 
-async fn answer(node: &Rc<Node>, message: Message) -> Reply {
+async fn handle_message(node: &Rc<Node>, message: Message) -> Reply {
     match message {
         Message::Retire { duty, fence } => {
             let grants = node.relinquish(&duty, fence);
@@ -176,7 +176,7 @@
             Reply::Tried { is_unsure }
         }
         message => match node.local_owner(message.pool()) {
-            Some(owner) => owner.answer(message).await,
+            Some(owner) => owner.handle(message).await,
             None => Reply::NotOwner,
         },
     }
--- a/crates/entry/src/member.rs
+++ b/crates/entry/src/member.rs
@@ -56,8 +56,8 @@
     }
     // The record may be missing although the lease is alive.
     let name = node.settings.name.as_str();
-    let is_there = node.table.borrow().members.get(name).is_some_and(|m| m.boot == node.boot);
-    if !is_there && !put_record(node, lease).await? {
+    let is_listed = node.table.borrow().members.get(name).is_some_and(|m| m.boot == node.boot);
+    if !is_listed && !put_record(node, lease).await? {
         return Ok(None);
     }
     Ok(Some(lease))
@@ -112,10 +112,10 @@
         config.pools.iter().filter(|pool| !pool.spare).map(|pool| pool.name.clone()).collect();
     // A pool that was removed from the configuration may have jobs left.
     let table = node.table.borrow();
-    let left = table.owned_pools();
+    let previously_owned = table.owned_pools();
     // The same holds for a pool that was removed before it had an owner.
-    let named = table.queues.values().flat_map(QueueRecord::pools).map(String::as_str);
-    for name in left.chain(named) {
+    let in_queue_records = table.queues.values().flat_map(QueueRecord::pools).map(String::as_str);
+    for name in previously_owned.chain(in_queue_records) {
         if !duties.iter().any(|duty| duty == name) {
             duties.push(name.to_owned());
         }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -59,7 +59,7 @@
     pub store: Store,
     /// The log.
     pub trace: Trace,
-    /// Counters.
+    /// The metrics.
     pub metrics: Metrics,
     /// The configuration in force.
     pub config: RefCell<Option<Rc<Config>>>,
@@ -172,12 +172,11 @@
             return None;
         }
         let now = clock::now();
-        let retired_grants = self.retired_grants.borrow();
-        let retired_grants =
-            retired_grants.get(duty).filter(|retired_grants| retired_grants.fence < fence)?;
-        let passed = ms(now - retired_grants.at);
+        let all = self.retired_grants.borrow();
+        let grants = all.get(duty).filter(|grants| grants.fence < fence)?;
+        let passed = ms(now - grants.at);
         let left = |(id, left): (&String, &u64)| (id.clone(), left.saturating_sub(passed));
-        Some(retired_grants.remaining_ms.iter().map(left).collect())
+        Some(grants.remaining_ms.iter().map(left).collect())
     }
 
     /// Whether a later holder has said that the duty's record of this revision is obsolete.
@@ -190,7 +189,7 @@
         self.owners.borrow().get(pool).filter(|owner| owner.is_loaded()).cloned()
     }
 
-    /// Sends a request to the owner of a pool, in this process or in another.
+    /// Sends a message to the owner of a pool, in this process or in another.
     ///
     /// # Errors
     ///
@@ -202,7 +201,7 @@
         within: Duration,
     ) -> Result<Reply, CallError> {
         if let Some(owner) = self.local_owner(pool) {
-            return Ok(owner.answer(message).await);
+            return Ok(owner.handle(message).await);
         }
         let peers = {
             let table = self.table.borrow();
@@ -253,12 +252,12 @@
         let key = queue_key(queue);
         let read = if self.store.is_down() { None } else { self.store.get(&key).await.ok() };
         let Some(item) = read else { return search.mark_unclear() };
-        let entry =
+        let record =
             item.map_or(QueueRecord::Missing, |item| QueueRecord::read(&item.value, item.revision));
-        if entry != QueueRecord::Missing {
-            self.table.borrow_mut().learn(queue, entry.clone());
+        if record != QueueRecord::Missing {
+            self.table.borrow_mut().learn(queue, record.clone());
         }
-        search.learn(entry);
+        search.learn(record);
     }
 
     /// Returns the pools that may hold a queue's jobs, as far as known here.
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -130,7 +130,7 @@
         self.retired.get()
     }
 
-    /// Stops giving orders.
+    /// Stops giving orders, and keeps the granted leases to report them to a successor.
     pub fn retire(&self, why: &str) {
         if !self.retired.replace(true) {
             self.node
@@ -147,7 +147,7 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let begun = clock::now();
+        let started = clock::now();
         self.load().await;
         if self.retired.get() {
             return;
@@ -156,7 +156,7 @@
         self.node.trace.unlimited(
             "duty begun",
             json!({ "duty": self.name, "fence": self.fence(), "jobs": self.accepted_count.get(),
-                "took_ms": ms(clock::now() - begun) }),
+                "took_ms": ms(clock::now() - started) }),
         );
         spawn_local(self.clone().follow_predecessors());
         spawn_local(self.clone().write_loop());
@@ -165,7 +165,7 @@
     }
 
     /// Handles a request of a peer or of this process itself.
-    pub async fn answer(&self, message: Message) -> Reply {
+    pub async fn handle(&self, message: Message) -> Reply {
         match message {
             Message::Accepted { id, record, revision, .. } => {
                 if let Ok(id) = id.parse() {
--- a/crates/entry/src/owner/advise.rs
+++ b/crates/entry/src/owner/advise.rs
@@ -37,10 +37,10 @@
             return;
         }
         let free = self.free_advisers();
-        let questions = self.pool.borrow_mut().advice_queries(clock::now(), free.len());
-        for (question, adviser) in questions.into_iter().zip(free) {
+        let queries = self.pool.borrow_mut().advice_queries(clock::now(), free.len());
+        for (query, adviser) in queries.into_iter().zip(free) {
             self.busy_advisers.borrow_mut().insert(adviser);
-            spawn_local(self.clone().advise(question, adviser));
+            spawn_local(self.clone().advise(query, adviser));
         }
     }
 
@@ -57,25 +57,25 @@
             .collect()
     }
 
-    async fn advise(self: Rc<Self>, question: Query, adviser: Adviser) {
-        let begun = clock::now();
-        let workers: Vec<String> = question.workers.iter().map(|(_, id)| id.clone()).collect();
+    async fn advise(self: Rc<Self>, query: Query, adviser: Adviser) {
+        let started = clock::now();
+        let workers: Vec<String> = query.workers.iter().map(|(_, id)| id.clone()).collect();
         let within = self.advice_timeout(workers.len());
         let advice = match adviser {
-            None => self.node.advise(question.task, &workers, within).await,
-            Some(peer) => self.advise_through(peer, question.task, workers, within).await,
+            None => self.node.advise(query.task, &workers, within).await,
+            Some(peer) => self.advise_through(peer, query.task, workers, within).await,
         };
-        self.count("advice", begun, advice != Advice::Lost);
+        self.count("advice", started, advice != Advice::Lost);
         self.busy_advisers.borrow_mut().remove(&adviser);
         if advice == Advice::Lost {
             self.failed_advisers.borrow_mut().insert(adviser, clock::now() + AVOID_TIME);
             self.node.trace.line(
                 "advice request failed",
-                json!({ "job": question.task.job.to_string(), "step": question.task.step,
-                    "through": adviser, "took_ms": ms(clock::now() - begun) }),
+                json!({ "job": query.task.job.to_string(), "step": query.task.step,
+                    "through": adviser, "took_ms": ms(clock::now() - started) }),
             );
         }
-        self.pool.borrow_mut().handle_advice(clock::now(), &question, &advice);
+        self.pool.borrow_mut().handle_advice(clock::now(), &query, &advice);
         self.wake.notify_one();
     }
 
--- a/crates/entry/src/owner/load.rs
+++ b/crates/entry/src/owner/load.rs
@@ -49,13 +49,13 @@
     async fn read(&self) -> Result<(Vec<Location>, Vec<Item>, Vec<Item>), Error> {
         let store = &self.node.store;
         let roster = store.get(&format!("{ROSTER_PREFIX}{}", self.name)).await?;
-        let seats = roster.and_then(|item| serde_json::from_slice(&item.value).ok());
+        let locations = roster.and_then(|item| serde_json::from_slice(&item.value).ok());
         let write = store.get(&format!("{WRITE_PREFIX}{}", self.name)).await?;
         self.write_revision.set(write.map_or(0, |item| item.revision));
         // Jobs first: when a job ends, only this owner moves it from one to the other.
         let (jobs, _) = store.range(&format!("{JOB_PREFIX}{}/", self.name)).await?;
         let (runs, _) = store.range(&format!("{RUN_PREFIX}{}/", self.name)).await?;
-        Ok((seats.unwrap_or_default(), jobs, runs))
+        Ok((locations.unwrap_or_default(), jobs, runs))
     }
 
     fn apply_snapshot(&self, roster: Vec<Location>, jobs: &[Item], runs: &[Item]) {
@@ -63,7 +63,9 @@
         let mut progress: BTreeMap<String, Progress> = BTreeMap::new();
         for item in runs {
             match serde_json::from_slice(&item.value) {
-                Ok(row) => drop(progress.insert(id_of(&item.key).to_owned(), row)),
+                Ok(job_progress) => {
+                    drop(progress.insert(id_of(&item.key).to_owned(), job_progress))
+                }
                 Err(error) => self.log_unreadable(&item.key, &error.to_string()),
             }
         }
@@ -78,9 +80,9 @@
             let known = progress.remove(id_of(&item.key));
             self.accept_item(&item.key, &item.value, known.as_ref(), item.revision);
         }
-        for (id, row) in progress {
+        for (id, job_progress) in progress {
             if let Ok(id) = id.parse() {
-                self.pool.borrow_mut().accept_ended(now, id, &row);
+                self.pool.borrow_mut().accept_ended(now, id, &job_progress);
             }
         }
     }
--- a/crates/entry/src/owner/predecessors.rs
+++ b/crates/entry/src/owner/predecessors.rs
@@ -39,7 +39,7 @@
     fn holders_to_query(&self) -> Vec<FormerHolder> {
         let mut predecessors = self.predecessors.borrow_mut();
         predecessors.observe(clock::now(), &self.node.table.borrow());
-        predecessors.to_ask()
+        predecessors.to_query()
     }
 
     fn handle_reply(&self, former: &FormerHolder, reply: Reply) {
@@ -70,7 +70,7 @@
 
     /// Queries former owners until all are accounted for or the wait is over.
     pub(super) async fn follow_predecessors(self: Rc<Self>) {
-        let begun = clock::now();
+        let started = clock::now();
         while !self.retired.get() && !self.limit_inherited() {
             if !self.pool.borrow().is_recovering(clock::now()) {
                 return;
@@ -80,7 +80,7 @@
         }
         self.node.trace.line(
             "grants of former owners known",
-            json!({ "duty": self.name, "fence": self.fence(), "took_ms": ms(clock::now() - begun) }),
+            json!({ "duty": self.name, "fence": self.fence(), "took_ms": ms(clock::now() - started) }),
         );
     }
 }
--- a/crates/entry/src/owner/workers.rs
+++ b/crates/entry/src/owner/workers.rs
@@ -115,12 +115,14 @@
                     let last = report.exits.iter().map(|ended| ended.number).max();
                     let is_new = last > newest;
                     newest = newest.max(last);
-                    let all = u32::try_from(self.polled_workers.borrow().len()).unwrap_or(u32::MAX);
-                    let after = POLL_PAUSE_AFTER_ENDS + POLL_PAUSE_PER_WORKER.saturating_mul(all);
+                    let worker_count =
+                        u32::try_from(self.polled_workers.borrow().len()).unwrap_or(u32::MAX);
+                    let pause =
+                        POLL_PAUSE_AFTER_ENDS + POLL_PAUSE_PER_WORKER.saturating_mul(worker_count);
                     tokio::time::sleep(if is_new {
-                        after
+                        pause
                     } else {
-                        after.max(POLL_PAUSE_NOTHING_NEW)
+                        pause.max(POLL_PAUSE_NOTHING_NEW)
                     })
                     .await;
                 }
@@ -132,11 +134,11 @@
 
     async fn poll(&self, poll: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
         let call = wire::look(poll);
-        let begun = clock::now();
+        let started = clock::now();
         let within =
             if poll.deadline_ms.is_some() { RESPONSE_TIMEOUT } else { FIRST_RESPONSE_TIMEOUT };
         let answer = self.node.client.call(poll.address, &call, poll.wait + within).await;
-        self.count("look", begun, answer.is_ok());
+        self.count("look", started, answer.is_ok());
         match answer {
             Ok((status, body)) => wire::looked(status, &body).unwrap_or(Answer::Lost),
             Err(_) => Answer::Lost,
@@ -145,9 +147,9 @@
 
     async fn send(self: Rc<Self>, order: Order) {
         let call = wire::order(&order);
-        let begun = clock::now();
+        let started = clock::now();
         let answer = self.node.client.call(order.address, &call, RESPONSE_TIMEOUT).await;
-        self.count("order", begun, answer.is_ok());
+        self.count("order", started, answer.is_ok());
         let answer = match answer {
             Ok((status, body)) => wire::ordered(status, &body).unwrap_or(Answer::Lost),
             Err(CallError::Unsent | CallError::Lost) => Answer::Lost,
@@ -156,15 +158,15 @@
             self.node.trace.line(
                 "order not confirmed",
                 json!({ "task": wire::task(order.task), "run": order.run, "worker": order.id,
-                    "answer": format!("{answer:?}"), "took_ms": ms(clock::now() - begun) }),
+                    "answer": format!("{answer:?}"), "took_ms": ms(clock::now() - started) }),
             );
         }
         self.pool.borrow_mut().handle_order_answer(clock::now(), &order, &answer);
         self.wake.notify_one();
     }
 
-    pub(super) fn count(&self, kind: &str, begun: Time, is_answered: bool) {
+    pub(super) fn count(&self, kind: &str, started: Time, is_answered: bool) {
         let outcome = if is_answered { "answered" } else { "failed" };
-        self.node.metrics.worker(kind, outcome, clock::now() - begun);
+        self.node.metrics.worker(kind, outcome, clock::now() - started);
     }
 }
--- a/crates/entry/src/owner/write.rs
+++ b/crates/entry/src/owner/write.rs
@@ -36,8 +36,8 @@
     async fn write_once(&self) -> bool {
         let ahead = if self.flushing.get() { FLUSH_AHEAD } else { Duration::ZERO };
         let now = clock::now() + ahead;
-        let most = MAX_ROWS - FIXED_ROWS;
-        let batch = self.pool.borrow_mut().next_batch(now, clock::wall_ms(), most);
+        let max_rows = MAX_ROWS - FIXED_ROWS;
+        let batch = self.pool.borrow_mut().next_batch(now, clock::wall_ms(), max_rows);
         let roster = self.pool.borrow().roster_update();
         if batch.is_empty() && roster.is_none() {
             return false;
@@ -46,13 +46,13 @@
         self.last_write_number.set(number);
         let token = format!("{}.{}.{number}", self.node.settings.name, self.node.boot);
         let txn = self.build_txn(&batch, roster.as_ref(), &token);
-        let begun = clock::now();
+        let started = clock::now();
         let is_written = self.commit(&txn, &token).await;
         if is_written {
-            self.log_ends(&batch, clock::now() - begun);
+            self.log_ends(&batch, clock::now() - started);
             self.pool.borrow_mut().confirm_batch(&batch);
-            if let Some(seats) = roster {
-                self.pool.borrow_mut().confirm_roster(seats);
+            if let Some(locations) = roster {
+                self.pool.borrow_mut().confirm_roster(locations);
             }
             self.confirm_cancellations();
             self.wake.notify_one();
@@ -64,8 +64,8 @@
     /// that found no such job. It is one line per write, with one write at a time, so it
     /// bypasses the rate limit that a busy owner's other lines exceed.
     fn log_ends(&self, batch: &Batch, took: Duration) {
-        let ended = batch.updates.iter().filter(|row| row.progress.state.is_final());
-        let jobs: Vec<String> = ended.map(|row| row.id.to_string()).collect();
+        let ended = batch.updates.iter().filter(|update| update.progress.state.is_final());
+        let jobs: Vec<String> = ended.map(|update| update.id.to_string()).collect();
         if !jobs.is_empty() {
             self.node.trace.unlimited(
                 "job ends written",
@@ -83,15 +83,15 @@
         // revision of the previous one's number, so that it can't undo a newer one.
         txn.expect.push((write_key.clone(), self.write_revision.get()));
         txn.set.push((write_key, token.as_bytes().to_vec(), 0));
-        if let Some(seats) = roster {
-            let value = serde_json::to_vec(seats).unwrap_or_default();
+        if let Some(locations) = roster {
+            let value = serde_json::to_vec(locations).unwrap_or_default();
             txn.set.push((format!("{ROSTER_PREFIX}{}", self.name), value, 0));
         }
-        for row in &batch.updates {
-            let id = row.id.to_string();
-            let value = serde_json::to_vec(&row.progress).unwrap_or_default();
+        for update in &batch.updates {
+            let id = update.id.to_string();
+            let value = serde_json::to_vec(&update.progress).unwrap_or_default();
             txn.set.push((run_key(&self.name, &id), value, 0));
-            if row.progress.state.is_final() {
+            if update.progress.state.is_final() {
                 txn.remove.push(job_key(&self.name, &id));
             }
         }
@@ -129,8 +129,8 @@
     fn resolve(&self, items: &[Item], token: &str) -> bool {
         let key = format!("{WRITE_PREFIX}{}", self.name);
         let duty = format!("{DUTY_PREFIX}{}", self.name);
-        let is_mine = |item: &&Item| item.key == key && item.value == token.as_bytes();
-        if let Some(item) = items.iter().find(is_mine) {
+        let is_own_write = |item: &&Item| item.key == key && item.value == token.as_bytes();
+        if let Some(item) = items.iter().find(is_own_write) {
             self.write_revision.set(item.revision);
             return true;
         }
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -24,7 +24,7 @@
 /// and the next request follows soon.
 pub const SHORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request to a peer.
+/// A request or notification to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum Message {
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -104,7 +104,7 @@
 }
 
 impl Placement {
-    /// Places jobs according to the known record. `all` are the pools that have an owner:
+    /// Places jobs according to the known record. `owned_pools` are the pools that have an owner:
     /// if the record is damaged, each may hold some of the queue's jobs.
     ///
     /// A gateway whose configuration is older than the record follows the record. Otherwise
@@ -120,12 +120,12 @@
     /// assert!(first.change.is_some());
     /// ```
     pub fn new<'a>(
-        entry: &'a QueueRecord,
+        record: &'a QueueRecord,
         queue_route: &QueueRoute,
-        all: impl IntoIterator<Item = &'a str>,
+        owned_pools: impl IntoIterator<Item = &'a str>,
     ) -> Self {
-        let revision = entry.revision();
-        let earlier_pools: Vec<&str> = match entry {
+        let revision = record.revision();
+        let earlier_pools: Vec<&str> = match record {
             QueueRecord::Valid { pool_list, .. }
                 if pool_list.pools[0] == queue_route.pool
                     || pool_list.version >= queue_route.version =>
@@ -136,7 +136,7 @@
             QueueRecord::Valid { pool_list, .. } => {
                 pool_list.pools.iter().map(String::as_str).collect()
             }
-            QueueRecord::Damaged { .. } => all.into_iter().collect(),
+            QueueRecord::Damaged { .. } => owned_pools.into_iter().collect(),
             QueueRecord::Missing => Vec::new(),
         };
         let earlier = earlier_pools.into_iter().filter(|pool| *pool != queue_route.pool);
@@ -237,11 +237,11 @@
     }
 
     /// Records the queue's record as just read from the store.
-    pub fn learn(&mut self, entry: QueueRecord) {
+    pub fn learn(&mut self, record: QueueRecord) {
         self.is_read = true;
         // No daemon removes an existing record.
-        let is_removed = entry == QueueRecord::Missing && self.known != QueueRecord::Missing;
-        self.is_unclear |= is_removed || matches!(entry, QueueRecord::Damaged { .. });
-        self.add(entry.pools());
+        let is_removed = record == QueueRecord::Missing && self.known != QueueRecord::Missing;
+        self.is_unclear |= is_removed || matches!(record, QueueRecord::Damaged { .. });
+        self.add(record.pools());
     }
 }
--- a/crates/entry/src/planner.rs
+++ b/crates/entry/src/planner.rs
@@ -72,7 +72,7 @@
     /// Waves whose start was reported to operators.
     announced_waves: BTreeSet<u64>,
     /// VMs on their way to a pool.
-    coming: Arrivals,
+    arrivals: Arrivals,
     /// The sizing state of each pool.
     sizes: HashMap<String, size::Pool>,
     /// VMs of waves that are missing from the list.
@@ -103,7 +103,7 @@
     let holder = Holder { name, fence };
     let (waves, in_maintenance, announced_waves) =
         (BTreeMap::new(), HashMap::new(), BTreeSet::new());
-    let (coming, sizes) = (Arrivals::default(), HashMap::new());
+    let (arrivals, sizes) = (Arrivals::default(), HashMap::new());
     let (quarantined, recent_orders) = (BTreeMap::new(), BTreeMap::new());
     let mut planner = Planner {
         node: node.clone(),
@@ -112,7 +112,7 @@
         elapsed: Elapsed::default(),
         in_maintenance,
         announced_waves,
-        coming,
+        arrivals,
         sizes,
         absence: Absence::default(),
         quarantined,
@@ -191,15 +191,15 @@
     /// others by its timeout, and with them the sizes of all pools. *Measured* with a third
     /// of the entry VMs cut off and VMs to be maintained: 0.8 to 2.2 s from one decision to
     /// the next, 0.3 s since.
-    async fn send_to_owners(&self, asks: Vec<Message>) -> Vec<Option<Reply>> {
-        let message = |message: Message| {
+    async fn send_to_owners(&self, messages: Vec<Message>) -> Vec<Option<Reply>> {
+        let send = |message: Message| {
             let node = self.node.clone();
             spawn_local(async move {
                 let pool = message.pool().to_owned();
                 node.send_to_owner(&pool, message, peer::SHORT_TIMEOUT).await.ok()
             })
         };
-        let tasks: Vec<_> = asks.into_iter().map(message).collect();
+        let tasks: Vec<_> = messages.into_iter().map(send).collect();
         let mut replies = Vec::with_capacity(tasks.len());
         for reply in tasks {
             replies.push(reply.await.ok().flatten());
--- a/crates/entry/src/planner/size.rs
+++ b/crates/entry/src/planner/size.rs
@@ -53,7 +53,7 @@
 impl Planner {
     /// Moves VMs to pools with waiting work, and idle ones to the spare pool.
     pub(super) async fn tick_sizes(&mut self, listed_at: Time, vms: &BTreeMap<String, Vm>) {
-        self.coming.update(listed_at, vms);
+        self.arrivals.update(listed_at, vms);
         let (pools, spares) = self.pools();
         let Some(vm_room) = usual_room(vms) else { return };
         let mut free = self.spare_vms(vms, &spares);
@@ -119,17 +119,17 @@
     }
 
     async fn fetch_demands(&mut self, pools: &[String], vm_room: &Room) -> Vec<Demand> {
-        let message = |pool: &String| Message::Load {
+        let to_message = |pool: &String| Message::Load {
             pool: pool.clone(),
-            arrived: self.coming.uncounted(pool),
-            expects: self.coming.count_coming(pool) > 0,
+            arrived: self.arrivals.uncounted(pool),
+            expects: self.arrivals.count_coming(pool) > 0,
         };
-        let replies = self.send_to_owners(pools.iter().map(message).collect()).await;
+        let replies = self.send_to_owners(pools.iter().map(to_message).collect()).await;
         let mut demands = Vec::new();
         for (pool, reply) in pools.iter().zip(replies) {
             let Some(Reply::Load { load, counted }) = reply else { continue };
-            self.coming.mark_counted(pool, &counted);
-            let stock = Stock::new(&load, self.coming.count_coming(pool));
+            self.arrivals.mark_counted(pool, &counted);
+            let stock = Stock::new(&load, self.arrivals.count_coming(pool));
             let sizing = self.sizes.entry(pool.clone()).or_default();
             let request = sizing.sizer.request(clock::now(), &load, vm_room);
             demands.push(Demand { pool: pool.clone(), load, stock, request, is_current: true });
@@ -150,10 +150,10 @@
         let recall = |pool: &String| {
             let request = self.sizes.get(pool)?.sizer.last_request(now)?;
             let is_present = |vm: &&Vm| {
-                vm.pool == *pool && vm.state == State::Up && !self.coming.contains(&vm.name)
+                vm.pool == *pool && vm.state == State::Up && !self.arrivals.contains(&vm.name)
             };
             let present = vms.values().filter(is_present).count();
-            let stock = Stock { present, coming: self.coming.count_coming(pool) };
+            let stock = Stock { present, coming: self.arrivals.count_coming(pool) };
             let (pool, load) = (pool.clone(), Load::default());
             Some(Demand { pool, load, stock, request, is_current: false })
         };
@@ -194,7 +194,7 @@
     }
 
     fn is_order_pending(&self, vm: &str) -> bool {
-        self.coming.contains(vm) || self.in_maintenance.contains_key(vm) || !self.may_order_vm(vm)
+        self.arrivals.contains(vm) || self.in_maintenance.contains_key(vm) || !self.may_order_vm(vm)
     }
 
     /// Returns the request that tells a pool's owner how many workers to keep, if needed:
@@ -252,7 +252,7 @@
             );
         }
         let call = fleet::transfer(&vm.name, &pool, &self.holder);
-        self.coming.order(clock::now(), &vm.name, &pool);
+        self.arrivals.order(clock::now(), &vm.name, &pool);
         let (node, vm) = (self.node.clone(), vm.clone());
         spawn_local(async move {
             let answer = super::call(&node, &call).await;
@@ -261,7 +261,7 @@
     }
 
     fn handle_transfer_answer(&mut self, vm: &Vm, answer: Option<Answer>) {
-        let pool = self.coming.pool_of(&vm.name);
+        let pool = self.arrivals.pool_of(&vm.name);
         self.node.trace.line(
             "move ordered",
             json!({ "vm": vm.name, "from": vm.pool, "pool": pool, "worker": vm.worker,
@@ -271,7 +271,7 @@
             Some(Answer::Fenced) => self.node.planner.set(None),
             Some(Answer::Done | Answer::Unknown) | None => {}
             Some(Answer::Busy | Answer::Refused | Answer::Unavailable) => {
-                self.coming.cancel(&vm.name);
+                self.arrivals.cancel(&vm.name);
             }
         }
     }
--- a/crates/entry/src/planner/wave.rs
+++ b/crates/entry/src/planner/wave.rs
@@ -50,7 +50,9 @@
             return;
         }
         let is_ready = |vm: &&Vm| {
-            vm.state == State::Up && self.may_order_vm(&vm.name) && !self.coming.contains(&vm.name)
+            vm.state == State::Up
+                && self.may_order_vm(&vm.name)
+                && !self.arrivals.contains(&vm.name)
         };
         let mut ready: Vec<&Vm> = remaining.into_iter().filter(is_ready).collect();
         // VMs without a worker need no vacating and go first.
@@ -94,11 +96,11 @@
         for vm in vms.iter().filter(|vm| !vm.worker.is_empty()) {
             by_pool.entry(&vm.pool).or_default().push(vm.worker.clone());
         }
-        let message = |(pool, workers): (&str, Vec<String>)| Message::Vacate {
+        let to_message = |(pool, workers): (&str, Vec<String>)| Message::Vacate {
             pool: pool.to_owned(),
             workers,
         };
-        let replies = self.send_to_owners(by_pool.into_iter().map(message).collect()).await;
+        let replies = self.send_to_owners(by_pool.into_iter().map(to_message).collect()).await;
         let mut empty = HashSet::new();
         for reply in replies {
             if let Some(Reply::Vacated { empty: workers }) = reply {
--- a/crates/entry/src/predecessor.rs
+++ b/crates/entry/src/predecessor.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the former holders that may have more to report on their grants.
-    pub fn to_ask(&self) -> Vec<FormerHolder> {
+    pub fn to_query(&self) -> Vec<FormerHolder> {
         let is_open = |holder: &&(FormerHolder, Grants)| match holder {
             (_, Grants::Open) => true,
             (former, Grants::Until(_)) => former.name.is_empty(),
@@ -96,7 +96,7 @@
 
     /// Records which former holders have restarted by `now`.
     pub fn observe(&mut self, now: Time, table: &Table) {
-        for former in self.to_ask() {
+        for former in self.to_query() {
             if table.has_restarted(&former.name, former.boot) {
                 self.end(now, &former);
             }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -140,7 +140,7 @@
 /// Shuts down gracefully: reports not ready, hands duties over, and answers requests on open
 /// connections until the end.
 async fn stop(node: &Rc<Node>, gauge: &Gauge, membership: tokio::task::JoinHandle<()>) {
-    let begun = clock::now();
+    let started = clock::now();
     node.trace.unlimited(
         "stopping",
         json!({ "requests": gauge.requests.get(), "duties": node.owners.borrow().len() }),
@@ -152,7 +152,7 @@
     let _ = membership.await;
     let last = node.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
-        let since = clock::now() - begun;
+        let since = clock::now() - started;
         let is_idle = gauge.requests.get() == 0 && gauge.connections.get() == 0;
         if since >= last || (since >= BALANCER_DELAY && is_idle) {
             break;
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -81,7 +81,7 @@
 }
 
 impl Gauge {
-    /// Returns the gauge of the address `name`, which allows `limit` connections.
+    /// Returns the gauge of the address `name`, which allows `max_connections`.
     pub fn new(name: &'static str, max_connections: usize) -> Self {
         Self { name, max_connections: Rc::new(Cell::new(max_connections)), ..Self::default() }
     }
@@ -104,7 +104,7 @@
                 // Beyond the limit a connection is closed at once: descriptors are needed
                 // for the store and the workers.
                 if gauge.connections.get() < gauge.max_connections.get() {
-                    spawn_local(connection(stream, gauge.clone(), handler.clone()));
+                    spawn_local(handle_connection(stream, gauge.clone(), handler.clone()));
                 } else {
                     gauge.rejected.set(gauge.rejected.get() + 1);
                     trace.line(
@@ -133,16 +133,16 @@
     }
 }
 
-async fn connection(stream: TcpStream, gauge: Gauge, handler: Handler) {
+async fn handle_connection(stream: TcpStream, gauge: Gauge, handler: Handler) {
     let _open = CountGuard::new(&gauge.connections);
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
         let (gauge, handler) = (gauge.clone(), handler.clone());
         async move {
             let _busy = CountGuard::new(&gauge.requests);
-            let http_request = read(request, gauge.max_body.get()).await;
+            let http_request = read_request(request, gauge.max_body.get()).await;
             let http_response = handler(http_request).await;
-            respond(http_response, gauge.closing.get())
+            build_response(http_response, gauge.closing.get())
         }
     });
     let served = http1::Builder::new()
@@ -153,7 +153,7 @@
     let _ = served.await;
 }
 
-async fn read(request: Request<Incoming>, max_body: usize) -> HttpRequest {
+async fn read_request(request: Request<Incoming>, max_body: usize) -> HttpRequest {
     let (head, body) = request.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let host = text("host").or_else(|| head.uri.host()).unwrap_or_default().to_owned();
@@ -164,7 +164,7 @@
     HttpRequest { method: head.method.as_str().to_owned(), host, path, deadline_ms, body }
 }
 
-fn respond(
+fn build_response(
     http_response: HttpResponse,
     is_last: bool,
 ) -> Result<Response<Full<Bytes>>, hyper::http::Error> {
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -34,13 +34,13 @@
     #[error("{0}; nothing was done")]
     NotDone(String),
     /// The call may have been carried out, or may still be.
-    #[error("no answer from the store; it may have been done")]
+    #[error("no response from the store; the call may have been carried out")]
     Unknown,
 }
 
 /// Makes a call through peers while the store rejects this VM.
 pub type Relay = Rc<dyn Fn(Call, Duration) -> RelayFuture>;
-/// The answer to a relayed call.
+/// The future response to a relayed call.
 pub type RelayFuture =
     std::pin::Pin<Box<dyn std::future::Future<Output = Result<(u16, Bytes), CallError>>>>;
 
@@ -53,7 +53,7 @@
     relay: RefCell<Option<Relay>>,
     /// When the store last responded, to this VM or through a peer.
     last_response: Cell<Time>,
-    /// Whether the last direct call was answered.
+    /// Whether the last direct call got a response.
     is_direct: Cell<bool>,
     /// When the next direct call may be tried.
     retry_direct: Cell<Time>,
--- a/crates/entry/src/store/routing.rs
+++ b/crates/entry/src/store/routing.rs
@@ -29,7 +29,7 @@
             if self.is_down() || is_due {
                 let answer =
                     self.call_directly(&store::get(PROBE_KEY), "probe", RESPONSE_TIMEOUT).await;
-                if is_answer(&answer) {
+                if is_response(&answer) {
                     self.outage.borrow_mut().note_contact(clock::now());
                 }
             }
@@ -54,14 +54,14 @@
         // A watch may stay open until something changes, so its delay shows no outage.
         if kind == WATCH {
             let answer = self.call_routed(call, kind, within).await;
-            if is_answer(&answer) {
+            if is_response(&answer) {
                 self.outage.borrow_mut().note_contact(clock::now());
             }
             return answer;
         }
         let call_id = self.outage.borrow_mut().note_sent(clock::now());
         let answer = self.call_routed(call, kind, within).await;
-        if is_answer(&answer) {
+        if is_response(&answer) {
             self.outage.borrow_mut().note_response(clock::now(), call_id);
         } else {
             self.outage.borrow_mut().note_failure(call_id);
@@ -75,7 +75,7 @@
         kind: &'static str,
         within: Duration,
     ) -> Result<(u16, Bytes), CallError> {
-        let begun = clock::now();
+        let started = clock::now();
         let on_head = |status: u16| {
             if !is_refusal(status) {
                 // The head shows that the store is up: a slow body must not count as an outage.
@@ -89,7 +89,7 @@
             Ok(_) => "answered",
             Err(_) => "failed",
         };
-        self.metrics.store(kind, outcome, clock::now() - begun);
+        self.metrics.store(kind, outcome, clock::now() - started);
         let is_answered = outcome == "answered";
         if is_answered {
             self.last_response.set(clock::now());
@@ -109,7 +109,7 @@
     ) -> Result<(u16, Bytes), CallError> {
         if self.is_direct.get() {
             let first = self.call_directly(call, kind, within).await;
-            return if is_answer(&first) {
+            return if is_response(&first) {
                 first
             } else {
                 let is_lost = first == Err(CallError::Lost);
@@ -131,7 +131,7 @@
         within: Duration,
     ) -> Result<(u16, Bytes), CallError> {
         let answer = self.call_once(call, kind, within).await;
-        let pause = if is_answer(&answer) { Duration::ZERO } else { DIRECT_RETRY_PAUSE };
+        let pause = if is_response(&answer) { Duration::ZERO } else { DIRECT_RETRY_PAUSE };
         self.retry_direct.set(clock::now() + pause);
         answer
     }
@@ -161,7 +161,7 @@
 }
 
 /// Whether the store itself responded rather than rejecting the call.
-fn is_answer(answer: &Result<(u16, Bytes), CallError>) -> bool {
+fn is_response(answer: &Result<(u16, Bytes), CallError>) -> bool {
     matches!(answer, Ok((status, _)) if !is_refusal(*status))
 }
 
--- a/crates/entry/tests/admission.rs
+++ b/crates/entry/tests/admission.rs
@@ -63,7 +63,7 @@
 #[derive(Clone)]
 struct Gateway {
     submission: Submission,
-    entries: BTreeMap<String, QueueRecord>,
+    records: BTreeMap<String, QueueRecord>,
     sent: Vec<(Admission, Txn)>,
     is_confirmed: bool,
 }
@@ -71,11 +71,11 @@
 impl Gateway {
     fn new(version: u64, pool: &str) -> Self {
         let submission = submission("one", version, pool, ID);
-        Self { submission, entries: BTreeMap::new(), sent: Vec::new(), is_confirmed: false }
+        Self { submission, records: BTreeMap::new(), sent: Vec::new(), is_confirmed: false }
     }
 
     fn send(&mut self) {
-        let admission = Admission::new([&self.submission], &table(self.entries.clone()));
+        let admission = Admission::new([&self.submission], &table(self.records.clone()));
         let txn = admission.txn([&self.submission]);
         self.sent.push((admission, txn));
     }
@@ -85,11 +85,11 @@
         let (admission, txn) = self.sent.remove(0);
         match store.apply(&txn) {
             Ok(revision) => {
-                self.entries.extend(admission.written_records(revision));
+                self.records.extend(admission.written_records(revision));
                 self.is_confirmed = true;
             }
             Err(items) => {
-                self.entries.extend(admission.conflicting_records(&items));
+                self.records.extend(admission.conflicting_records(&items));
                 self.is_confirmed |= admission.is_stored(&self.submission, &items);
             }
         }
@@ -161,10 +161,10 @@
 fn admission_many_jobs() {
     // Ten jobs fit into one write, as many as before queues had records.
     let pool_list = PoolList { version: 1, pools: vec!["alpha".to_owned()] };
-    let entries =
+    let records =
         BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
     let submissions = submissions_of("one", 1, "alpha", 25);
-    let admission = Admission::new(&submissions, &table(entries));
+    let admission = Admission::new(&submissions, &table(records));
     assert_eq!(admission.count(), 10);
     let txn = admission.txn(&submissions[..10]);
     assert_eq!((rows(&txn), txn.set.len()), (31, 10));
@@ -176,12 +176,12 @@
     for earlier in 0..40 {
         let pools: Vec<String> = (0..=earlier).map(|n| format!("p{n}")).collect();
         let pool_list = PoolList { version: 1, pools };
-        let entries =
+        let records =
             BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
         for pool in ["p0", "new"] {
             let mut submissions = submissions_of("one", 2, pool, 12);
             submissions.extend(submissions_of("two", 2, pool, 12));
-            let admission = Admission::new(&submissions, &table(entries.clone()));
+            let admission = Admission::new(&submissions, &table(records.clone()));
             assert!(admission.count() > 0, "{earlier} earlier pools");
             let taken = &submissions[..admission.count()];
             let txn = admission.txn(taken);
@@ -205,10 +205,10 @@
 #[test]
 fn conflicting_records_removed_record() {
     let pool_list = PoolList { version: 1, pools: vec!["alpha".to_owned()] };
-    let entries =
+    let records =
         BTreeMap::from([("one".to_owned(), QueueRecord::Valid { revision: 9, pool_list })]);
     let submissions = submissions_of("one", 1, "alpha", 1);
-    let admission = Admission::new(&submissions, &table(entries));
+    let admission = Admission::new(&submissions, &table(records));
     assert_eq!(
         admission.conflicting_records(&[]),
         [("one".to_owned(), QueueRecord::Damaged { revision: 0 })]
--- a/crates/entry/tests/predecessor.rs
+++ b/crates/entry/tests/predecessor.rs
@@ -44,7 +44,7 @@
     let mut tracker = two_former_holders();
     tracker.end(at(100), &former("e1", 1));
     assert_eq!(tracker.limit(), None);
-    assert_eq!(tracker.to_ask(), [former("e0", 1)]);
+    assert_eq!(tracker.to_query(), [former("e0", 1)]);
 }
 
 // Guards against waiting for a process that is known to have ended.
@@ -87,7 +87,7 @@
     let handed_over = former("", 1);
     let tracker = Tracker::new(at(0), vec![handed_over.clone()], true, LEASE);
     assert_eq!(tracker.limit().unwrap().until, at(LONGEST_MS));
-    assert_eq!(tracker.to_ask(), [handed_over], "its report may shorten the wait");
+    assert_eq!(tracker.to_query(), [handed_over], "its report may shorten the wait");
 }
 
 #[test]
