--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -11,7 +11,6 @@
 pub mod arrivals;
 pub mod attempts;
 pub mod duty;
-pub mod elapsed;
 pub mod exchange;
 pub mod lookup;
 pub mod outage;
@@ -20,6 +19,7 @@
 pub mod queue_counts;
 pub mod rendezvous;
 pub mod settings;
+pub mod wave_ages;
 
 mod clock;
 mod explain;
--- a/crates/entry/src/planner.rs
+++ b/crates/entry/src/planner.rs
@@ -22,10 +22,10 @@
 use crate::arrivals::Arrivals;
 use crate::clock;
 use crate::duty::FLEET;
-use crate::elapsed::Elapsed;
 use crate::member;
 use crate::node::Node;
 use crate::peer::{self, Message, Reply};
+use crate::wave_ages::Elapsed;
 
 /// The key prefix of waves' progress; the number follows.
 const WAVE_PREFIX: &str = "fleet/wave/";
--- a/crates/entry/src/elapsed.rs
+++ b/crates/entry/src/wave_ages.rs
@@ -15,7 +15,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use corianderfork_entry::elapsed::Elapsed;
+/// use corianderfork_entry::wave_ages::Elapsed;
 /// use corianderfork_model::Time;
 ///
 /// let mut elapsed = Elapsed::default();
--- a/crates/entry/tests/elapsed.rs
+++ b/crates/entry/tests/wave_ages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use corianderfork_entry::elapsed::Elapsed;
+use corianderfork_entry::wave_ages::Elapsed;
 use corianderfork_model::Time;
 
 #[test]
