--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -141,7 +141,7 @@
 
 impl Table {
     /// Updates a queue's record unless a newer one is known. Returns whether it changed.
-    pub fn learn(&mut self, queue: &str, record: QueueRecord) -> bool {
+    pub fn update_queue(&mut self, queue: &str, record: QueueRecord) -> bool {
         let known = self.queues.entry(queue.to_owned()).or_default();
         let is_removed = record == QueueRecord::Damaged { revision: 0 };
         let is_changed = *known != record && (is_removed || record.revision() > known.revision());
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -207,7 +207,7 @@
                 "the queue's pools aren't known until it is written",
             );
         }
-        table.learn(name, entry);
+        table.update_queue(name, entry);
     }
 }
 
--- a/crates/entry/src/gateway/accept.rs
+++ b/crates/entry/src/gateway/accept.rs
@@ -140,11 +140,11 @@
     }
 
     /// Updates queues' records. Returns whether any of them changed.
-    fn learn(&self, records: Vec<(String, QueueRecord)>) -> bool {
+    fn update_queues(&self, records: Vec<(String, QueueRecord)>) -> bool {
         let mut table = self.node.table.borrow_mut();
         records.into_iter().fold(false, |is_changed, (queue, record)| {
-            // `learn` comes first so that every record is updated.
-            table.learn(&queue, record) || is_changed
+            // `update_queue` comes first so that every record is updated.
+            table.update_queue(&queue, record) || is_changed
         })
     }
 
@@ -165,7 +165,7 @@
             let mut is_changed = false;
             match self.node.store.txn(&txn).await {
                 Ok(Outcome::Written(revision)) => {
-                    self.learn(admission.written_records(revision));
+                    self.update_queues(admission.written_records(revision));
                     for job in jobs {
                         let pool = admission.pool(&job.submission).to_owned();
                         // A caller that left finds its job when it retries.
@@ -174,7 +174,7 @@
                     return;
                 }
                 Ok(Outcome::Conflict(items)) => {
-                    is_changed = self.learn(admission.conflicting_records(&items));
+                    is_changed = self.update_queues(admission.conflicting_records(&items));
                     let is_stored = |job: &PendingJob| admission.is_stored(&job.submission, &items);
                     let (stored, remaining): (Vec<_>, Vec<_>) =
                         jobs.into_iter().partition(is_stored);
--- a/crates/entry/src/gateway/state.rs
+++ b/crates/entry/src/gateway/state.rs
@@ -99,7 +99,7 @@
             let there = reading.as_ref().ok().map(|reading| reading.item.is_some());
             let revision = reading.as_ref().ok().and_then(|reading| reading.revision);
             log.note(key, started, there, revision);
-            lookup.learn(reading?.item.as_ref().map(|item| item.value.as_slice()));
+            lookup.set_value(reading?.item.as_ref().map(|item| item.value.as_slice()));
         }
     }
 }
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -25,7 +25,7 @@
 /// The next step or the result of a [`Lookup`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupStep {
-    /// Read this key and pass its value to [`Lookup::learn`].
+    /// Read this key and pass its value to [`Lookup::set_value`].
     Read(String),
     /// The job exists and is in this state.
     Found(State),
@@ -48,9 +48,9 @@
 ///
 /// let mut lookup = Lookup::new("pool", "0123456789abcdef");
 /// assert_eq!(lookup.next(), LookupStep::Read("job/pool/0123456789abcdef".to_owned()));
-/// lookup.learn(Some(b"{}"));
+/// lookup.set_value(Some(b"{}"));
 /// assert_eq!(lookup.next(), LookupStep::Read("run/pool/0123456789abcdef".to_owned()));
-/// lookup.learn(None);
+/// lookup.set_value(None);
 /// assert_eq!(lookup.next(), LookupStep::Found(State::Queued));
 /// ```
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
     }
 
     /// Records the value of the key that [`Lookup::next`] named.
-    pub fn learn(&mut self, value: Option<&[u8]>) {
+    pub fn set_value(&mut self, value: Option<&[u8]>) {
         let Some(is_accepted) = self.is_accepted else {
             self.is_accepted = Some(value.is_some());
             return;
--- a/crates/entry/src/member.rs
+++ b/crates/entry/src/member.rs
@@ -105,7 +105,7 @@
     }
 }
 
-fn duties(node: &Node) -> Vec<String> {
+fn known_duties(node: &Node) -> Vec<String> {
     let config = node.config.borrow();
     let Some(config) = config.as_ref() else { return Vec::new() };
     let mut duties: Vec<String> =
@@ -132,7 +132,7 @@
     if now - node.lease_renewed_at.get() >= LEASE_TTL {
         return;
     }
-    let duties = duties(node);
+    let duties = known_duties(node);
     resume(node, &duties);
     let name = node.settings.name.as_str();
     let due = node.table.borrow_mut().due_duties(now, name, &duties);
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -255,9 +255,9 @@
         let record =
             item.map_or(QueueRecord::Missing, |item| QueueRecord::read(&item.value, item.revision));
         if record != QueueRecord::Missing {
-            self.table.borrow_mut().learn(queue, record.clone());
+            self.table.borrow_mut().update_queue(queue, record.clone());
         }
-        search.learn(record);
+        search.set_record(record);
     }
 
     /// Returns the pools that may hold a queue's jobs, as far as known here.
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -80,17 +80,17 @@
     /// Starts to own the work of the pool `name`, with `fence`.
     pub fn start(node: &Rc<Node>, name: &str, fence: u64, history: HolderHistory) -> Rc<Self> {
         let lease = WORKER_LEASE.min(node.settings.max_lease);
-        let remember = node.settings.remember + Duration::from_secs(5);
+        let retention = node.settings.job_retention + Duration::from_secs(5);
         let now = clock::now();
         let HolderHistory { former_holders, is_complete, may_grant } = history;
         let mut predecessors = Tracker::new(now, former_holders, is_complete, lease);
         // No other owner of the pool is left in this process.
-        predecessors.end(now, &node.process());
+        predecessors.mark_ended(now, &node.process());
         node.retired_grants.borrow_mut().remove(name);
         let config = Config::new(fence, now + may_grant + worker::max_lease_duration(lease))
             .lease(lease)
-            .remember(remember)
-            .remote_factor(node.settings.remote);
+            .remember(retention)
+            .remote_factor(node.settings.remote_factor);
         let owner = Rc::new(Self {
             node: node.clone(),
             name: name.to_owned(),
--- a/crates/entry/src/owner/predecessors.rs
+++ b/crates/entry/src/owner/predecessors.rs
@@ -50,10 +50,10 @@
             Some(process) if process.boot != former.boot => {
                 // Another machine may respond at its address.
                 if process.name == former.name {
-                    predecessors.end(now, former);
+                    predecessors.mark_ended(now, former);
                 }
             }
-            _ => grants.iter().for_each(|grants| predecessors.learn(now, former, grants)),
+            _ => grants.iter().for_each(|grants| predecessors.record_report(now, former, grants)),
         }
     }
 
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -174,7 +174,7 @@
 /// assert_eq!(search.next(), Step::Pool("alpha".to_owned()));
 /// search.mark_absent();
 /// assert_eq!(search.next(), Step::Record);
-/// search.learn(QueueRecord::Missing);
+/// search.set_record(QueueRecord::Missing);
 /// assert_eq!(search.next(), Step::Absent);
 /// ```
 #[derive(Clone, Debug)]
@@ -237,7 +237,7 @@
     }
 
     /// Records the queue's record as just read from the store.
-    pub fn learn(&mut self, record: QueueRecord) {
+    pub fn set_record(&mut self, record: QueueRecord) {
         self.is_read = true;
         // No daemon removes an existing record.
         let is_removed = record == QueueRecord::Missing && self.known != QueueRecord::Missing;
--- a/crates/entry/src/planner.rs
+++ b/crates/entry/src/planner.rs
@@ -25,7 +25,7 @@
 use crate::member;
 use crate::node::Node;
 use crate::peer::{self, Message, Reply};
-use crate::wave_ages::Elapsed;
+use crate::wave_ages::WaveAges;
 
 /// The key prefix of waves' progress; the number follows.
 const WAVE_PREFIX: &str = "fleet/wave/";
@@ -66,7 +66,7 @@
     node: Rc<Node>,
     holder: Holder,
     waves: BTreeMap<u64, Progress>,
-    elapsed: Elapsed,
+    wave_ages: WaveAges,
     /// VMs whose maintenance was ordered, and when.
     in_maintenance: HashMap<String, Time>,
     /// Waves whose start was reported to operators.
@@ -109,7 +109,7 @@
         node: node.clone(),
         holder,
         waves,
-        elapsed: Elapsed::default(),
+        wave_ages: WaveAges::default(),
         in_maintenance,
         announced_waves,
         arrivals,
@@ -158,7 +158,7 @@
                     if let (Some(number), Some(progress)) = (number, progress) {
                         let progress: Progress = progress;
                         let written = Duration::from_millis(progress.elapsed_ms);
-                        self.elapsed.learn(clock::now(), number, written);
+                        self.wave_ages.set(clock::now(), number, written);
                         self.waves.insert(number, progress);
                     }
                 }
--- a/crates/entry/src/planner/size.rs
+++ b/crates/entry/src/planner/size.rs
@@ -45,7 +45,7 @@
     is_current: bool,
 }
 
-struct Need {
+struct Shortage {
     pool: String,
     missing: usize,
 }
@@ -55,21 +55,21 @@
     pub(super) async fn tick_sizes(&mut self, listed_at: Time, vms: &BTreeMap<String, Vm>) {
         self.arrivals.update(listed_at, vms);
         let (pools, spares) = self.pools();
-        let Some(vm_room) = usual_room(vms) else { return };
+        let Some(vm_room) = typical_room(vms) else { return };
         let mut free = self.spare_vms(vms, &spares);
         let mut demands = self.fetch_demands(&pools, &vm_room).await;
         demands.extend(self.recall_demands(&pools, &demands, vms));
         let requests: Vec<Request> = demands.iter().map(|demand| demand.request).collect();
         let total = vm_count(vms);
         self.is_scarce = requests.iter().map(|request| request.current).sum::<u32>() > total;
-        let mut needs = Vec::new();
+        let mut shortages = Vec::new();
         let mut messages = Vec::new();
         for (demand, target) in demands.iter().zip(allocate(&requests, total)) {
             let target = target as usize;
             self.log_size(demand, target, clock::now() - listed_at);
             let missing = demand.stock.missing(target);
             if missing > 0 {
-                needs.push(Need { pool: demand.pool.clone(), missing });
+                shortages.push(Shortage { pool: demand.pool.clone(), missing });
             }
             if demand.is_current {
                 messages.extend(self.shrink_message(demand, target));
@@ -77,10 +77,10 @@
         }
         let asked_at = clock::now();
         let idle = self.shrink(messages, vms).await;
-        needs.sort_by_key(|need| std::cmp::Reverse(need.missing));
+        shortages.sort_by_key(|shortage| std::cmp::Reverse(shortage.missing));
         free.extend(idle.iter().cloned());
-        let moves = moves(&needs, &free, &idle, spares.first(), vms);
-        self.record_shortages(&needs, &moves);
+        let moves = assign_moves(&shortages, &free, &idle, spares.first(), vms);
+        self.record_shortages(&shortages, &moves);
         let allowance = self.allowance();
         let mut moves: Vec<(String, String)> = moves.into_iter().take(allowance).collect();
         let names: Vec<String> = moves.iter().map(|(vm, _)| vm.clone()).collect();
@@ -218,9 +218,10 @@
     }
 
     /// Records which pools got fewer VMs than they needed.
-    fn record_shortages(&mut self, needs: &[Need], moves: &[(String, String)]) {
+    fn record_shortages(&mut self, shortages: &[Shortage], moves: &[(String, String)]) {
         for (pool, sizing) in &mut self.sizes {
-            let missing = needs.iter().find(|need| need.pool == *pool).map_or(0, |n| n.missing);
+            let missing =
+                shortages.iter().find(|shortage| shortage.pool == *pool).map_or(0, |n| n.missing);
             sizing.has_shortage = moves.iter().filter(|(_, to)| to == pool).count() < missing;
         }
     }
@@ -278,7 +279,7 @@
 }
 
 /// Returns the room of a typical VM, which is what one more VM adds.
-fn usual_room(vms: &BTreeMap<String, Vm>) -> Option<Room> {
+fn typical_room(vms: &BTreeMap<String, Vm>) -> Option<Room> {
     let mut rooms: Vec<Room> = vms.values().map(|vm| vm.room).filter(|room| room.cpu > 0).collect();
     rooms.sort_by_key(|room| (room.cpu, room.memory_mb));
     rooms.get(rooms.len() / 2).copied()
@@ -295,8 +296,8 @@
 /// Assigns VMs to pools: free ones to the pools that miss most, and remaining idle ones to
 /// the spare pool. No VM is assigned to its own pool: that would be no move, and a pool that
 /// exchanges a worker needs it to leave first.
-fn moves(
-    needs: &[Need],
+fn assign_moves(
+    shortages: &[Shortage],
     free: &[String],
     idle: &[String],
     spare: Option<&String>,
@@ -304,11 +305,11 @@
 ) -> Vec<(String, String)> {
     let mut free: Vec<&String> = free.iter().collect();
     let mut moves = Vec::new();
-    for need in needs {
-        let is_present = |vm: &&String| vms.get(*vm).is_some_and(|vm| vm.pool == need.pool);
+    for shortage in shortages {
+        let is_present = |vm: &&String| vms.get(*vm).is_some_and(|vm| vm.pool == shortage.pool);
         let (own, mut others): (Vec<_>, Vec<_>) = free.into_iter().partition(is_present);
-        let rest = others.split_off(need.missing.min(others.len()));
-        moves.extend(others.into_iter().map(|vm| (vm.clone(), need.pool.clone())));
+        let rest = others.split_off(shortage.missing.min(others.len()));
+        moves.extend(others.into_iter().map(|vm| (vm.clone(), shortage.pool.clone())));
         free = rest.into_iter().chain(own).collect();
     }
     if let Some(spare) = spare {
--- a/crates/entry/src/planner/wave.rs
+++ b/crates/entry/src/planner/wave.rs
@@ -81,12 +81,12 @@
     fn may_wait(&self, wave: &Wave, remaining: usize) -> bool {
         let rounds = u32::try_from(remaining.div_ceil(wave.most)).unwrap_or(u32::MAX);
         let needed = ROUND_DURATION.saturating_mul(rounds).saturating_add(RESERVE);
-        self.elapsed_of(wave.number).is_some_and(|elapsed| elapsed + needed < wave.within)
+        self.wave_age(wave.number).is_some_and(|elapsed| elapsed + needed < wave.within)
     }
 
-    fn elapsed_of(&self, number: u64) -> Option<Duration> {
+    fn wave_age(&self, number: u64) -> Option<Duration> {
         let since = self.node.waves.borrow().get(&number).map(|(_, since)| *since)?;
-        Some(self.elapsed.age(clock::now(), number, since))
+        Some(self.wave_ages.age(clock::now(), number, since))
     }
 
     /// Asks the owners of the VMs' pools to vacate them. Returns those on which nothing
@@ -166,7 +166,7 @@
 
     /// Writes a wave's progress, for a successor and for operators.
     async fn write_progress(&mut self, number: u64, mut progress: Progress) {
-        progress.elapsed_ms = self.elapsed_of(number).map_or(progress.elapsed_ms, ms);
+        progress.elapsed_ms = self.wave_age(number).map_or(progress.elapsed_ms, ms);
         let value = serde_json::to_vec(&progress).unwrap_or_default();
         let status = config::wave_status(progress.completed);
         let txn = Txn {
--- a/crates/entry/src/predecessor.rs
+++ b/crates/entry/src/predecessor.rs
@@ -57,7 +57,7 @@
     /// let now = Time::from_millis(1_000);
     /// let mut tracker = Tracker::new(now, vec![former.clone()], true, Duration::from_secs(4));
     /// assert!(tracker.limit().is_none(), "it may still be granting");
-    /// tracker.end(now, &former);
+    /// tracker.mark_ended(now, &former);
     /// assert_eq!(tracker.limit().unwrap().until, Time::from_millis(5_120));
     /// ```
     pub fn new(
@@ -86,7 +86,7 @@
     }
 
     /// Records that a former holder is known at `now` to have ended.
-    pub fn end(&mut self, now: Time, former: &FormerHolder) {
+    pub fn mark_ended(&mut self, now: Time, former: &FormerHolder) {
         let until = now + self.lease;
         let holder = self.holders.iter_mut().find(|(known, _)| known.is_same(former));
         if let Some((_, grants @ Grants::Open)) = holder {
@@ -98,14 +98,14 @@
     pub fn observe(&mut self, now: Time, table: &Table) {
         for former in self.to_query() {
             if table.has_restarted(&former.name, former.boot) {
-                self.end(now, &former);
+                self.mark_ended(now, &former);
             }
         }
     }
 
     /// Records the report of a former holder that gave way: for how many more milliseconds
     /// the grants on each worker hold. They cover those of the holders before it.
-    pub fn learn(
+    pub fn record_report(
         &mut self,
         now: Time,
         former: &FormerHolder,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -44,9 +44,9 @@
     /// The longest lease that a worker accepts.
     pub max_lease: Duration,
     /// The factor by which a task takes longer away from the rack of its data.
-    pub remote: f64,
+    pub remote_factor: f64,
     /// How long the state of a finished job is kept.
-    pub remember: Duration,
+    pub job_retention: Duration,
     /// The minimum time between two holders' orders for a VM.
     pub order_gap: Duration,
 }
@@ -99,8 +99,8 @@
                 Duration::from_secs(10),
                 500..=600_000,
             ),
-            remote: file.or("bounds", "remote_factor", 1.0_f64),
-            remember: seconds(file.or("bounds", "remember_s", 120.0)),
+            remote_factor: file.or("bounds", "remote_factor", 1.0_f64),
+            job_retention: seconds(file.or("bounds", "remember_s", 120.0)),
             order_gap: file.millis("bounds", "order_gap_ms", Duration::from_secs(3), 0..=600_000),
         };
         file.finish()?;
--- a/crates/entry/src/wave_ages.rs
+++ b/crates/entry/src/wave_ages.rs
@@ -15,25 +15,25 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use corianderfork_entry::wave_ages::Elapsed;
+/// use corianderfork_entry::wave_ages::WaveAges;
 /// use corianderfork_model::Time;
 ///
-/// let mut elapsed = Elapsed::default();
-/// elapsed.learn(Time::from_millis(500), 7, Duration::from_secs(20));
+/// let mut wave_ages = WaveAges::default();
+/// wave_ages.set(Time::from_millis(500), 7, Duration::from_secs(20));
 /// let now = Time::from_millis(1_500);
-/// assert_eq!(elapsed.age(now, 7, Time::from_millis(100)), Duration::from_secs(21));
+/// assert_eq!(wave_ages.age(now, 7, Time::from_millis(100)), Duration::from_secs(21));
 /// // Nothing was stored for the other wave.
-/// assert_eq!(elapsed.age(now, 8, Time::from_millis(100)), Duration::from_millis(1_400));
+/// assert_eq!(wave_ages.age(now, 8, Time::from_millis(100)), Duration::from_millis(1_400));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Elapsed {
+pub struct WaveAges {
     /// When each wave's age was read, and the stored age.
     read: BTreeMap<u64, (Time, Duration)>,
 }
 
-impl Elapsed {
+impl WaveAges {
     /// Records the age of a wave as it was last stored.
-    pub fn learn(&mut self, now: Time, wave: u64, written: Duration) {
+    pub fn set(&mut self, now: Time, wave: u64, written: Duration) {
         self.read.insert(wave, (now, written));
     }
 
--- a/crates/entry/tests/lookup.rs
+++ b/crates/entry/tests/lookup.rs
@@ -31,7 +31,7 @@
     let mut lookup = Lookup::new(POOL, ID);
     for records in seen {
         let LookupStep::Read(key) = lookup.next() else { break };
-        lookup.learn(records.get(&key).map(Vec::as_slice));
+        lookup.set_value(records.get(&key).map(Vec::as_slice));
     }
     lookup.next()
 }
--- a/crates/entry/tests/placement.rs
+++ b/crates/entry/tests/placement.rs
@@ -90,7 +90,7 @@
 fn search_record_and_route() {
     let mut search = Search::new(record(2, &["beta", "alpha"]), "gamma");
     assert_eq!(pools(&mut search), ["beta", "alpha", "gamma"]);
-    search.learn(record(2, &["beta", "alpha"]));
+    search.set_record(record(2, &["beta", "alpha"]));
     assert_eq!(search.next(), Step::Absent);
 }
 
@@ -102,7 +102,7 @@
     let mut search = Search::new(QueueRecord::Missing, "beta");
     assert_eq!(pools(&mut search), ["beta"]);
     assert_eq!(search.next(), Step::Record);
-    search.learn(record(2, &["beta", "alpha"]));
+    search.set_record(record(2, &["beta", "alpha"]));
     assert_eq!(pools(&mut search), ["alpha"]);
     assert_eq!(search.next(), Step::Absent);
 }
@@ -112,7 +112,7 @@
     let mut search = Search::new(record(2, &["beta", "alpha"]), "beta");
     search.mark_unclear();
     assert_eq!(pools(&mut search), ["alpha"]);
-    search.learn(record(2, &["beta", "alpha"]));
+    search.set_record(record(2, &["beta", "alpha"]));
     assert_eq!(search.next(), Step::Unclear);
 }
 
@@ -132,7 +132,7 @@
     for read in [QueueRecord::read(b"\xff{", 40), QueueRecord::Missing] {
         let mut search = Search::new(record(1, &["alpha"]), "alpha");
         assert_eq!(pools(&mut search), ["alpha"]);
-        search.learn(read);
+        search.set_record(read);
         assert_eq!(search.next(), Step::Unclear);
     }
 }
--- a/crates/entry/tests/predecessor.rs
+++ b/crates/entry/tests/predecessor.rs
@@ -42,7 +42,7 @@
 #[test]
 fn limit_unknown_while_one_may_grant() {
     let mut tracker = two_former_holders();
-    tracker.end(at(100), &former("e1", 1));
+    tracker.mark_ended(at(100), &former("e1", 1));
     assert_eq!(tracker.limit(), None);
     assert_eq!(tracker.to_query(), [former("e0", 1)]);
 }
@@ -51,7 +51,7 @@
 #[test]
 fn limit_after_a_restart() {
     let mut tracker = two_former_holders();
-    tracker.end(at(100), &former("e1", 1));
+    tracker.mark_ended(at(100), &former("e1", 1));
     let mut table = Table::default();
     table.members.insert("e0".to_owned(), member(1));
     tracker.observe(at(1_000), &table);
@@ -65,7 +65,7 @@
 #[test]
 fn limit_reported_by_the_last_holder() {
     let mut tracker = two_former_holders();
-    tracker.learn(at(1_000), &former("e1", 1), &grants(3_000));
+    tracker.record_report(at(1_000), &former("e1", 1), &grants(3_000));
     let limit = tracker.limit().unwrap();
     assert_eq!(limit.until, Time::ZERO, "its report covers all workers");
     assert_eq!(limit.by_worker["w0"], at(4_000));
@@ -75,8 +75,8 @@
 #[test]
 fn limit_reported_by_an_earlier_holder() {
     let mut tracker = two_former_holders();
-    tracker.end(at(500), &former("e1", 1));
-    tracker.learn(at(1_000), &former("e0", 1), &grants(9_000));
+    tracker.mark_ended(at(500), &former("e1", 1));
+    tracker.record_report(at(1_000), &former("e0", 1), &grants(9_000));
     let limit = tracker.limit().unwrap();
     assert_eq!(limit.until, at(500 + LONGEST_MS), "grants of the holder that ended");
     assert_eq!(limit.by_worker["w0"], at(10_000));
@@ -93,16 +93,16 @@
 #[test]
 fn limit_incomplete_list() {
     let mut tracker = Tracker::new(at(0), vec![former("e0", 1)], false, LEASE);
-    tracker.end(at(100), &former("e0", 1));
+    tracker.mark_ended(at(100), &former("e0", 1));
     assert_eq!(tracker.limit(), None);
-    tracker.learn(at(200), &former("e0", 1), &grants(1_000));
+    tracker.record_report(at(200), &former("e0", 1), &grants(1_000));
     assert!(tracker.limit().is_some(), "its report covers earlier holders");
 }
 
 #[test]
-fn end_of_another_process() {
+fn mark_ended_another_process() {
     let mut tracker = Tracker::new(at(0), vec![former("e0", 1)], true, LEASE);
-    tracker.end(at(100), &former("e0", 2));
+    tracker.mark_ended(at(100), &former("e0", 2));
     assert_eq!(tracker.limit(), None);
 }
 
