--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry VM; see the library of the same name.
+//! The executable of the entry daemon; see the library of the same name.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,11 +12,11 @@
         .env(corianderfork_adapter::SETTINGS)
         .value_parser(value_parser!(PathBuf))
         .required(true)
-        .help("The settings file, INI");
+        .help("Path of the settings file (INI)");
     let check = Arg::new("check")
         .long("check")
         .action(ArgAction::SetTrue)
-        .help("Check the settings and end");
+        .help("Check the settings and exit");
     let command = Command::new("corianderfork-entry")
         .about("Takes jobs from callers and runs them on the pools' workers")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/entry/src/owner/workers.rs
+++ b/crates/entry/src/owner/workers.rs
@@ -1,4 +1,4 @@
-//! Looks at workers and orders to them.
+//! Polls of workers, and orders to them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,38 +13,36 @@
 
 use super::{Owner, ms};
 use crate::clock;
-use crate::http::Failed;
+use crate::http::CallError;
 
-/// How long a worker may take over an answer, beside what it was asked to wait.
-const ANSWER: Duration = Duration::from_millis(700);
-/// How long a worker may take over an answer that is not known to answer: a
-/// takeover waits for the first look at each.
-const FIRST_ANSWER: Duration = Duration::from_millis(300);
-/// How often the pool is planned though nothing happened.
-const TICK: Duration = Duration::from_millis(60);
-/// The least time between two plannings: what happens together is planned for
-/// together.
-const TOGETHER: Duration = Duration::from_millis(3);
-/// The pause after a look that brought ends: the next ends come together. For
-/// each worker of the pool it grows by [`AFTER_ENDS_EACH`], so that the looks of
-/// an owner are bounded as its pool grows: 250 workers that end 11 tasks a second
-/// each would be looked at 2,750 times a second, which is 0.13 of a core at the
-/// 46 us that a call is charged.
-const AFTER_ENDS: Duration = Duration::from_millis(10);
-/// See [`AFTER_ENDS`].
-const AFTER_ENDS_EACH: Duration = Duration::from_micros(250);
-/// The pause after a look that brought only ends that are being written.
-const NOTHING_NEW: Duration = Duration::from_millis(40);
-/// The pause after a look without an answer.
-const AFTER_SILENCE: Duration = Duration::from_millis(200);
+/// How long a worker may take to respond, beyond the time that it is asked to wait.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// The same for a worker that hasn't responded before: a takeover waits for the first
+/// poll of each worker.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// How often the pool is planned without any event.
+const PLAN_INTERVAL: Duration = Duration::from_millis(60);
+/// The shortest time between two plans, so that simultaneous events are planned together.
+const MIN_PLAN_GAP: Duration = Duration::from_millis(3);
+/// The pause after a poll that returned ended tasks, so that the next ones come together.
+/// It grows by [`POLL_PAUSE_PER_WORKER`] for each worker of the pool, which bounds the
+/// polls of an owner: 250 workers that each end 11 tasks a second would be polled 2,750
+/// times a second, which is 0.13 of a core at the 46 us that a call is charged.
+const POLL_PAUSE_AFTER_ENDS: Duration = Duration::from_millis(10);
+/// See [`POLL_PAUSE_AFTER_ENDS`].
+const POLL_PAUSE_PER_WORKER: Duration = Duration::from_micros(250);
+/// The pause after a poll that returned only ends that are already being written.
+const POLL_PAUSE_NOTHING_NEW: Duration = Duration::from_millis(40);
+/// The pause after a poll that failed.
+const POLL_PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(200);
 
 impl Owner {
     pub(super) async fn plan_loop(self: Rc<Self>) {
         while !self.retired.get() && !self.halted.get() {
             self.plan();
-            tokio::time::sleep(TOGETHER).await;
-            // A tick without news is as good as news.
-            let _ = timeout(TICK, self.wake.notified()).await;
+            tokio::time::sleep(MIN_PLAN_GAP).await;
+            // Without an event, the pool is planned after PLAN_INTERVAL.
+            let _ = timeout(PLAN_INTERVAL, self.wake.notified()).await;
         }
     }
 
@@ -54,7 +52,7 @@
             let entries = self.node.workers_of(&self.name);
             self.pool.borrow_mut().set_workers(now, &entries);
         }
-        self.start_looks();
+        self.start_polls();
         self.ask_advice();
         if self.node.may_order() {
             let orders = self.pool.borrow_mut().plan(now, clock::wall_ms());
@@ -67,7 +65,7 @@
         if is_deposed {
             self.retire("a worker saw a higher fence");
         }
-        self.journal.notify_one();
+        self.write_wake.notify_one();
     }
 
     fn log_notes(&self) {
@@ -82,25 +80,25 @@
         }
     }
 
-    fn start_looks(self: &Rc<Self>) {
+    fn start_polls(self: &Rc<Self>) {
         let keys: Vec<worker::Key> = self.pool.borrow().workers().collect();
         for key in keys {
-            if self.looking.borrow_mut().insert(key) {
-                spawn_local(self.clone().look_loop(key));
+            if self.polled_workers.borrow_mut().insert(key) {
+                spawn_local(self.clone().poll_loop(key));
             }
         }
     }
 
-    async fn look_loop(self: Rc<Self>, key: worker::Key) {
+    async fn poll_loop(self: Rc<Self>, key: worker::Key) {
         let mut newest = None;
         while !self.retired.get() && !self.halted.get() {
             if !self.node.may_order() {
-                tokio::time::sleep(AFTER_SILENCE).await;
+                tokio::time::sleep(POLL_PAUSE_AFTER_FAILURE).await;
                 continue;
             }
             let sent = clock::now();
-            let Some(look) = self.pool.borrow_mut().next_poll(sent, key) else { break };
-            let answer = self.look(&look).await;
+            let Some(poll) = self.pool.borrow_mut().next_poll(sent, key) else { break };
+            let answer = self.poll(&poll).await;
             if self.retired.get() || self.halted.get() {
                 break;
             }
@@ -108,32 +106,39 @@
             self.wake.notify_one();
             match &answer {
                 Answer::Done(report) if report.exits.is_empty() => {
-                    // A worker that answers at once though asked to wait must
-                    // not be asked without a pause.
-                    if clock::now() - sent < AFTER_ENDS {
-                        tokio::time::sleep(AFTER_ENDS).await;
+                    // Pauses even if a worker responds at once although it was asked to wait.
+                    if clock::now() - sent < POLL_PAUSE_AFTER_ENDS {
+                        tokio::time::sleep(POLL_PAUSE_AFTER_ENDS).await;
                     }
                 }
                 Answer::Done(report) => {
                     let last = report.exits.iter().map(|ended| ended.number).max();
                     let is_new = last > newest;
                     newest = newest.max(last);
-                    let all = u32::try_from(self.looking.borrow().len()).unwrap_or(u32::MAX);
-                    let after = AFTER_ENDS + AFTER_ENDS_EACH.saturating_mul(all);
-                    tokio::time::sleep(if is_new { after } else { after.max(NOTHING_NEW) }).await;
+                    let worker_count =
+                        u32::try_from(self.polled_workers.borrow().len()).unwrap_or(u32::MAX);
+                    let pause =
+                        POLL_PAUSE_AFTER_ENDS + POLL_PAUSE_PER_WORKER.saturating_mul(worker_count);
+                    tokio::time::sleep(if is_new {
+                        pause
+                    } else {
+                        pause.max(POLL_PAUSE_NOTHING_NEW)
+                    })
+                    .await;
                 }
-                _ => tokio::time::sleep(AFTER_SILENCE).await,
+                _ => tokio::time::sleep(POLL_PAUSE_AFTER_FAILURE).await,
             }
         }
-        self.looking.borrow_mut().remove(&key);
+        self.polled_workers.borrow_mut().remove(&key);
     }
 
-    async fn look(&self, look: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
-        let call = wire::look(look);
-        let begun = clock::now();
-        let within = if look.deadline_ms.is_some() { ANSWER } else { FIRST_ANSWER };
-        let answer = self.node.client.call(look.address, &call, look.wait + within).await;
-        self.count("look", begun, answer.is_ok());
+    async fn poll(&self, poll: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
+        let call = wire::look(poll);
+        let started = clock::now();
+        let within =
+            if poll.deadline_ms.is_some() { RESPONSE_TIMEOUT } else { FIRST_RESPONSE_TIMEOUT };
+        let answer = self.node.client.call(poll.address, &call, poll.wait + within).await;
+        self.count("look", started, answer.is_ok());
         match answer {
             Ok((status, body)) => wire::looked(status, &body).unwrap_or(Answer::Lost),
             Err(_) => Answer::Lost,
@@ -142,26 +147,26 @@
 
     async fn send(self: Rc<Self>, order: Order) {
         let call = wire::order(&order);
-        let begun = clock::now();
-        let answer = self.node.client.call(order.address, &call, ANSWER).await;
-        self.count("order", begun, answer.is_ok());
+        let started = clock::now();
+        let answer = self.node.client.call(order.address, &call, RESPONSE_TIMEOUT).await;
+        self.count("order", started, answer.is_ok());
         let answer = match answer {
             Ok((status, body)) => wire::ordered(status, &body).unwrap_or(Answer::Lost),
-            Err(Failed::Unsent | Failed::Lost) => Answer::Lost,
+            Err(CallError::Unsent | CallError::Lost) => Answer::Lost,
         };
         if !matches!(answer, Answer::Done(_)) {
             self.node.trace.line(
                 "order not confirmed",
                 json!({ "task": wire::task(order.task), "run": order.run, "worker": order.id,
-                    "answer": format!("{answer:?}"), "took_ms": ms(clock::now() - begun) }),
+                    "answer": format!("{answer:?}"), "took_ms": ms(clock::now() - started) }),
             );
         }
         self.pool.borrow_mut().handle_order_answer(clock::now(), &order, &answer);
         self.wake.notify_one();
     }
 
-    pub(super) fn count(&self, kind: &str, begun: Time, is_answered: bool) {
+    pub(super) fn count(&self, kind: &str, started: Time, is_answered: bool) {
         let outcome = if is_answered { "answered" } else { "failed" };
-        self.node.metrics.worker(kind, outcome, clock::now() - begun);
+        self.node.metrics.worker(kind, outcome, clock::now() - started);
     }
 }
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -1,47 +1,47 @@
-//! Which pools a queue's jobs may lie in, and when a job is known to be in none.
+//! The pools that may hold a queue's jobs, and when a job is known to be in none.
 //!
-//! A job stays in the pool in which it was accepted when operators send its queue
-//! to another one. The list of these pools is a record in the store: what one
-//! process remembers of earlier configurations is lost with it, and a daemon that
-//! starts later would take accepted jobs for unknown. Pure: [`Placement`] says
-//! where new jobs go, [`Search`] where to look for one and what may be concluded.
+//! A job stays in the pool in which it was accepted when operators route its queue to
+//! another one. The list of these pools is a record in the store: a process loses what it
+//! remembers of earlier configurations when it ends, and a daemon that starts later would
+//! take accepted jobs for unknown. This module does no I/O: [`Placement`] decides where new
+//! jobs go, [`Search`] where to look for a job and what follows.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-/// The prefix of queues' records; the name follows.
-pub const QUEUES: &str = "entry/queue/";
+/// The key prefix of queues' records; the name follows.
+pub const QUEUE_PREFIX: &str = "entry/queue/";
 
-/// The key of a queue's record.
+/// Returns the key of a queue's record.
 pub fn queue_key(queue: &str) -> String {
-    format!("{QUEUES}{queue}")
+    format!("{QUEUE_PREFIX}{queue}")
 }
 
-/// The pools that a queue's jobs may lie in, as the store keeps them. A pool is
-/// added by the write that accepts the first job there, and none is removed.
+/// The pools that may hold a queue's jobs, as stored. A pool is added by the write that
+/// accepts the first job there, and none is removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Places {
+pub struct PoolList {
     /// The version of the configuration that named the first pool.
     pub version: u64,
     /// The pools, the newest first.
     pub pools: Vec<String>,
 }
 
-/// What is known of a queue's record.
+/// A queue's record, as far as known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Entry {
-    /// There is none: nothing was accepted yet.
+pub enum QueueRecord {
+    /// There is none: no job was accepted yet.
     #[default]
     Missing,
-    /// It can be read.
-    Whole {
+    /// It could be decoded.
+    Valid {
         /// Its revision.
         revision: u64,
-        /// What it says.
-        places: Places,
+        /// Its content.
+        pool_list: PoolList,
     },
-    /// Another writer laid something else there, or removed it (revision 0): the
+    /// Another writer overwrote it with something else or removed it (revision 0): the
     /// pools aren't known.
     Damaged {
         /// Its revision.
@@ -49,99 +49,105 @@
     },
 }
 
-impl Entry {
-    /// Reads a record.
+impl QueueRecord {
+    /// Decodes a record.
     ///
     /// ```
-    /// use corianderfork_entry::placement::Entry;
+    /// use corianderfork_entry::placement::QueueRecord;
     ///
-    /// assert_eq!(Entry::read(b"\xff{", 7), Entry::Damaged { revision: 7 });
+    /// assert_eq!(QueueRecord::read(b"\xff{", 7), QueueRecord::Damaged { revision: 7 });
     /// ```
     pub fn read(value: &[u8], revision: u64) -> Self {
-        match serde_json::from_slice::<Places>(value) {
-            Ok(places) if !places.pools.is_empty() => Self::Whole { revision, places },
+        match serde_json::from_slice::<PoolList>(value) {
+            Ok(pool_list) if !pool_list.pools.is_empty() => Self::Valid { revision, pool_list },
             _ => Self::Damaged { revision },
         }
     }
 
-    /// The revision that a write expects; 0 if there is no record.
+    /// Returns the revision that a write expects; 0 if there is no record.
     pub const fn revision(&self) -> u64 {
         match self {
             Self::Missing => 0,
-            Self::Whole { revision, .. } | Self::Damaged { revision } => *revision,
+            Self::Valid { revision, .. } | Self::Damaged { revision } => *revision,
         }
     }
 
-    /// The pools that it names.
+    /// Returns the pools that it names.
     pub fn pools(&self) -> &[String] {
         match self {
-            Self::Whole { places, .. } => &places.pools,
+            Self::Valid { pool_list, .. } => &pool_list.pools,
             Self::Missing | Self::Damaged { .. } => &[],
         }
     }
 }
 
-/// Where a configuration sends a queue.
+/// The pool to which a configuration routes a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Way {
+pub struct QueueRoute {
     /// The configuration's version.
     pub version: u64,
     /// The pool.
     pub pool: String,
 }
 
-/// Where a queue's new jobs go.
+/// The placement of a queue's new jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The revision that the queue's record must still have.
     pub revision: u64,
     /// The pool.
     pub pool: String,
-    /// The other pools in which a job may lie that is handed in again.
+    /// The other pools that may hold a job that is submitted again.
     pub earlier: Vec<String>,
-    /// What the record is to say from now on, if something else than it does.
-    pub change: Option<Places>,
+    /// The new content of the record, if it has to change.
+    pub change: Option<PoolList>,
 }
 
 impl Placement {
-    /// Places jobs by what is known of the record. `all` are the pools that have
-    /// an owner: where the record is damaged, each may hold some of the queue's jobs.
+    /// Places jobs according to the known record. `owned_pools` are the pools that have an owner:
+    /// if the record is damaged, each may hold some of the queue's jobs.
     ///
-    /// A gateway whose configuration is older than the record's doesn't send the
-    /// queue back: it follows the record. Otherwise two gateways, of which one
-    /// hasn't heard of the newest configuration yet, would move the queue to and
-    /// fro.
+    /// A gateway whose configuration is older than the record follows the record. Otherwise
+    /// two gateways, one of which hasn't received the newest configuration yet, would move
+    /// the queue back and forth.
     ///
     /// ```
-    /// use corianderfork_entry::placement::{Entry, Placement, Way};
+    /// use corianderfork_entry::placement::{QueueRecord, Placement, QueueRoute};
     ///
-    /// let way = Way { version: 1, pool: "alpha".to_owned() };
-    /// let first = Placement::new(&Entry::Missing, &way, []);
+    /// let queue_route = QueueRoute { version: 1, pool: "alpha".to_owned() };
+    /// let first = Placement::new(&QueueRecord::Missing, &queue_route, []);
     /// assert_eq!((first.revision, first.pool.as_str()), (0, "alpha"));
     /// assert!(first.change.is_some());
     /// ```
-    pub fn new<'a>(entry: &'a Entry, way: &Way, all: impl IntoIterator<Item = &'a str>) -> Self {
-        let revision = entry.revision();
-        let before: Vec<&str> = match entry {
-            Entry::Whole { places, .. }
-                if places.pools[0] == way.pool || places.version >= way.version =>
+    pub fn new<'a>(
+        record: &'a QueueRecord,
+        queue_route: &QueueRoute,
+        owned_pools: impl IntoIterator<Item = &'a str>,
+    ) -> Self {
+        let revision = record.revision();
+        let earlier_pools: Vec<&str> = match record {
+            QueueRecord::Valid { pool_list, .. }
+                if pool_list.pools[0] == queue_route.pool
+                    || pool_list.version >= queue_route.version =>
             {
-                let (first, earlier) = (places.pools[0].clone(), places.pools[1..].to_vec());
+                let (first, earlier) = (pool_list.pools[0].clone(), pool_list.pools[1..].to_vec());
                 return Self { revision, pool: first, earlier, change: None };
             }
-            Entry::Whole { places, .. } => places.pools.iter().map(String::as_str).collect(),
-            Entry::Damaged { .. } => all.into_iter().collect(),
-            Entry::Missing => Vec::new(),
+            QueueRecord::Valid { pool_list, .. } => {
+                pool_list.pools.iter().map(String::as_str).collect()
+            }
+            QueueRecord::Damaged { .. } => owned_pools.into_iter().collect(),
+            QueueRecord::Missing => Vec::new(),
         };
-        let earlier = before.into_iter().filter(|pool| *pool != way.pool);
+        let earlier = earlier_pools.into_iter().filter(|pool| *pool != queue_route.pool);
         let earlier: Vec<String> = earlier.map(str::to_owned).collect();
-        let pools = std::iter::once(&way.pool).chain(&earlier).cloned().collect();
-        let change = Some(Places { version: way.version, pools });
-        Self { revision, pool: way.pool.clone(), earlier, change }
+        let pools = std::iter::once(&queue_route.pool).chain(&earlier).cloned().collect();
+        let change = Some(PoolList { version: queue_route.version, pools });
+        Self { revision, pool: queue_route.pool.clone(), earlier, change }
     }
 }
 
-/// What a [`Search`] asks for or concludes.
+/// The next step or the result of a [`Search`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Look in this pool.
@@ -150,44 +156,44 @@
     Record,
     /// The job is in no pool.
     Absent,
-    /// It isn't known whether there is such a job.
+    /// It isn't known whether the job exists.
     Unclear,
 }
 
-/// Looks for a job in the pools of its queue.
+/// Searches for a job in the pools of its queue.
 ///
-/// What a daemon knows of the record may be older than the job. So before the
-/// search ends without a finding the record is read: a pool is in it before a job
-/// is in the pool. Without that, a caller whose job was just accepted by another
-/// entry VM, in the queue's new pool, is told that there is no such job.
+/// The record known to this daemon may be older than the job. So before the search concludes
+/// that the job is absent, the record is read: a pool is in it before a job is in the pool.
+/// Otherwise a caller whose job was just accepted by another entry VM, in the queue's new
+/// pool, would be told that there is no such job.
 ///
 /// ```
-/// use corianderfork_entry::placement::{Entry, Search, Step};
+/// use corianderfork_entry::placement::{QueueRecord, Search, Step};
 ///
-/// let mut search = Search::new(Entry::Missing, "alpha");
+/// let mut search = Search::new(QueueRecord::Missing, "alpha");
 /// assert_eq!(search.next(), Step::Pool("alpha".to_owned()));
-/// search.absent();
+/// search.mark_absent();
 /// assert_eq!(search.next(), Step::Record);
-/// search.learn(Entry::Missing);
+/// search.set_record(QueueRecord::Missing);
 /// assert_eq!(search.next(), Step::Absent);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Search {
-    known: Entry,
+    known: QueueRecord,
     searched: Vec<String>,
-    left: VecDeque<String>,
+    remaining_pools: VecDeque<String>,
     is_read: bool,
     is_unclear: bool,
 }
 
 impl Search {
-    /// Looks in the pools of a record, as it is known so far, and in the pool to
-    /// which the queue is sent now.
-    pub fn new(known: Entry, pool: &str) -> Self {
+    /// Starts a search of the pools of a record as known so far, and of the pool to which the
+    /// queue is routed now.
+    pub fn new(known: QueueRecord, pool: &str) -> Self {
         let mut search = Self {
-            known: Entry::Missing,
+            known: QueueRecord::Missing,
             searched: Vec::new(),
-            left: VecDeque::new(),
+            remaining_pools: VecDeque::new(),
             is_read: false,
             is_unclear: false,
         };
@@ -199,15 +205,15 @@
 
     fn add(&mut self, pools: &[String]) {
         for pool in pools {
-            if !self.searched.contains(pool) && !self.left.contains(pool) {
-                self.left.push_back(pool.clone());
+            if !self.searched.contains(pool) && !self.remaining_pools.contains(pool) {
+                self.remaining_pools.push_back(pool.clone());
             }
         }
     }
 
-    /// What to do next, or what is concluded.
+    /// Returns the next step, or the result.
     pub fn next(&self) -> Step {
-        match self.left.front() {
+        match self.remaining_pools.front() {
             Some(pool) => Step::Pool(pool.clone()),
             None if !self.is_read => Step::Record,
             None if self.is_unclear => Step::Unclear,
@@ -215,27 +221,27 @@
         }
     }
 
-    /// The job isn't in the pool that [`Search::next`] named.
-    pub fn absent(&mut self) {
-        self.searched.extend(self.left.pop_front());
+    /// Records that the job isn't in the pool that [`Search::next`] named.
+    pub fn mark_absent(&mut self) {
+        self.searched.extend(self.remaining_pools.pop_front());
     }
 
-    /// Whether the job is in the pool that [`Search::next`] named isn't known, or
-    /// the record could not be read from the store.
-    pub fn unclear(&mut self) {
+    /// Records that it isn't known whether the job is in the pool that [`Search::next`]
+    /// named, or that the queue's record could not be read.
+    pub fn mark_unclear(&mut self) {
         self.is_unclear = true;
-        if self.left.is_empty() {
+        if self.remaining_pools.is_empty() {
             self.is_read = true;
         }
-        self.absent();
+        self.mark_absent();
     }
 
-    /// Takes the record in, as it was just read from the store.
-    pub fn learn(&mut self, entry: Entry) {
+    /// Records the queue's record as just read from the store.
+    pub fn set_record(&mut self, record: QueueRecord) {
         self.is_read = true;
-        // One that was there is never removed by a daemon.
-        let is_removed = entry == Entry::Missing && self.known != Entry::Missing;
-        self.is_unclear |= is_removed || matches!(entry, Entry::Damaged { .. });
-        self.add(entry.pools());
+        // No daemon removes an existing record.
+        let is_removed = record == QueueRecord::Missing && self.known != QueueRecord::Missing;
+        self.is_unclear |= is_removed || matches!(record, QueueRecord::Damaged { .. });
+        self.add(record.pools());
     }
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 on an address.
+//! An HTTP/1.1 server.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -20,70 +20,70 @@
 
 use crate::trace::Trace;
 
-/// How long a caller may take over the head of a request.
-const HEAD: Duration = Duration::from_secs(15);
-/// The pause after an accept failed, for want of descriptors as a rule.
+/// How long a client may take to send the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
+/// The pause after a failed accept, which usually means that descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request, read whole.
+/// A request with its whole body.
 #[derive(Debug)]
-pub struct Asked {
+pub struct HttpRequest {
     /// The method.
     pub method: String,
-    /// The host that it names.
+    /// The requested host.
     pub host: String,
     /// The path.
     pub path: String,
-    /// How long the caller waits, if it says so, in milliseconds.
+    /// The caller's deadline in milliseconds, if it has one.
     pub deadline_ms: Option<u64>,
-    /// The body; `None` if it was longer than is taken.
+    /// The body; `None` if it was too long or incomplete.
     pub body: Option<Bytes>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct HttpResponse {
     /// The status.
     pub status: u16,
     /// The body, as JSON or text.
     pub body: Vec<u8>,
-    /// When to come back, in seconds.
+    /// The `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
 }
 
-impl Told {
-    /// An answer without a request to come back.
+impl HttpResponse {
+    /// Returns a response without a `Retry-After` header.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Self { status, body, retry_after: None }
     }
 }
 
-/// Answers requests.
-pub type Handler = Rc<dyn Fn(Asked) -> Pin<Box<dyn Future<Output = Told>>>>;
+/// A request handler.
+pub type Handler = Rc<dyn Fn(HttpRequest) -> Pin<Box<dyn Future<Output = HttpResponse>>>>;
 
-/// What is open on one address, and whether it is to be closed.
+/// The load and limits of one address.
 #[derive(Clone, Default)]
 pub struct Gauge {
-    /// What the address is for.
+    /// The purpose of the address.
     pub name: &'static str,
     /// Open connections.
     pub connections: Rc<Cell<usize>>,
-    /// Requests being answered.
+    /// Requests in progress.
     pub requests: Rc<Cell<usize>>,
-    /// Whether each answer is the last on its connection.
+    /// Whether connections are closed after their next response.
     pub closing: Rc<Cell<bool>>,
-    /// Most connections at once.
-    pub most: Rc<Cell<usize>>,
-    /// Connections that were closed unheard since there were so many.
-    pub closed: Rc<Cell<usize>>,
-    /// The longest body that is taken.
+    /// The most open connections.
+    pub max_connections: Rc<Cell<usize>>,
+    /// Connections closed at once because of that limit.
+    pub rejected: Rc<Cell<usize>>,
+    /// The longest accepted body, in bytes.
     pub max_body: Rc<Cell<usize>>,
 }
 
 impl Gauge {
-    /// What is open on the address `name`, `most` connections at once.
-    pub fn new(name: &'static str, most: usize) -> Self {
-        Self { name, most: Rc::new(Cell::new(most)), ..Self::default() }
+    /// Returns the gauge of the address `name`, which allows `max_connections`.
+    pub fn new(name: &'static str, max_connections: usize) -> Self {
+        Self { name, max_connections: Rc::new(Cell::new(max_connections)), ..Self::default() }
     }
 }
 
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the address can't be had.
+/// Fails if the address can't be bound.
 pub async fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
@@ -101,14 +101,14 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Past the bound a connection is closed at once: descriptors
-                // are needed for the store and the workers.
-                if gauge.connections.get() < gauge.most.get() {
-                    spawn_local(connection(stream, gauge.clone(), handler.clone()));
+                // Beyond the limit a connection is closed at once: descriptors are needed
+                // for the store and the workers.
+                if gauge.connections.get() < gauge.max_connections.get() {
+                    spawn_local(handle_connection(stream, gauge.clone(), handler.clone()));
                 } else {
-                    gauge.closed.set(gauge.closed.get() + 1);
+                    gauge.rejected.set(gauge.rejected.get() + 1);
                     trace.line(
-                        "connection closed unheard",
+                        "connection rejected",
                         json!({ "address": gauge.name, "open": gauge.connections.get() }),
                     );
                 }
@@ -118,42 +118,42 @@
     }
 }
 
-struct Counted(Rc<Cell<usize>>);
+struct CountGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl CountGuard {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-async fn connection(stream: TcpStream, gauge: Gauge, handler: Handler) {
-    let _open = Counted::new(&gauge.connections);
+async fn handle_connection(stream: TcpStream, gauge: Gauge, handler: Handler) {
+    let _open = CountGuard::new(&gauge.connections);
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
         let (gauge, handler) = (gauge.clone(), handler.clone());
         async move {
-            let _busy = Counted::new(&gauge.requests);
-            let asked = read(request, gauge.max_body.get()).await;
-            let told = handler(asked).await;
-            respond(told, gauge.closing.get())
+            let _busy = CountGuard::new(&gauge.requests);
+            let http_request = read_request(request, gauge.max_body.get()).await;
+            let http_response = handler(http_request).await;
+            build_response(http_response, gauge.closing.get())
         }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // A caller that breaks off is no fault of ours.
+    // A connection broken by the client is not an error of this process.
     let _ = served.await;
 }
 
-async fn read(request: Request<Incoming>, max_body: usize) -> Asked {
+async fn read_request(request: Request<Incoming>, max_body: usize) -> HttpRequest {
     let (head, body) = request.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let host = text("host").or_else(|| head.uri.host()).unwrap_or_default().to_owned();
@@ -161,18 +161,22 @@
     let path = head.uri.path().to_owned();
     let body = Limited::new(body, max_body).collect().await;
     let body = body.ok().map(http_body_util::Collected::to_bytes);
-    Asked { method: head.method.as_str().to_owned(), host, path, deadline_ms, body }
+    HttpRequest { method: head.method.as_str().to_owned(), host, path, deadline_ms, body }
 }
 
-fn respond(told: Told, is_last: bool) -> Result<Response<Full<Bytes>>, hyper::http::Error> {
-    let status = StatusCode::from_u16(told.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+fn build_response(
+    http_response: HttpResponse,
+    is_last: bool,
+) -> Result<Response<Full<Bytes>>, hyper::http::Error> {
+    let status =
+        StatusCode::from_u16(http_response.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response =
         Response::builder().status(status).header(header::CONTENT_TYPE, "application/json");
-    if let Some(seconds) = told.retry_after {
+    if let Some(seconds) = http_response.retry_after {
         response = response.header(header::RETRY_AFTER, seconds);
     }
     if is_last {
         response = response.header(header::CONNECTION, "close");
     }
-    response.body(Full::new(Bytes::from(told.body)))
+    response.body(Full::new(Bytes::from(http_response.body)))
 }
