--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,76 +1,79 @@
-//! What has to be left while VMs are taken out on purpose.
+//! Checks disruption budgets: whether a VM may be taken out of service.
 //!
-//! The budget counts what serves now. A copy that is lost, failing, warming
-//! or away for maintenance is not there, whatever the reason: so an unplanned
-//! failure spends the same budget as a wave, and makes the wave wait.
+//! A budget counts only copies that are ready now. Copies that are lost,
+//! failing, warming up or in maintenance don't count, whatever the cause. An
+//! unplanned failure therefore uses up the same budget as a wave, and makes the
+//! wave wait.
 
 use corianderfork_model::arena::Id;
 use corianderfork_model::place::VmId;
 use corianderfork_model::service::{Outlasts, ServiceId};
 
-use crate::failure_domain::spread;
-use crate::view::{Place, Standing, View};
+use crate::failure_domain::copies_to_survive;
+use crate::view::{CopyStatus, Placement, View};
 
-/// The first service that can't spare `vm`, if there is one.
-pub(crate) fn blocks(view: &View<'_>, vm: VmId) -> Option<ServiceId> {
+/// Returns the first service whose budget does not allow to take `vm` out.
+pub(crate) fn blocking_service(view: &View<'_>, vm: VmId) -> Option<ServiceId> {
     let services = view.state.vm(vm).copies.iter().map(|copy| copy.service);
-    services.into_iter().find(|&service| !spares(view, service, vm))
+    services.into_iter().find(|&service| !can_spare(view, service, vm))
 }
 
-/// Whether `service` keeps its budget without its copy on `vm`.
-pub(crate) fn spares(view: &View<'_>, service: ServiceId, vm: VmId) -> bool {
-    let able = |place: &Place| place.standing == Standing::Able;
-    let here = |place: &Place| place.vm == vm && able(place);
-    if view.count(service, here) == 0 {
+/// Whether the budget of `service` allows to take out its copy on `vm`.
+pub(crate) fn can_spare(view: &View<'_>, service: ServiceId, vm: VmId) -> bool {
+    let is_ready = |placement: &Placement| placement.status == CopyStatus::Ready;
+    let on_vm = |placement: &Placement| placement.vm == vm && is_ready(placement);
+    if view.count_copies(service, on_vm) == 0 {
         return true;
     }
     let floor = Floor::new(view, service);
-    let rest = |place: &Place| able(place) && place.vm != vm;
-    view.count(service, rest) >= floor.able && view.left(service, floor.level, rest) >= floor.need
+    let rest = |placement: &Placement| is_ready(placement) && placement.vm != vm;
+    view.count_copies(service, rest) >= floor.ready
+        && view.surviving(service, floor.level, rest) >= floor.surviving
 }
 
-/// What a service has to keep while VMs are taken out on purpose.
+/// The minimum that a service has to keep during planned maintenance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Floor {
-    /// Copies able to serve.
-    pub(crate) able: u32,
-    /// Copies left after a failure of `level`.
-    pub(crate) need: u32,
-    /// The failure to be outlasted beside the planned stop.
+    /// The number of ready copies.
+    pub(crate) ready: u32,
+    /// The number of copies that have to survive a failure of `level`.
+    pub(crate) surviving: u32,
+    /// The unplanned failure to survive on top of the planned one.
     pub(crate) level: Outlasts,
 }
 
 impl Floor {
     pub(crate) fn new(view: &View<'_>, service: ServiceId) -> Self {
-        let row = view.fleet.service(service);
+        let spec = view.fleet.service(service);
         let demand = view.demands[service.index()];
-        let least = row.budget.min_copies;
-        if view.directive.shed.is_some_and(|class| row.class <= class) {
-            return Self { able: least, need: least, level: Outlasts::Nothing };
+        let min = spec.budget.min_copies;
+        if view.directive.shed.is_some_and(|class| spec.class <= class) {
+            return Self { ready: min, surviving: min, level: Outlasts::Nothing };
         }
         if demand.stale {
-            // Nobody knows what the load is: nothing can be spared.
-            return Self { able: u32::MAX, need: u32::MAX, level: Outlasts::Nothing };
+            // The load is unknown, so no copy can be spared.
+            return Self { ready: u32::MAX, surviving: u32::MAX, level: Outlasts::Nothing };
         }
-        let named = view.level(service);
-        let domains = view.domains(row.pool, named);
-        let level = if domains < 2 { Outlasts::Nothing } else { named };
-        // The least copies too are to be left after the failure: else it takes
-        // the service below its budget when it hits in the middle of a wave.
-        let most = row.budget.max_copies.min(row.licences);
-        let need = demand.upcoming.max(least).min(most);
-        let want = spread(need, level, domains).max(least);
-        let able = want.saturating_sub(row.budget.unavailable.of(want)).max(need).max(least);
-        Self { able, need, level }
+        let current = view.failure_level(service);
+        let domains = view.domains(spec.pool, current);
+        let level = if domains < 2 { Outlasts::Nothing } else { current };
+        // The minimum has to survive the failure too; otherwise a failure during
+        // a wave would take the service below its budget.
+        let max = spec.budget.max_copies.min(spec.licences);
+        let surviving = demand.upcoming.max(min).min(max);
+        let desired = copies_to_survive(surviving, level, domains).max(min);
+        let ready =
+            desired.saturating_sub(spec.budget.unavailable.of(desired)).max(surviving).max(min);
+        Self { ready, surviving, level }
     }
 }
 
-/// Copies of `service` that are missing before one can be spared.
-pub(crate) fn missing(view: &View<'_>, service: ServiceId) -> u32 {
+/// Returns how many more copies `service` needs before one can be taken out.
+pub(crate) fn missing_copies(view: &View<'_>, service: ServiceId) -> u32 {
     let floor = Floor::new(view, service);
-    let able = |place: &Place| place.standing == Standing::Able;
-    let have = view.count(service, able);
-    let left = view.left(service, floor.level, able);
-    let short = floor.able.saturating_sub(have).max(floor.need.saturating_sub(left));
-    short.saturating_add(1).min(view.fleet.service(service).licences.saturating_add(1))
+    let is_ready = |placement: &Placement| placement.status == CopyStatus::Ready;
+    let ready = view.count_copies(service, is_ready);
+    let survivors = view.surviving(service, floor.level, is_ready);
+    let shortage = floor.ready.saturating_sub(ready).max(floor.surviving.saturating_sub(survivors));
+    shortage.saturating_add(1).min(view.fleet.service(service).licences.saturating_add(1))
 }
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,8 +1,8 @@
-//! The best VM for a copy.
+//! Selects the VM for a new copy.
 //!
-//! A copy is placed where fewest of its service stand, by data centre, then
-//! rack; among equal places the fullest VM is taken, so that whole VMs stay
-//! empty and can be maintained or lent without a move.
+//! A copy goes to the data centre, then the rack, with the fewest copies of its
+//! service. Among equals, the VM with the highest processor use wins, so that
+//! some VMs stay empty and can be maintained or lent without moving copies.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -13,27 +13,31 @@
 
 use crate::failure_domain::domain;
 use crate::target::Target;
-use crate::view::{Host, Place, View};
+use crate::view::{Placement, View, VmStatus};
 use crate::wave;
 
-/// How long a VM is left alone after a start failed on it.
-const REST: Duration = Duration::from_secs(10 * 60);
+/// How long a VM gets no new copies after a start failed on it.
+const START_BACKOFF: Duration = Duration::from_secs(10 * 60);
 
-/// The best VM for one more copy of `service`.
-pub(crate) fn best(view: &View<'_>, service: ServiceId) -> Option<VmId> {
+/// Returns the best VM for another copy of `service`.
+pub(crate) fn best_vm(view: &View<'_>, service: ServiceId) -> Option<VmId> {
     let fleet = view.fleet;
-    let near = |level: Outlasts, vm: VmId| {
-        let here = domain(fleet, level, vm);
-        view.count(service, |place| place.remains() && domain(fleet, level, place.vm) == here)
+    let copies_in_domain = |level: Outlasts, vm: VmId| {
+        let own = domain(fleet, level, vm);
+        view.count_copies(service, |placement| {
+            placement.will_remain() && domain(fleet, level, placement.vm) == own
+        })
     };
-    let vms = view.pool(fleet.service(service).pool).iter().copied();
-    let open = vms.filter(|vm| view.hosts[vm.index()] == Host::Usable && !rests(view, *vm));
-    let fitting = open.filter(|&vm| !view.carries(vm, service) && view.fits(vm, service));
+    let vms = view.pool_vms(fleet.service(service).pool).iter().copied();
+    let available = vms.filter(|vm| {
+        view.vm_statuses[vm.index()] == VmStatus::Usable && !is_backing_off(view, *vm)
+    });
+    let fitting = available.filter(|&vm| !view.has_copy(vm, service) && view.fits(vm, service));
     fitting.min_by_key(|&vm| {
         (
             view.state.vm(vm).failed_starts,
-            near(Outlasts::DataCentre, vm),
-            near(Outlasts::Rack, vm),
+            copies_in_domain(Outlasts::DataCentre, vm),
+            copies_in_domain(Outlasts::Rack, vm),
             wave::is_pending(view, vm),
             Reverse(view.used[vm.index()].milli_cores),
             vm,
@@ -41,27 +45,35 @@
     })
 }
 
-/// Whether a copy on `vm` lets more be left after the worst failure.
-pub(crate) fn helps(view: &View<'_>, service: ServiceId, target: Target, vm: VmId) -> bool {
+/// Whether another copy on `vm` increases the number of copies that survive the
+/// worst failure, or the service has fewer copies than its target.
+pub(crate) fn improves_survival(
+    view: &View<'_>,
+    service: ServiceId,
+    target: Target,
+    vm: VmId,
+) -> bool {
     let fleet = view.fleet;
     let chosen = domain(fleet, target.level, vm);
-    let inside = view
-        .count(service, |place| place.remains() && domain(fleet, target.level, place.vm) == chosen);
-    let worst = view.count(service, Place::remains) - left(view, service, target);
-    let wanted = view.count(service, Place::remains) < target.want;
-    inside < worst || wanted
+    let inside = view.count_copies(service, |placement| {
+        placement.will_remain() && domain(fleet, target.level, placement.vm) == chosen
+    });
+    let worst_loss =
+        view.count_copies(service, Placement::will_remain) - survivors(view, service, target);
+    let below_target = view.count_copies(service, Placement::will_remain) < target.desired;
+    inside < worst_loss || below_target
 }
 
-/// Copies left after the failure that the target names.
-pub(crate) fn left(view: &View<'_>, service: ServiceId, target: Target) -> u32 {
-    view.left(service, target.level, Place::remains)
+/// Returns how many copies survive the failure that the target covers.
+pub(crate) fn survivors(view: &View<'_>, service: ServiceId, target: Target) -> u32 {
+    view.surviving(service, target.level, Placement::will_remain)
 }
 
-/// Whether `vm` is left alone for now because starts failed on it: each
-/// failure doubles the time. One that fails fast is empty, and would be the
-/// best place again and again.
-fn rests(view: &View<'_>, vm: VmId) -> bool {
+/// Whether `vm` gets no new copies for now because starts failed on it. The
+/// delay doubles with each failure. Without it, a VM on which copies fail fast
+/// would be empty and be selected again and again.
+fn is_backing_off(view: &View<'_>, vm: VmId) -> bool {
     let vm = view.state.vm(vm);
     let Some(doublings) = vm.failed_starts.checked_sub(1) else { return false };
-    view.age(vm.failed_at) < REST * (1 << doublings.min(6))
+    view.age(vm.failed_at) < START_BACKOFF * (1 << doublings.min(6))
 }
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,20 +1,20 @@
-//! The constants of the decisions, with the values the measurements chose.
+//! Tuning parameters of the decisions. The defaults come from measurements.
 
 use std::time::Duration;
 
 /// How the width of a wave grows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Width {
-    /// This many VMs at once, always.
+    /// Always this many VMs at once.
     Fixed(u32),
-    /// One at first; each VM that comes back well makes room for two.
+    /// Starts with one VM; each VM that comes back healthy allows one more.
     Doubling,
-    /// One at first; each VM that comes back well makes room for two, and for
-    /// three once copies answer on it.
+    /// Starts with one VM; each VM that comes back healthy allows one more, or
+    /// two more if it has copies and all of them answer.
     Tripling,
 }
 
-/// How decisions are made where the operators' configuration leaves it open.
+/// Parameters that the operators' configuration does not set.
 ///
 /// ```
 /// use corianderfork_policy::Config;
@@ -59,83 +59,83 @@
 }
 
 impl Config {
-    /// The defaults.
+    /// Returns the defaults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How many standard deviations above the mean an estimate is taken. By
-    /// Cantelli's inequality, at most 1 in 1 + k² values lies above it,
-    /// whatever their distribution: 1 in 10 for the default of 3.
+    /// Sets how many standard deviations an estimate lies above the mean. By
+    /// Cantelli's inequality, at most 1 in 1 + k² values exceeds it, whatever
+    /// their distribution: 1 in 10 for the default of 3.
     pub fn deviations(mut self, k: f64) -> Self {
         self.deviations = k;
         self
     }
 
-    /// How many reports weigh as much as a declared size or run time.
+    /// Sets the number of reports that weigh as much as a declared size.
     pub fn prior_weight(mut self, reports: f64) -> Self {
         self.prior_weight = reports;
         self
     }
 
-    /// How long a copy is kept after the load last called for it. By default
-    /// it follows from the fleet's weights: as long as keeping it costs less
+    /// Sets how long a copy is kept after the load last required it. The default
+    /// follows from the fleet's weights: as long as keeping the copy costs less
     /// than stopping it and starting it again.
-    pub fn hold_time(mut self, hold_time: Duration) -> Self {
-        self.hold_time = Some(hold_time);
+    pub fn hold_time(mut self, time: Duration) -> Self {
+        self.hold_time = Some(time);
         self
     }
 
-    /// Whether the load at the same hour of the days before counts.
-    pub fn daily_profile(mut self, on: bool) -> Self {
-        self.daily_profile = on;
+    /// Sets whether sizing uses the previous day's load at the same hour.
+    pub fn daily_profile(mut self, enabled: bool) -> Self {
+        self.daily_profile = enabled;
         self
     }
 
-    /// How long a lost VM may go on running its copies: the time to live of
-    /// the platform's leases. Until then they count against licences.
-    pub fn lease_ttl(mut self, limit: Duration) -> Self {
-        self.lease_ttl = limit;
+    /// Sets how long a lost VM may keep running its copies: the time to live of
+    /// the platform's leases. Until then they keep their licences.
+    pub fn lease_ttl(mut self, ttl: Duration) -> Self {
+        self.lease_ttl = ttl;
         self
     }
 
-    /// How long a lost VM is waited for before its copies are replaced, as
-    /// long as enough others are left.
-    pub fn replace_delay(mut self, replace_delay: Duration) -> Self {
-        self.replace_delay = replace_delay;
+    /// Sets how long copies on a lost VM go unreplaced, as long as enough other
+    /// copies are left.
+    pub fn replace_delay(mut self, delay: Duration) -> Self {
+        self.replace_delay = delay;
         self
     }
 
-    /// How long a copy may take to its first answer before it counts as
-    /// failing.
-    pub fn start_timeout(mut self, limit: Duration) -> Self {
-        self.start_timeout = limit;
+    /// Sets how long a copy may take to answer for the first time before it
+    /// counts as failing.
+    pub fn start_timeout(mut self, timeout: Duration) -> Self {
+        self.start_timeout = timeout;
         self
     }
 
-    /// How long a reboot may take before the VM counts as failing.
-    pub fn reboot_timeout(mut self, limit: Duration) -> Self {
-        self.reboot_timeout = limit;
+    /// Sets how long a reboot may take before the VM counts as failing.
+    pub fn reboot_timeout(mut self, timeout: Duration) -> Self {
+        self.reboot_timeout = timeout;
         self
     }
 
-    /// How long draining, rebooting and warming one VM is taken to last, for
-    /// forecasts.
-    pub fn step_duration(mut self, step_duration: Duration) -> Self {
-        self.step_duration = step_duration;
+    /// Sets the expected time to drain, reboot and warm up one VM. Used by
+    /// forecasts and to decide whether moving copies pays off.
+    pub fn step_duration(mut self, duration: Duration) -> Self {
+        self.step_duration = duration;
         self
     }
 
-    /// How the width of a wave grows.
+    /// Sets how the width of a wave grows.
     pub fn width(mut self, width: Width) -> Self {
         self.width = width;
         self
     }
 
-    /// Whether copies may be started ahead of a VM's maintenance, where the
-    /// weights make it worth its moves.
-    pub fn surge(mut self, on: bool) -> Self {
-        self.surge = on;
+    /// Sets whether copies may be started elsewhere before a VM's maintenance,
+    /// where the weights make that worth the moves.
+    pub fn surge(mut self, enabled: bool) -> Self {
+        self.surge = enabled;
         self
     }
 }
--- a/crates/policy/src/directive.rs
+++ b/crates/policy/src/directive.rs
@@ -1,7 +1,7 @@
-//! What the operators' rules ask of the decisions.
+//! The directive that results from the operators' rules.
 //!
-//! The first rule that matches decides; the controller turns its actions into
-//! a [`Directive`], the only form in which rules reach this crate.
+//! The first rule that matches decides. The controller converts its actions to
+//! a [`Directive`]; this crate does not know the rules themselves.
 
 use std::collections::BTreeMap;
 
@@ -9,36 +9,36 @@
 use corianderfork_model::place::VmId;
 use corianderfork_model::service::{Class, ServiceId};
 
-/// How many copies of a service there should be.
+/// How many copies of a service to run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Copies {
-    /// As many as the measured load and the budget's failure call for.
+    /// As many as the measured load and the budget's redundancy require.
     #[default]
     Measured,
-    /// This many. Budget and licences still hold.
+    /// This many, within budget and licences.
     Count(u32),
     /// This share of the licences.
     Share(Share),
-    /// As the load calls for and this share of them on top, but no fewer than
-    /// the budget's failure calls for.
+    /// As many as the load requires plus this share of them, but no fewer than
+    /// the budget's redundancy requires.
     Headroom(Share),
-    /// As many as there are.
+    /// As many as there are now.
     Hold,
 }
 
-/// How fast maintenance goes.
+/// The pace of maintenance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Pace {
-    /// As fast as budgets allow, widening while it goes well.
+    /// As fast as budgets allow; the wave widens while VMs come back healthy.
     #[default]
     Measured,
-    /// At most this many VMs under way at once.
+    /// At most this many VMs in progress at once.
     AtMost(u32),
-    /// No VM is begun; those under way are finished.
+    /// No new VM is drained; those in progress are finished.
     Paused,
 }
 
-/// What the rule that decided asks for.
+/// The effect of the deciding rule.
 ///
 /// ```
 /// use corianderfork_policy::directive::{Directive, Pace};
@@ -48,26 +48,26 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directive {
-    /// What holds for services without an entry in `copies`.
+    /// The number of copies of services without an entry in `copies`.
     pub default_copies: Copies,
-    /// Copies by service.
+    /// The number of copies by service.
     pub copies: BTreeMap<ServiceId, Copies>,
-    /// How fast maintenance goes.
+    /// The pace of maintenance.
     pub pace: Pace,
-    /// Whether no copy is stopped and no VM changes its pool, but for what a
-    /// drain or a failure forces.
+    /// Whether to stop no copies and move no VMs between pools, except where a
+    /// drain or a failure requires it.
     pub refuse_moves: bool,
-    /// The class, and all below it, that gives way: its services are kept at
-    /// no more than their budget's least copies.
+    /// Services of this class and below run only their budget's minimum number
+    /// of copies.
     pub shed: Option<Class>,
-    /// Services to be placed before all others, in this order.
+    /// Services to place before all others, in this order.
     pub placement_order: Vec<ServiceId>,
-    /// VMs to be drained.
+    /// VMs to drain.
     pub drains: Vec<VmId>,
 }
 
 impl Directive {
-    /// What is asked for `service`.
+    /// Returns the number of copies that applies to `service`.
     pub fn copies_of(&self, service: ServiceId) -> Copies {
         self.copies.get(&service).copied().unwrap_or(self.default_copies)
     }
--- a/crates/policy/src/failure_domain.rs
+++ b/crates/policy/src/failure_domain.rs
@@ -1,11 +1,11 @@
-//! Whether a service outlasts the failure that its budget names.
+//! Failure domains, and how many copies survive the loss of one.
 
 use corianderfork_model::Fleet;
 use corianderfork_model::arena::Id;
 use corianderfork_model::place::VmId;
 use corianderfork_model::service::Outlasts;
 
-/// The index of the failure domain of `level` in which `vm` stands.
+/// Returns the index of the failure domain of `level` that contains `vm`.
 pub(crate) fn domain(fleet: &Fleet, level: Outlasts, vm: VmId) -> usize {
     match level {
         Outlasts::DataCentre => fleet.data_centre_of(vm).index(),
@@ -14,10 +14,10 @@
     }
 }
 
-/// The next smaller failure. While one of the size that a budget names is
-/// there, the headroom for it is in use; what is held beside it covers the
-/// next smaller one.
-pub(crate) fn lowered(level: Outlasts) -> Outlasts {
+/// Returns the next smaller failure. During a failure of the size that a budget
+/// covers, its redundancy is in use, and only the next smaller failure can be
+/// covered as well.
+pub(crate) fn next_smaller(level: Outlasts) -> Outlasts {
     match level {
         Outlasts::DataCentre => Outlasts::Rack,
         Outlasts::Rack => Outlasts::Vm,
@@ -25,23 +25,23 @@
     }
 }
 
-/// How many of the copies on `vms` are left after the worst failure of
-/// `level`.
+/// Returns how many of the copies on `vms` survive the worst failure of `level`.
 pub(crate) fn survivors(fleet: &Fleet, level: Outlasts, vms: impl Iterator<Item = VmId>) -> u32 {
     let mut domains: Vec<usize> = vms.map(|vm| domain(fleet, level, vm)).collect();
     if level == Outlasts::Nothing {
         return domains.len() as u32;
     }
     domains.sort_unstable();
-    let worst = domains.chunk_by(|a, b| a == b).map(<[usize]>::len).max().unwrap_or(0);
-    (domains.len() - worst) as u32
+    let largest = domains.chunk_by(|a, b| a == b).map(<[usize]>::len).max().unwrap_or(0);
+    (domains.len() - largest) as u32
 }
 
-/// The fewest copies of which `need` are left when the largest of `domains`
-/// equal shares is lost. With a single domain nothing helps.
-pub(crate) fn spread(need: u32, level: Outlasts, domains: u32) -> u32 {
-    if level == Outlasts::Nothing || domains < 2 || need == 0 {
-        return need;
+/// Returns the smallest number of copies, spread evenly over `domains`, of which
+/// `required` survive the loss of one domain. With a single domain no number
+/// would do, so this returns `required`.
+pub(crate) fn copies_to_survive(required: u32, level: Outlasts, domains: u32) -> u32 {
+    if level == Outlasts::Nothing || domains < 2 || required == 0 {
+        return required;
     }
-    need.saturating_add(need.div_ceil(domains - 1))
+    required.saturating_add(required.div_ceil(domains - 1))
 }
--- a/crates/policy/src/feasibility.rs
+++ b/crates/policy/src/feasibility.rs
@@ -1,4 +1,4 @@
-//! Jobs that can never run, and tries that go on failing.
+//! Detects services that can never run, and delays starts that keep failing.
 
 use std::time::Duration;
 
@@ -11,55 +11,56 @@
 use crate::state::StartFailures;
 use crate::view::View;
 
-/// Starts that fail in a row before tries become rarer. Below this the VMs may
-/// be at fault.
-const TRIES: u16 = 3;
-/// The first wait; it doubles with each further failure.
-const FIRST_WAIT: Duration = Duration::from_secs(60);
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
+/// The number of consecutive failed starts from which starts back off. With
+/// fewer failures the VMs may be the cause.
+const BACKOFF_AFTER_FAILURES: u16 = 3;
+/// The first delay; it doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(60);
+const MAX_BACKOFF: Duration = Duration::from_secs(3600);
 
-/// When a service whose starts went like `trial` may be tried again; `None` if
-/// it may be tried freely.
-pub(crate) fn next_try(failures: StartFailures) -> Option<Time> {
-    if failures.count < TRIES {
+/// Returns when a service with these start failures may be started again, or
+/// `None` if there is no backoff.
+pub(crate) fn next_start_at(failures: StartFailures) -> Option<Time> {
+    if failures.count < BACKOFF_AFTER_FAILURES {
         return None;
     }
-    let doublings = u32::from(failures.count - TRIES).min(12);
-    let wait = FIRST_WAIT.saturating_mul(1 << doublings).min(LONGEST_WAIT);
-    Some(failures.last_at + wait)
+    let doublings = u32::from(failures.count - BACKOFF_AFTER_FAILURES).min(12);
+    let backoff = INITIAL_BACKOFF.saturating_mul(1 << doublings).min(MAX_BACKOFF);
+    Some(failures.last_at + backoff)
 }
 
-/// Why no copy of `service` can ever run on the VMs that can be its pool's.
-pub(crate) fn reason(view: &View<'_>, service: ServiceId) -> Option<Unschedulable> {
-    let row = view.fleet.service(service);
+/// Returns why no copy of `service` can ever run on the VMs of its pool, or
+/// `None` if one can.
+pub(crate) fn unschedulable_reason(view: &View<'_>, service: ServiceId) -> Option<Unschedulable> {
+    let spec = view.fleet.service(service);
     let size = view.sizes[service.index()];
-    if row.licences == 0 {
+    if spec.licences == 0 {
         return Some(Unschedulable::Licences);
     }
-    if row.budget.max_copies == 0 {
+    if spec.budget.max_copies == 0 {
         return Some(Unschedulable::Budget);
     }
-    if row.slots == 0 {
+    if spec.slots == 0 {
         return Some(Unschedulable::Slots);
     }
-    if row.team.is_some_and(|team| !view.fleet.team(team).quota.holds(&size)) {
+    if spec.team.is_some_and(|team| !view.fleet.team(team).quota.holds(&size)) {
         return Some(Unschedulable::Quota);
     }
-    let vms = view.pool(row.pool);
+    let vms = view.pool_vms(spec.pool);
     if vms.is_empty() {
         return Some(Unschedulable::EmptyPool);
     }
-    let has = |fits: &dyn Fn(Size) -> bool| vms.iter().any(|&vm| fits(view.fleet.vm(vm).size));
-    if has(&|vm| vm.holds(&size)) {
+    let any_vm = |fits: &dyn Fn(Size) -> bool| vms.iter().any(|&vm| fits(view.fleet.vm(vm).size));
+    if any_vm(&|vm| vm.holds(&size)) {
         return None;
     }
-    if !has(&|vm| vm.milli_cores >= size.milli_cores) {
+    if !any_vm(&|vm| vm.milli_cores >= size.milli_cores) {
         return Some(Unschedulable::Cores);
     }
-    if !has(&|vm| vm.memory_mib >= size.memory_mib) {
+    if !any_vm(&|vm| vm.memory_mib >= size.memory_mib) {
         return Some(Unschedulable::Memory);
     }
-    if !has(&|vm| vm.accelerators >= size.accelerators) {
+    if !any_vm(&|vm| vm.accelerators >= size.accelerators) {
         return Some(Unschedulable::Accelerators);
     }
     Some(Unschedulable::Combined)
--- a/crates/policy/src/forecast.rs
+++ b/crates/policy/src/forecast.rs
@@ -1,7 +1,7 @@
-//! What a wave will take, said when it is planned.
+//! Forecasts how long a wave takes.
 //!
-//! The forecast is a dry run of the planner itself: round by round the VMs it
-//! would drain count as done. It takes the load to stay as it is.
+//! The forecast is a dry run of the planner: in each round, the VMs that it
+//! would drain count as done. It assumes that the load does not change.
 
 use corianderfork_model::Fleet;
 use corianderfork_model::Time;
@@ -14,48 +14,47 @@
 use crate::directive::{Directive, Pace};
 use crate::state::{Phase, Purpose, State};
 use crate::step::Operation;
-use crate::view::{Host, View};
+use crate::view::{View, VmStatus};
 use crate::wave::Order;
 
-/// Rounds after which a dry run is given up.
-const MOST_ROUNDS: usize = 10_000;
+/// The maximum number of rounds of a dry run.
+const MAX_ROUNDS: usize = 10_000;
 
-/// What would make a wave fit.
+/// A change that would let a wave meet its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Remedy {
-    /// A deadline no earlier than this.
+    /// Set the deadline to this time or later.
     Deadline(Time),
-    /// This many more copies of a service, if its licences, budget and room
-    /// allow them.
+    /// Run more copies of a service, if its licences, budget and room allow it.
     Copies {
-        /// The service whose budget holds the wave up.
+        /// The service whose budget blocks the wave.
         service: ServiceId,
-        /// Copies missing.
+        /// The number of missing copies.
         missing: u32,
     },
-    /// A pace that isn't paused or limited.
+    /// Lift the pause or the limit on the wave's pace.
     Pace,
-    /// Work that VMs of this pool have is let go: an operator's drain or a
-    /// failure keeps them from being maintained.
+    /// Repair VMs of this pool or end their drains: a failure or an operator's
+    /// drain keeps them from being maintained.
     Repair(PoolId),
 }
 
-/// What a wave will take.
+/// The expected course of a wave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Forecast {
-    /// When the last VM is back, if there is no end in sight: `None`.
+    /// When the last VM is back, or `None` if the wave can't complete.
     pub finish: Option<Time>,
-    /// Whether that is within the deadline.
+    /// Whether the wave completes by its deadline.
     pub meets_deadline: bool,
-    /// VMs of each pool that won't have been maintained by the deadline.
+    /// The number of VMs of each pool that are not done by the deadline.
     pub remaining: Vec<(PoolId, u32)>,
-    /// What would make it fit; empty if it does.
+    /// Changes that would help to meet the deadline; empty if it is met.
     pub remedies: Vec<Remedy>,
 }
 
-/// Says how long `order` would take from `now`, what can't be done in time,
-/// and what would make it fit.
+/// Returns how long `order` would take from `now`, which VMs would not be done
+/// in time, and what would help.
 ///
 /// ```
 /// use corianderfork_model::place::{DataCentre, Pool, Rack, Size, Vm};
@@ -74,7 +73,7 @@
 /// let now = Time::from_millis(0);
 /// let state = State::new(&fleet, now);
 /// let (directive, config) = (Directive::default(), Config::default());
-/// // Two VMs, one at a time, twelve minutes each: a quarter of an hour is short.
+/// // Two VMs, one at a time, twelve minutes each: 15 minutes are too short.
 /// let order = Order::new(Time::from_millis(1), Time::from_millis(15 * 60_000));
 /// let now = Time::from_millis(1);
 /// let forecast = forecast(&fleet, &state, &directive, &config, &order, now);
@@ -94,27 +93,27 @@
 ) -> Forecast {
     let mut state = state.clone();
     state.wave = Some(order.clone());
-    settle(fleet, &mut state, now);
+    complete_in_progress(fleet, &mut state, now);
     let mut at = now;
     let mut by_deadline = None;
-    for _ in 0..MOST_ROUNDS {
+    for _ in 0..MAX_ROUNDS {
         if at + config.step_duration > order.deadline && by_deadline.is_none() {
-            by_deadline = Some(remaining(fleet, &state, order));
+            by_deadline = Some(remaining_vms(fleet, &state, order));
         }
-        if !round(fleet, &mut state, directive, config, now) {
+        if !simulate_round(fleet, &mut state, directive, config, now) {
             break;
         }
         at = at + config.step_duration;
     }
-    let stuck = remaining(fleet, &state, order);
-    let finish = stuck.is_empty().then_some(at);
-    let remaining = by_deadline.unwrap_or_else(|| stuck.clone());
+    let unfinished = remaining_vms(fleet, &state, order);
+    let finish = unfinished.is_empty().then_some(at);
+    let remaining = by_deadline.unwrap_or_else(|| unfinished.clone());
     let meets_deadline = finish.is_some_and(|finish| finish <= order.deadline);
     let mut remedies = Vec::new();
     if !meets_deadline {
         remedies.extend(finish.map(Remedy::Deadline));
         let view = View::new(fleet, &state, directive, config, now);
-        blockers(&view, order, &mut remedies);
+        add_blockers(&view, order, &mut remedies);
         if directive.pace != Pace::Measured {
             remedies.push(Remedy::Pace);
         }
@@ -122,8 +121,8 @@
     Forecast { finish, meets_deadline, remaining, remedies }
 }
 
-/// Takes VMs that are under way as back.
-fn settle(fleet: &Fleet, state: &mut State, now: Time) {
+/// Marks VMs in maintenance as done.
+fn complete_in_progress(fleet: &Fleet, state: &mut State, now: Time) {
     for id in fleet.vm_ids() {
         let vm = state.vm_mut(id);
         if vm.purpose == Some(Purpose::Maintenance) && vm.phase != Phase::Out {
@@ -134,8 +133,8 @@
     }
 }
 
-/// Plays one round; false if nothing could be done.
-fn round(
+/// Simulates one round. Returns false if no VM could be drained.
+fn simulate_round(
     fleet: &Fleet,
     state: &mut State,
     directive: &Directive,
@@ -146,38 +145,41 @@
     let mut view = View::new(fleet, &before, directive, config, now);
     let mut steps = Vec::new();
     crate::wave::plan(&mut view, &mut steps, &mut Vec::new());
-    let mut done = false;
+    let mut progressed = false;
     for step in steps {
         if let Operation::Drain { vm, .. } = step.operation {
             state.vm_mut(vm).maintained_at = Some(now);
-            done = true;
+            progressed = true;
         }
     }
-    // Closed VMs are drained once their copies serve elsewhere.
+    // Cordoned VMs are drained once their copies serve elsewhere.
     for vm in fleet.vm_ids() {
-        if view.hosts[vm.index()] == Host::Closing && crate::wave::is_pending(&view, vm) {
+        if view.vm_statuses[vm.index()] == VmStatus::Cordoned && crate::wave::is_pending(&view, vm)
+        {
             state.vm_mut(vm).maintained_at = Some(now);
-            done = true;
+            progressed = true;
         }
     }
-    done
+    progressed
 }
 
-fn remaining(fleet: &Fleet, state: &State, order: &Order) -> Vec<(PoolId, u32)> {
-    let mut left = vec![0; fleet.pools().len()];
+fn remaining_vms(fleet: &Fleet, state: &State, order: &Order) -> Vec<(PoolId, u32)> {
+    let mut counts = vec![0; fleet.pools().len()];
     for (_, vm) in state.vms().filter(|(_, vm)| order.is_pending(vm)) {
-        left[vm.pool.index()] += 1;
+        counts[vm.pool.index()] += 1;
     }
-    let pools = fleet.pool_ids().zip(left);
-    pools.filter(|&(_, left)| left > 0).collect()
+    let pools = fleet.pool_ids().zip(counts);
+    pools.filter(|&(_, count)| count > 0).collect()
 }
 
-/// The services whose budgets hold back the VMs that are left.
-fn blockers(view: &View<'_>, order: &Order, remedies: &mut Vec<Remedy>) {
+/// Adds a remedy for each cause that blocks the remaining VMs.
+fn add_blockers(view: &View<'_>, order: &Order, remedies: &mut Vec<Remedy>) {
     for (id, vm) in view.state.vms().filter(|(_, vm)| order.is_pending(vm)) {
-        let remedy = match budget::blocks(view, id) {
-            _ if view.hosts[id.index()] != Host::Usable => Remedy::Repair(vm.pool),
-            Some(service) => Remedy::Copies { service, missing: budget::missing(view, service) },
+        let remedy = match budget::blocking_service(view, id) {
+            _ if view.vm_statuses[id.index()] != VmStatus::Usable => Remedy::Repair(vm.pool),
+            Some(service) => {
+                Remedy::Copies { service, missing: budget::missing_copies(view, service) }
+            }
             None => continue,
         };
         if !remedies.contains(&remedy) {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,23 +1,22 @@
 //! Decisions about a fleet: how many copies, where, and which VM next.
 //!
-//! [`decide`] is the one entry point. It takes the configuration, what is
-//! known at the moment, what the operators' rules ask for and the time, and
-//! gives the steps to take, each with its reason. It keeps nothing between two
-//! calls: a controller that takes over from another one decides the same from
-//! the same [`State`]. What is learned over time, load and sizes, is in the
-//! state's [`sizing::Sizer`].
+//! [`decide`] is the only entry point. It takes the configuration, the current
+//! state, the directive of the operators' rules and the time, and returns the
+//! steps to take, each with its reason. It keeps no state between calls: after
+//! a failover, the new controller makes the same decision from the same
+//! [`State`]. Learned loads and sizes are part of the state, in
+//! [`sizing::Sizer`].
 //!
-//! Four questions are answered in this order, each by a module:
+//! A decision has four parts, in this order:
 //!
-//! 1. What is next for a VM that is draining, rebooting or changing its pool?
-//! 2. Which VMs are drained now, so that every budget keeps ([`wave`])?
-//! 3. How many copies does each service need ([`sizing`]), and where do they
-//!    run?
-//! 4. Which VM changes its pool, because another pool lacks room?
+//! 1. Advance each VM that is draining, rebooting or changing its pool.
+//! 2. Drain VMs, as far as every service's budget allows ([`wave`]).
+//! 3. Compute how many copies each service needs ([`sizing`]) and place them.
+//! 4. Move VMs to pools that lack capacity, or back to their home pool.
 //!
-//! The steps of one decision may all be taken at once, in any order. Each is
-//! decided against the state as it is: the room and the licence of a copy
-//! that is stopped are free only once the state no longer has it.
+//! The steps of one decision may be taken all at once and in any order. Each is
+//! checked against the current state: the room and the licence of a stopped
+//! copy are free only once the state no longer contains the copy.
 //!
 //! # Example
 //!
@@ -82,20 +81,20 @@
 
 use corianderfork_model::{Fleet, Time};
 
-/// What to do, and what to tell operators.
+/// The steps to take, and notes for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Decision {
     /// Steps that may all be taken at once.
     pub steps: Vec<Step>,
-    /// What operators should know.
+    /// Messages for operators.
     pub notes: Vec<Note>,
 }
 
-/// Decides the next steps. `now` is the time since the Unix epoch, as are all
-/// times of `state`.
+/// Decides the next steps. `now` and all times in `state` are relative to the
+/// Unix epoch.
 ///
-/// The same arguments give the same decision. No input makes it panic, as long
-/// as `state` was made for `fleet`; what can't be done is named in the notes.
+/// The same arguments give the same decision. It never panics if `state` was
+/// created for `fleet`. Notes report what can't be done.
 pub fn decide(
     fleet: &Fleet,
     state: &State,
@@ -106,12 +105,12 @@
     let mut view = view::View::new(fleet, state, directive, config, now);
     let Decision { mut steps, mut notes } = Decision::default();
     phase::advance(&mut view, &mut steps);
-    phase::drain(&mut view, &mut steps, &mut notes);
+    phase::drain_requested(&mut view, &mut steps, &mut notes);
     wave::plan(&mut view, &mut steps, &mut notes);
     let requests = placement::Planner::new(&mut view, &mut steps, &mut notes).run();
     if !directive.refuse_moves {
-        lend::lend(&mut view, &requests, &mut steps);
-        lend::go_home(&mut view, &requests, &mut steps);
+        lend::lend_vms(&mut view, &requests, &mut steps);
+        lend::return_vms(&mut view, &requests, &mut steps);
     }
     Decision { steps, notes }
 }
--- a/crates/policy/src/phase.rs
+++ b/crates/policy/src/phase.rs
@@ -1,5 +1,5 @@
-//! The next step of each VM that is between two admissions, and drains that
-//! operators asked for.
+//! Advances VMs that are out of service, and starts drains requested by
+//! operators or rules, or caused by failures.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use crate::note::Note;
 use crate::state::{Phase, Purpose, Vm};
 use crate::step::{Operation, Reason, Step};
-use crate::view::{Host, UNFIT, View};
+use crate::view::{UNFIT_FAILED_STARTS, View, VmStatus};
 
-/// Reboots after which an unfit VM stays out.
+/// The number of reboots after which a VM that is still unfit is taken out.
 const MAX_UNFIT_REBOOTS: u16 = 4;
-/// How long an unfit VM rests before its second reboot; the rest doubles with
-/// each further one. Faults that hit many VMs at once often pass by themselves.
-const REST: Duration = Duration::from_secs(30 * 60);
+/// The delay before an unfit VM's second reboot; it doubles with each further
+/// reboot. Faults that hit many VMs at once often pass by themselves.
+const REBOOT_BACKOFF: Duration = Duration::from_secs(30 * 60);
 
-/// Takes each VM that isn't serving one step on.
+/// Adds the next step of each VM that is not serving.
 pub(crate) fn advance(view: &mut View<'_>, steps: &mut Vec<Step>) {
     let state = view.state;
     for (id, vm) in state.vms() {
-        if view.hosts[id.index()] == Host::Lost {
+        if view.vm_statuses[id.index()] == VmStatus::Lost {
             continue;
         }
         match vm.phase {
             Phase::Serving | Phase::Out => {}
-            Phase::Draining => undrain(view, id, vm, steps),
-            Phase::Drained => leave(view, id, vm, steps),
-            Phase::Rebooting => come_back(view, id, vm, steps),
+            Phase::Draining => cancel_drain(view, id, vm, steps),
+            Phase::Drained => advance_drained(view, id, vm, steps),
+            Phase::Rebooting => readmit(view, id, vm, steps),
             Phase::Switching => {
                 steps.push(Step::new(Operation::Admit { vm: id }, Reason::NextPhase))
             }
@@ -37,51 +37,51 @@
     }
 }
 
-/// Whether an operator or a rule wants `id` drained.
-pub(crate) fn wanted(view: &View<'_>, id: VmId) -> bool {
+/// Whether an operator or a rule requests a drain of `id`.
+pub(crate) fn wants_drain(view: &View<'_>, id: VmId) -> bool {
     view.state.vm(id).drain_requested || view.directive.drains.contains(&id)
 }
 
-fn undrain(view: &View<'_>, id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
-    if vm.purpose == Some(Purpose::Operator) && !wanted(view, id) {
+fn cancel_drain(view: &View<'_>, id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
+    if vm.purpose == Some(Purpose::Operator) && !wants_drain(view, id) {
         steps.push(Step::new(Operation::Admit { vm: id }, Reason::Requested));
     }
 }
 
-fn leave(view: &View<'_>, id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
+fn advance_drained(view: &View<'_>, id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
     let operation = match vm.purpose {
         Some(Purpose::Maintenance) => Operation::Reboot { vm: id },
-        // A pool's copies must be gone before its VM is another pool's: else
-        // the new pool's callers could reach a copy of the old one.
-        _ if !vm.copies.is_empty() => return stop_all(id, vm, steps),
+        // All copies of the old pool must be gone before the VM joins another
+        // pool; otherwise callers of the new pool could reach one of them.
+        _ if !vm.copies.is_empty() => return stop_copies(id, vm, steps),
         Some(Purpose::Switch(to)) => Operation::SwitchPool { vm: id, to },
         Some(Purpose::Unfit) if vm.unfit_reboots >= MAX_UNFIT_REBOOTS => {
             Operation::SetOut { vm: id }
         }
-        Some(Purpose::Unfit) if rests(view, vm) => return,
+        Some(Purpose::Unfit) if is_backing_off(view, vm) => return,
         Some(Purpose::Unfit) => Operation::Reboot { vm: id },
-        _ if wanted(view, id) => return,
+        _ if wants_drain(view, id) => return,
         _ => Operation::Admit { vm: id },
     };
     steps.push(Step::new(operation, Reason::NextPhase));
 }
 
-fn rests(view: &View<'_>, vm: &Vm) -> bool {
+fn is_backing_off(view: &View<'_>, vm: &Vm) -> bool {
     let Some(doublings) = vm.unfit_reboots.checked_sub(1) else { return false };
-    view.age(vm.since) < REST * (1 << doublings.min(MAX_UNFIT_REBOOTS))
+    view.age(vm.since) < REBOOT_BACKOFF * (1 << doublings.min(MAX_UNFIT_REBOOTS))
 }
 
-fn stop_all(id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
+fn stop_copies(id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
     for copy in &vm.copies {
         let operation = Operation::Stop { vm: id, service: copy.service };
         steps.push(Step::new(operation, Reason::LeavingPool));
     }
 }
 
-/// Admits a VM that is back from its reboot, and starts again what it carried.
-fn come_back(view: &mut View<'_>, id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
-    let back = vm.maintained_at.is_some_and(|then| then >= vm.since);
-    if !back || wanted(view, id) {
+/// Admits a VM that is back from its reboot and restarts its copies.
+fn readmit(view: &mut View<'_>, id: VmId, vm: &Vm, steps: &mut Vec<Step>) {
+    let is_back = vm.maintained_at.is_some_and(|then| then >= vm.since);
+    if !is_back || wants_drain(view, id) {
         return;
     }
     steps.push(Step::new(Operation::Admit { vm: id }, Reason::NextPhase));
@@ -89,34 +89,34 @@
         let operation = Operation::Start { vm: id, service: copy.service };
         steps.push(Step::new(operation, Reason::NextPhase));
     }
-    view.admitted(id);
+    view.mark_admitted(id);
 }
 
-/// Drains what operators, rules or failures ask to be drained, each as soon as
-/// the budgets have room for it.
-pub(crate) fn drain(view: &mut View<'_>, steps: &mut Vec<Step>, notes: &mut Vec<Note>) {
+/// Drains VMs on request of operators or rules, and unfit VMs, each as soon as
+/// the budgets allow it. Cordons those that have to wait.
+pub(crate) fn drain_requested(view: &mut View<'_>, steps: &mut Vec<Step>, notes: &mut Vec<Note>) {
     let state = view.state;
     for (id, vm) in state.vms() {
-        let host = view.hosts[id.index()];
-        if vm.phase != Phase::Serving || host == Host::Lost {
+        let status = view.vm_statuses[id.index()];
+        if vm.phase != Phase::Serving || status == VmStatus::Lost {
             continue;
         }
-        let (purpose, reason) = if wanted(view, id) {
+        let (purpose, reason) = if wants_drain(view, id) {
             (Purpose::Operator, Reason::Requested)
-        } else if vm.failed_starts >= UNFIT && host == Host::Closing {
+        } else if vm.failed_starts >= UNFIT_FAILED_STARTS && status == VmStatus::Cordoned {
             notes.push(Note::Unfit { vm: id });
             (Purpose::Unfit, Reason::Unfit)
         } else {
             continue;
         };
-        match budget::blocks(view, id) {
+        match budget::blocking_service(view, id) {
             None => {
                 steps.push(Step::new(Operation::Drain { vm: id, purpose }, reason));
-                view.drained(id, false);
+                view.mark_drained(id, false);
             }
             Some(service) => {
                 notes.push(Note::WaitsForBudget { service });
-                view.close(id);
+                view.cordon(id);
             }
         }
     }
--- a/crates/policy/src/scale_down.rs
+++ b/crates/policy/src/scale_down.rs
@@ -1,4 +1,4 @@
-//! Which copies are stopped.
+//! Selects the copies to stop.
 
 use std::cmp::Reverse;
 
@@ -8,151 +8,185 @@
 
 use crate::failure_domain::domain;
 use crate::note::Note;
-use crate::placement::{Lack, Planner};
+use crate::placement::{Planner, Shortage};
 use crate::step::Reason;
 use crate::target::Target;
-use crate::view::{Host, Place, Standing};
+use crate::view::{CopyStatus, Placement, VmStatus};
 use crate::{budget, feasibility, wave};
 
 impl Planner<'_, '_> {
-    pub(crate) fn stop(&mut self, service: ServiceId, target: Target) {
-        let able = |place: &Place| place.stays() && place.standing == Standing::Able;
-        if self.view.count(service, able) < target.want.max(target.need) {
-            // Where every start fails, what fails would pile up on the VMs.
-            if feasibility::next_try(self.view.state.start_failures(service)).is_some() {
+    /// Stops copies of `service` that are not needed to meet `target`.
+    pub(crate) fn stop_copies(&mut self, service: ServiceId, target: Target) {
+        let is_ready =
+            |placement: &Placement| placement.is_staying() && placement.status == CopyStatus::Ready;
+        if self.view.count_copies(service, is_ready) < target.desired.max(target.required) {
+            // If every start fails, failed copies would otherwise pile up on
+            // the VMs.
+            if feasibility::next_start_at(self.view.state.start_failures(service)).is_some() {
                 self.stop_failing(service);
             }
             return;
         }
-        self.stop_idle(service);
-        if target.shrink && !self.view.directive.refuse_moves && !self.grew_lately(service) {
+        self.stop_unneeded(service);
+        if target.may_shrink && !self.view.directive.refuse_moves && !self.started_recently(service)
+        {
             self.stop_surplus(service, target);
         }
     }
 
-    /// Enough copies serve: those that fail, are left, or are away are given
-    /// up.
-    fn stop_idle(&mut self, service: ServiceId) {
-        for place in self.view.places(service).to_vec() {
-            let usable = self.view.hosts[place.vm.index()] == Host::Usable;
-            let reason = match place.standing {
-                // On a VM that came back failing they show when it is mended.
-                Standing::Failing if wave::failed_return(self.view, place.vm) => continue,
-                Standing::Failing if usable && !place.leaving => Reason::Failing,
-                Standing::Away => Reason::Surplus,
-                Standing::Lapsed if !self.view.lost_lately(service) => Reason::Replace,
-                Standing::Able | Standing::Warming if usable && place.leaving => {
+    /// Stops copies that fail, are marked as leaving or are on a VM in
+    /// maintenance, and gives up copies whose lease has expired. Called once
+    /// enough copies serve.
+    fn stop_unneeded(&mut self, service: ServiceId) {
+        for placement in self.view.placements(service).to_vec() {
+            let is_usable = self.view.vm_statuses[placement.vm.index()] == VmStatus::Usable;
+            let reason = match placement.status {
+                // On a VM that came back from the wave failing, the copies show
+                // when it is repaired.
+                CopyStatus::Failing if wave::has_returned_failing(self.view, placement.vm) => {
+                    continue;
+                }
+                CopyStatus::Failing if is_usable && !placement.leaving => Reason::Failing,
+                CopyStatus::Maintenance => Reason::Surplus,
+                CopyStatus::LeaseExpired if !self.view.has_recent_losses(service) => {
+                    Reason::Replace
+                }
+                CopyStatus::Ready | CopyStatus::Warming if is_usable && placement.leaving => {
                     Reason::Overcommitted
                 }
                 _ => continue,
             };
-            self.stop_one(service, place, reason);
+            self.stop_copy(service, placement, reason);
         }
     }
 
     fn stop_failing(&mut self, service: ServiceId) {
-        for place in self.view.places(service).to_vec() {
-            let usable = self.view.hosts[place.vm.index()] == Host::Usable;
-            if usable && place.standing == Standing::Failing && !place.leaving {
-                self.stop_one(service, place, Reason::Failing);
+        for placement in self.view.placements(service).to_vec() {
+            let is_usable = self.view.vm_statuses[placement.vm.index()] == VmStatus::Usable;
+            if is_usable && placement.status == CopyStatus::Failing && !placement.leaving {
+                self.stop_copy(service, placement, Reason::Failing);
             }
         }
     }
 
-    /// Whether a copy was started so lately that stopping one costs more than
-    /// holding it has. A copy that comes back from a failure counts too.
-    fn grew_lately(&self, service: ServiceId) -> bool {
+    /// Whether a copy was started so recently that keeping the copies has cost
+    /// less than stopping one would. A copy restarted after a failure counts too.
+    fn started_recently(&self, service: ServiceId) -> bool {
         let view = &self.view;
-        let young = |place: &Place| {
-            let copies = &view.state.vm(place.vm).copies;
+        let is_young = |placement: &Placement| {
+            let copies = &view.state.vm(placement.vm).copies;
             let copy = copies.iter().find(|copy| copy.service == service);
             copy.is_none_or(|copy| view.age(copy.since) < view.hold_time)
         };
-        view.count(service, |place| place.stays() && young(place)) > 0
+        view.count_copies(service, |placement| placement.is_staying() && is_young(placement)) > 0
     }
 
     fn stop_surplus(&mut self, service: ServiceId, target: Target) {
-        while let Some(place) = self.surplus(service, target) {
-            self.stop_one(service, place, Reason::Surplus);
+        while let Some(placement) = self.surplus_copy(service, target) {
+            self.stop_copy(service, placement, Reason::Surplus);
         }
     }
 
-    /// A copy that can be given up, from the domain that has most of them.
-    fn surplus(&self, service: ServiceId, target: Target) -> Option<Place> {
+    /// Returns a copy that can be stopped, from the failure domain with the most
+    /// copies.
+    fn surplus_copy(&self, service: ServiceId, target: Target) -> Option<Placement> {
         let view = &self.view;
-        let able = |place: &Place| place.stays() && place.standing == Standing::Able;
-        if view.count(service, able) <= target.want.max(target.need) {
+        let is_ready =
+            |placement: &Placement| placement.is_staying() && placement.status == CopyStatus::Ready;
+        if view.count_copies(service, is_ready) <= target.desired.max(target.required) {
             return None;
         }
-        let near = |level: Outlasts, vm: VmId| {
-            let here = domain(view.fleet, level, vm);
-            view.count(service, |place| able(place) && domain(view.fleet, level, place.vm) == here)
+        let copies_in_domain = |level: Outlasts, vm: VmId| {
+            let own = domain(view.fleet, level, vm);
+            view.count_copies(service, |placement| {
+                is_ready(placement) && domain(view.fleet, level, placement.vm) == own
+            })
         };
-        let kept = |gone: VmId| {
-            let rest = |place: &Place| able(place) && place.vm != gone;
-            view.left(service, target.level, rest) >= target.need
+        let can_spare = |removed: VmId| {
+            let rest = |placement: &Placement| is_ready(placement) && placement.vm != removed;
+            view.surviving(service, target.level, rest) >= target.required
         };
-        let candidates = view.places(service).iter().filter(|place| able(place) && kept(place.vm));
-        let best = candidates.max_by_key(|place| {
+        let candidates = view
+            .placements(service)
+            .iter()
+            .filter(|placement| is_ready(placement) && can_spare(placement.vm));
+        let best = candidates.max_by_key(|placement| {
             (
-                near(Outlasts::DataCentre, place.vm),
-                near(Outlasts::Rack, place.vm),
-                Reverse(view.used[place.vm.index()].milli_cores),
-                Reverse(place.vm),
+                copies_in_domain(Outlasts::DataCentre, placement.vm),
+                copies_in_domain(Outlasts::Rack, placement.vm),
+                Reverse(view.used[placement.vm.index()].milli_cores),
+                Reverse(placement.vm),
             )
         });
         best.copied()
     }
 
-    /// With every licence taken, gives up a copy that doesn't serve, or one
-    /// that is to be left and can be spared.
-    pub(crate) fn free_licence(&mut self, service: ServiceId, target: Target, lack: Lack) {
-        let have = self.view.count(service, Place::stays);
-        let missing = target.want.max(target.need).saturating_sub(have);
-        let idle = |place: &&Place| match place.standing {
-            Standing::Failing => !place.leaving,
-            Standing::Lapsed => true,
-            Standing::Away => lack == Lack::Need,
+    /// Frees a licence when all are in use: stops a copy that does not serve, or
+    /// else one that is marked as leaving and that the budget can spare.
+    pub(crate) fn free_licence(&mut self, service: ServiceId, target: Target, shortage: Shortage) {
+        let staying = self.view.count_copies(service, Placement::is_staying);
+        let missing = target.desired.max(target.required).saturating_sub(staying);
+        let is_unused = |placement: &&Placement| match placement.status {
+            CopyStatus::Failing => !placement.leaving,
+            CopyStatus::LeaseExpired => true,
+            CopyStatus::Maintenance => shortage == Shortage::Required,
             _ => false,
         };
-        let spared = |place: &&Place| {
-            let usable = self.view.hosts[place.vm.index()] == Host::Usable;
-            let able = place.standing == Standing::Able;
-            usable && able && place.leaving && budget::spares(self.view, service, place.vm)
+        let is_spare = |placement: &&Placement| {
+            let is_usable = self.view.vm_statuses[placement.vm.index()] == VmStatus::Usable;
+            let is_ready = placement.status == CopyStatus::Ready;
+            is_usable
+                && is_ready
+                && placement.leaving
+                && budget::can_spare(self.view, service, placement.vm)
         };
-        let places = self.view.places(service).iter();
-        let found = places.clone().find(idle).or_else(|| places.clone().find(spared)).copied();
-        if let Some(place) = found {
-            let reason = match place.standing {
-                Standing::Failing => Reason::Failing,
-                Standing::Able => Reason::Overcommitted,
+        let placements = self.view.placements(service).iter();
+        let found = placements
+            .clone()
+            .find(is_unused)
+            .or_else(|| placements.clone().find(is_spare))
+            .copied();
+        if let Some(placement) = found {
+            let reason = match placement.status {
+                CopyStatus::Failing => Reason::Failing,
+                CopyStatus::Ready => Reason::Overcommitted,
                 _ => Reason::Replace,
             };
-            self.stop_one(service, place, reason);
+            self.stop_copy(service, placement, reason);
         }
         if missing > 0 {
             self.notes.push(Note::Licences { service, missing });
         }
     }
 
-    /// Stops one copy of later work where that makes room for `service`.
+    /// Stops one copy of a service of class [`Class::Later`] if that makes room
+    /// for `service`. Returns whether it did.
     pub(crate) fn displace(&mut self, service: ServiceId) -> bool {
         let view = &self.view;
         let fleet = view.fleet;
         let size = view.sizes[service.index()];
-        for &vm in view.pool(fleet.service(service).pool) {
-            if view.hosts[vm.index()] != Host::Usable || view.carries(vm, service) {
+        for &vm in view.pool_vms(fleet.service(service).pool) {
+            if view.vm_statuses[vm.index()] != VmStatus::Usable || view.has_copy(vm, service) {
                 continue;
             }
             for copy in &view.state.vm(vm).copies {
                 let other = copy.service;
-                let row = fleet.service(other);
-                let spare = view.count(other, Place::stays) > row.budget.min_copies;
-                let here = view.places(other).iter().find(|place| place.vm == vm && place.stays());
-                let (true, Class::Later, Some(&place)) = (spare, row.class, here) else { continue };
-                let kept = view.used[vm.index()].minus(&view.sizes[other.index()]);
-                if kept.is_some_and(|kept| fleet.vm(vm).size.holds(&kept.plus(&size))) {
-                    self.stop_one(other, place, Reason::Displaced(service));
+                let spec = fleet.service(other);
+                let has_spare =
+                    view.count_copies(other, Placement::is_staying) > spec.budget.min_copies;
+                let copy_here = view
+                    .placements(other)
+                    .iter()
+                    .find(|placement| placement.vm == vm && placement.is_staying());
+                let (true, Class::Later, Some(&placement)) = (has_spare, spec.class, copy_here)
+                else {
+                    continue;
+                };
+                let remaining = view.used[vm.index()].minus(&view.sizes[other.index()]);
+                if remaining
+                    .is_some_and(|remaining| fleet.vm(vm).size.holds(&remaining.plus(&size)))
+                {
+                    self.stop_copy(other, placement, Reason::Displaced(service));
                     return true;
                 }
             }
--- a/crates/policy/src/sizing.rs
+++ b/crates/policy/src/sizing.rs
@@ -1,16 +1,14 @@
-//! How many copies each service needs.
+//! Computes how many copies each service needs.
 //!
-//! Sizes and run times are declared, but far off. A [`Sizer`] takes the
-//! declared value as a prior and shrinks it away as reports come in: after n
-//! reports the prior's own error counts w / (n + w), with w of
-//! [`Config::prior_weight`], and at most 1 in 1 + k² of the reported values lie
-//! above the estimate, with k of [`Config::deviations`] (Cantelli's inequality,
-//! which asks nothing of the distribution).
+//! Declared sizes and run times are inaccurate. A [`Sizer`] uses the declared
+//! value as a prior whose influence shrinks with each report: after n reports
+//! the prior's own error counts w / (n + w), where w is [`Config::prior_weight`].
+//! At most 1 in 1 + k² of the reported values exceed the estimate, where k is
+//! [`Config::deviations`] (by Cantelli's inequality, for any distribution).
 //!
-//! Copies follow a rising load at once, but a falling one only when keeping
-//! the copy has cost as much as stopping it and starting it again would. So a
-//! wave of cancellations causes no moves: the load has come back, or the
-//! dip has lasted long enough to be worth them.
+//! Copies follow a rising load at once, but a falling load only after keeping
+//! the copy has cost as much as stopping it and starting it again. A short wave
+//! of cancellations therefore moves no copies.
 
 use std::time::Duration;
 
@@ -23,62 +21,65 @@
 use crate::estimate::Estimate;
 use crate::history::History;
 
-/// Reports older than this no longer speak of the present.
-const STALE: Duration = Duration::from_secs(5 * 60);
-/// Reports further in the future than this come from a clock that is wrong.
-const FUTURE: Duration = Duration::from_secs(60);
-/// The least time between a report's end and the copy it leads to, beside the
-/// time a copy takes to warm.
-const LAG: Duration = Duration::from_secs(3 * 60);
-/// The least and the longest time that a copy is held.
-const HOLD_LEAST: Duration = Duration::from_secs(60 * 60);
-const HOLD_LONGEST: Duration = Duration::from_secs(26 * 3600);
-/// A lost VM is waited for this part of the holding time, and no longer than
-/// this, beside what the configuration says.
-const PATIENCE_SHARE: u32 = 6;
-const PATIENCE_LONGEST: Duration = Duration::from_secs(4 * 3600);
-
-/// What the proxies together saw of a service in one interval.
+/// Loads are stale if the last report is older than this.
+const STALE_AFTER: Duration = Duration::from_secs(5 * 60);
+/// Reports further in the future than this come from a wrong clock.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
+/// The minimum time between the end of a report and the start of a copy that it
+/// leads to; the copy's warm-up time comes on top.
+const START_LAG: Duration = Duration::from_secs(3 * 60);
+/// The bounds of the default hold time.
+const MIN_HOLD_TIME: Duration = Duration::from_secs(60 * 60);
+const MAX_HOLD_TIME: Duration = Duration::from_secs(26 * 3600);
+/// The replacement delay is this fraction of the hold time, up to the maximum,
+/// but at least the configured delay.
+const REPLACE_DELAY_DIVISOR: u32 = 6;
+const MAX_REPLACE_DELAY: Duration = Duration::from_secs(4 * 3600);
+
+/// The load of a service over all proxies in one interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// The end of the interval.
     pub at: Time,
-    /// Requests being worked on, in thousandths, on average.
+    /// The mean number of requests in flight, in thousandths.
     pub in_flight_milli: u64,
-    /// Requests that came in, in thousandths a second, refused ones included.
+    /// The rate of arriving requests including refused ones, in thousandths per
+    /// second.
     pub arrivals_milli: u64,
-    /// Requests refused for want of a free slot, in thousandths a second.
+    /// The rate of requests refused because no slot was free, in thousandths per
+    /// second.
     pub refused_milli: u64,
 }
 
-/// What the platform reports of one copy.
+/// The resource usage of one copy as reported by the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// When it was measured.
     pub at: Time,
-    /// Processor time, in thousandths of a core.
+    /// The processor use, in thousandths of a core.
     pub milli_cores: u32,
-    /// Memory, in MiB.
+    /// The memory use, in MiB.
     pub memory_mib: u32,
 }
 
-/// What the load calls for, in copies.
+/// The number of copies that the load requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Needed now and until a copy started now is warm.
+    /// Required now and until a copy started now is warm.
     pub now: u32,
-    /// Needed at most within the next half hour, as the day before tells.
+    /// The maximum required within the next half hour, judging by the previous
+    /// day.
     pub upcoming: u32,
-    /// Worth keeping: the most needed within the holding time.
+    /// The number worth keeping: the maximum required within the hold time.
     pub retained: u32,
-    /// Whether no report is fresh.
+    /// Whether there is no recent report.
     pub stale: bool,
-    /// Whether the holding time has passed since the sizer began: before that
-    /// it can't know that a copy isn't needed.
+    /// Whether the sizer has run for the hold time. Before that it can't know
+    /// that a copy is not needed.
     pub settled: bool,
 }
 
-/// Learns load, run times and sizes from reports.
+/// Learns loads, run times and sizes from reports.
 ///
 /// ```
 /// use corianderfork_model::{Fleet, Name, Time};
@@ -95,7 +96,7 @@
 ///
 /// let now = Time::from_millis(600_000);
 /// let mut sizer = Sizer::new(&fleet, now);
-/// // 20 requests in hand need three copies of eight slots.
+/// // 20 requests in flight need three copies of eight slots.
 /// sizer.record_load(now, &fleet, transfer, Load { at: now, in_flight_milli: 20_000, ..Load::default() });
 /// assert_eq!(sizer.demand(&fleet, transfer, &Config::default(), now).now, 3);
 /// # Ok::<(), corianderfork_model::name::Error>(())
@@ -103,53 +104,54 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sizer {
     since: Time,
-    services: Vec<Learned>,
+    services: Vec<ServiceHistory>,
 }
 
-/// What was learned of one service.
+/// The recorded load and the estimates of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Learned {
+struct ServiceHistory {
     load: History,
-    run: Estimate,
+    run_time: Estimate,
     cores: Estimate,
     memory: Estimate,
 }
 
 impl Sizer {
-    /// A sizer that knows only what was declared.
+    /// Creates a sizer that knows only the declared values.
     pub fn new(fleet: &Fleet, now: Time) -> Self {
-        Self { since: now, services: vec![Learned::default(); fleet.services().len()] }
+        Self { since: now, services: vec![ServiceHistory::default(); fleet.services().len()] }
     }
 
-    /// Takes in a report of load. One from the future is left out: a clock is
-    /// wrong, and its value would outlive all true ones.
+    /// Records a load report. Reports from the future are ignored: they come from
+    /// a wrong clock and would hide all correct reports.
     pub fn record_load(&mut self, now: Time, fleet: &Fleet, service: ServiceId, load: Load) {
-        if load.at > now + FUTURE {
+        if load.at > now + MAX_CLOCK_SKEW {
             return;
         }
         let learned = &mut self.services[service.index()];
-        let answered = load.arrivals_milli.saturating_sub(load.refused_milli);
-        if answered > 0 {
-            learned.run.see(load.in_flight_milli as f64 / answered as f64);
+        let accepted = load.arrivals_milli.saturating_sub(load.refused_milli);
+        if accepted > 0 {
+            learned.run_time.record(load.in_flight_milli as f64 / accepted as f64);
         }
-        // Refused requests would have been in hand too (Little's law).
+        // Without refusals, the refused requests would have been in flight too
+        // (Little's law).
         let declared = f64::from(fleet.service(service).run_millis) / 1000.0;
-        let run = learned.run.mean(declared, Config::PRIOR_WEIGHT);
-        let wanted = load.in_flight_milli as f64 + load.refused_milli as f64 * run;
-        learned.load.see(load.at, wanted, ahead(fleet.service(service)));
+        let run_time = learned.run_time.mean(declared, Config::RUN_TIME_PRIOR_WEIGHT);
+        let offered = load.in_flight_milli as f64 + load.refused_milli as f64 * run_time;
+        learned.load.record(load.at, offered, start_lead_time(fleet.service(service)));
     }
 
-    /// Takes in a report of usage. One from the future is left out.
+    /// Records a usage report. Reports from the future are ignored.
     pub fn record_usage(&mut self, now: Time, service: ServiceId, usage: Usage) {
-        if usage.at > now + FUTURE {
+        if usage.at > now + MAX_CLOCK_SKEW {
             return;
         }
         let learned = &mut self.services[service.index()];
-        learned.cores.see(f64::from(usage.milli_cores));
-        learned.memory.see(f64::from(usage.memory_mib));
+        learned.cores.record(f64::from(usage.milli_cores));
+        learned.memory.record(f64::from(usage.memory_mib));
     }
 
-    /// What one copy of `service` needs, at most.
+    /// Returns an upper bound of the size of one copy of `service`.
     pub fn size(&self, fleet: &Fleet, service: ServiceId, config: &Config) -> Size {
         let declared = fleet.service(service).size;
         let learned = &self.services[service.index()];
@@ -164,69 +166,72 @@
         }
     }
 
-    /// Whether as much was reported of the size of `service` as its declared
-    /// size weighs.
+    /// Whether the reports on the size of `service` weigh at least as much as its
+    /// declared size.
     pub fn has_learned_size(&self, service: ServiceId, config: &Config) -> bool {
         self.services[service.index()].cores.count() >= config.prior_weight
     }
 
-    /// What the load of `service` calls for.
+    /// Returns the demand of `service` at `now`.
     pub fn demand(&self, fleet: &Fleet, service: ServiceId, config: &Config, now: Time) -> Demand {
         let declared = fleet.service(service);
         let history = &self.services[service.index()].load;
-        let upper = history.upper(ahead(declared));
+        let expected = history.expected(start_lead_time(declared));
         let hold_time = config.hold_time_for(&fleet.weights);
         let peak = history.peak(now, hold_time);
-        let before =
+        let previous_day =
             if config.daily_profile { history.day_before(now, config.lookahead) } else { 0.0 };
-        let demand = copies(declared, upper);
-        let upcoming = demand.max(copies(declared, before));
+        let demand = copies_for_load(declared, expected);
+        let upcoming = demand.max(copies_for_load(declared, previous_day));
         Demand {
             now: demand,
             upcoming,
-            retained: demand.max(copies(declared, peak)).max(if config.daily_profile {
+            retained: demand.max(copies_for_load(declared, peak)).max(if config.daily_profile {
                 upcoming
             } else {
                 0
             }),
-            stale: history.last().is_none_or(|last| now - last > STALE),
+            stale: history.last_report().is_none_or(|last| now - last > STALE_AFTER),
             settled: now - self.since >= hold_time,
         }
     }
 }
 
 impl Config {
-    /// Reports that weigh as much as a declared run time.
-    const PRIOR_WEIGHT: f64 = 20.0;
+    /// The number of reports that weigh as much as a declared run time.
+    const RUN_TIME_PRIOR_WEIGHT: f64 = 20.0;
 
-    /// How long a copy is held: until that has cost as much as stopping it
-    /// and starting it again. At most twice the least cost possible is paid
-    /// that way, whatever the load does next.
+    /// Returns how long an unneeded copy is kept: until this has cost as much as
+    /// stopping it and starting it again. Whatever the load does next, the total
+    /// cost is at most twice the minimum.
     pub(crate) fn hold_time_for(&self, weights: &Weights) -> Duration {
         if let Some(hold_time) = self.hold_time {
             return hold_time;
         }
         let two_moves = 2.0 * f64::from(weights.moves);
         let hours = two_moves / f64::from(weights.buffer.max(1));
-        Duration::from_secs_f64(hours * 3600.0).clamp(HOLD_LEAST, HOLD_LONGEST)
+        Duration::from_secs_f64(hours * 3600.0).clamp(MIN_HOLD_TIME, MAX_HOLD_TIME)
     }
 }
 
-/// How long after the end of a report a copy that it calls for is warm.
-fn ahead(service: &Service) -> Duration {
-    LAG + Duration::from_millis(u64::from(service.warm_millis))
+/// Returns the time from the end of a report until a copy that it leads to is
+/// warm.
+fn start_lead_time(service: &Service) -> Duration {
+    START_LAG + Duration::from_millis(u64::from(service.warm_millis))
 }
 
 impl Config {
-    /// How long a lost VM is waited for: longer where moves cost more.
+    /// Returns how long copies on a lost VM go unreplaced: longer if moves cost
+    /// more.
     pub(crate) fn replace_delay_for(&self, weights: &Weights) -> Duration {
-        let hold_time = self.hold_time_for(weights) / PATIENCE_SHARE;
-        self.replace_delay.max(hold_time.min(PATIENCE_LONGEST))
+        let share = self.hold_time_for(weights) / REPLACE_DELAY_DIVISOR;
+        self.replace_delay.max(share.min(MAX_REPLACE_DELAY))
     }
 }
 
-/// Copies whose slots hold `load`, in thousandths of a request.
-fn copies(service: &Service, load: f64) -> u32 {
+/// Returns how many copies have enough slots for `load`, which is in thousandths
+/// of a request.
+fn copies_for_load(service: &Service, load: f64) -> u32 {
     let slots = f64::from(service.slots.max(1)) * 1000.0;
     (load / slots).ceil() as u32
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,9 +1,9 @@
-//! What is known of the fleet at one moment.
+//! A snapshot of the fleet, the input of a decision.
 //!
-//! The controller fills a [`State`] from the records in the platform's
-//! service, the lagging list, and what the proxies report. Times are
-//! milliseconds since the Unix epoch, because a state outlives the process
-//! that began it.
+//! The controller fills a [`State`] from the records in the platform's store,
+//! from the platform's task list, which lags, and from the reports of the
+//! proxies. Times are relative to the Unix epoch, because the state is continued
+//! by another process after a failover.
 
 use corianderfork_model::arena::Id;
 use corianderfork_model::place::{DataCentreId, PoolId, RackId, VmId};
@@ -13,43 +13,44 @@
 use crate::sizing::Sizer;
 use crate::wave;
 
-/// Failed starts in a row of one service that count against the VMs.
-const BLAMES_VMS: u16 = 3;
+/// The number of consecutive failed starts of one service that count against
+/// the VMs.
+const MAX_FAILURES_BLAMED_ON_VM: u16 = 3;
 
-/// Where a VM stands between two admissions.
+/// The phase of a VM in its cycle from serving to serving again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It belongs to its pool and takes work.
+    /// Serves in its pool.
     #[default]
     Serving,
-    /// It gets no new work; proxies still have requests in flight there.
+    /// Gets no new requests; proxies may still have requests in flight there.
     Draining,
-    /// Every proxy has confirmed that nothing is in flight there.
+    /// Every proxy has confirmed that no request is in flight there.
     Drained,
-    /// It was told to reboot.
+    /// A reboot was requested.
     Rebooting,
-    /// Its record names its new pool; it isn't admitted there yet.
+    /// Its record names its new pool, but it is not admitted there yet.
     Switching,
-    /// It stays out until an operator looks at it.
+    /// Out of service until an operator intervenes.
     Out,
 }
 
 /// Why a VM was drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
-    /// It is to be rebooted and comes back with its copies.
+    /// To reboot it; it comes back with its copies.
     Maintenance,
-    /// It is to change to another pool.
+    /// To move it to another pool.
     Switch(PoolId),
-    /// An operator asked for it.
+    /// Requested by an operator or a rule.
     Operator,
-    /// It fails everything that is started on it.
+    /// Every start on it fails.
     Unfit,
 }
 
 impl Purpose {
-    /// The text that stands as the reason in the VM's record, so that a
-    /// controller that takes over knows what the drain is for.
+    /// Returns the text stored as the reason in the VM's record, so that another
+    /// controller knows the purpose of the drain after a failover.
     ///
     /// ```
     /// use corianderfork_model::Fleet;
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Reads [`Purpose::to_text`] back. `None` for any other text, and for a
-    /// switch to a pool that `fleet` doesn't have.
+    /// Parses the output of [`Purpose::to_text`]. Returns `None` for any other
+    /// text, and for a switch to a pool that is not in `fleet`.
     pub fn from_text(text: &str, fleet: &Fleet) -> Option<Self> {
         match text {
             "maintenance" => Some(Self::Maintenance),
@@ -87,56 +88,55 @@
 /// A copy of a service on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Copy {
-    /// The service it is a copy of.
+    /// The service.
     pub service: ServiceId,
     /// When it was started.
     pub since: Time,
     /// Whether it has answered since it was started.
     pub warm: bool,
-    /// Whether it fails most of what it is given.
+    /// Whether most of its requests fail.
     pub failing: bool,
 }
 
 impl Copy {
-    /// A copy that has just been started.
+    /// Creates a copy that was started at `since`.
     pub fn new(service: ServiceId, since: Time) -> Self {
         Self { service, since, warm: false, failing: false }
     }
 }
 
-/// What is known of one VM.
+/// The state of one VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vm {
-    /// The one pool it belongs to.
+    /// The pool it belongs to.
     pub pool: PoolId,
-    /// Where it stands between two admissions.
+    /// Its current phase.
     pub phase: Phase,
     /// Why it was drained; `None` while it serves.
     pub purpose: Option<Purpose>,
-    /// When it entered its phase.
+    /// When it entered its current phase.
     pub since: Time,
-    /// Since when nobody has seen it, if it isn't seen now. A VM that is
-    /// rebooting as told is not lost.
+    /// Since when it is missing from the platform's list, if it is. A VM in a
+    /// requested reboot is not lost.
     pub lost_since: Option<Time>,
-    /// Whether an operator wants it drained.
+    /// Whether an operator requests a drain.
     pub drain_requested: bool,
     /// When it last came back from a reboot.
     pub maintained_at: Option<Time>,
-    /// Starts that failed on it in a row.
+    /// The number of consecutive failed starts on it.
     pub failed_starts: u16,
-    /// When the last of them failed.
+    /// When the last start failed on it.
     pub failed_at: Time,
-    /// Since when nothing it was given has answered, if starts have failed
-    /// since.
+    /// When the first start failed since a copy last answered on it, if any.
     pub failing_since: Option<Time>,
-    /// Reboots for being unfit since something last answered on it.
+    /// The number of reboots as unfit since a copy last answered on it.
     pub unfit_reboots: u16,
-    /// The copies assigned to it. They stay assigned while it is maintained.
+    /// The copies assigned to it. They stay assigned during maintenance.
     pub copies: Vec<Copy>,
 }
 
 impl Vm {
-    /// A VM that serves in `pool` and carries nothing.
+    /// Creates a VM that serves in `pool` and has no copies.
     pub fn new(pool: PoolId, since: Time) -> Self {
         Self {
             pool,
@@ -155,33 +155,33 @@
     }
 }
 
-/// How starting a service has gone lately.
+/// The consecutive failed starts of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartFailures {
-    /// Starts that failed in a row, on whichever VM.
+    /// The number of consecutive failed starts, on any VM.
     pub count: u16,
     /// When the last one failed.
     pub last_at: Time,
 }
 
-/// All that a decision is made from, but for the configuration.
+/// The input of a decision, except for the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct State {
     vms: Vec<Vm>,
     start_failures: Vec<StartFailures>,
-    /// What was learned of load, run times and sizes.
+    /// Learned loads, run times and sizes.
     pub sizer: Sizer,
-    /// The wave that operators ordered, if one is under way.
+    /// The current wave, if operators ordered one.
     pub wave: Option<wave::Order>,
-    /// Data centres known to be down beside what the VMs themselves show.
+    /// Data centres known to be down from other sources than the VMs' states.
     pub failed_data_centres: Vec<DataCentreId>,
-    /// Racks known to be down beside what the VMs themselves show.
+    /// Racks known to be down from other sources than the VMs' states.
     pub failed_racks: Vec<RackId>,
 }
 
 impl State {
-    /// The state of a fleet of which nothing is known but its configuration:
-    /// each VM serves in its home pool and carries nothing.
+    /// Creates the initial state of a fleet: each VM serves in its home pool and
+    /// has no copies.
     pub fn new(fleet: &Fleet, now: Time) -> Self {
         Self {
             vms: fleet.vms().map(|(_, vm)| Vm::new(vm.home, now)).collect(),
@@ -193,46 +193,46 @@
         }
     }
 
-    /// What is known of `vm`.
+    /// Returns the state of `vm`.
     ///
     /// # Panics
     ///
-    /// Panics if the id is of another, larger fleet.
+    /// Panics if the id is out of range, because it belongs to a larger fleet.
     pub fn vm(&self, vm: VmId) -> &Vm {
         &self.vms[vm.index()]
     }
 
-    /// What is known of `vm`, to change.
+    /// Returns the state of `vm` for modification.
     ///
     /// # Panics
     ///
-    /// Panics if the id is of another, larger fleet.
+    /// Panics if the id is out of range, because it belongs to a larger fleet.
     pub fn vm_mut(&mut self, vm: VmId) -> &mut Vm {
         &mut self.vms[vm.index()]
     }
 
-    /// Every VM with its id.
+    /// Returns an iterator over all VMs with their ids.
     pub fn vms(&self) -> impl ExactSizeIterator<Item = (VmId, &Vm)> {
         self.vms.iter().enumerate().map(|(index, vm)| (VmId::from_index(index), vm))
     }
 
-    /// How starting `service` has gone.
+    /// Returns the consecutive failed starts of `service`.
     ///
     /// # Panics
     ///
-    /// Panics if the id is of another, larger fleet.
+    /// Panics if the id is out of range, because it belongs to a larger fleet.
     pub fn start_failures(&self, service: ServiceId) -> StartFailures {
         self.start_failures[service.index()]
     }
 
-    /// Records that a start of `service` on `vm` failed. Once a service has
-    /// failed everywhere it was tried, its failures no longer speak against
-    /// the VMs.
+    /// Records that a start of `service` on `vm` failed. After several
+    /// consecutive failures the service is taken to be the cause, and further
+    /// ones don't count against the VMs.
     pub fn record_start_failure(&mut self, vm: VmId, service: ServiceId, now: Time) {
         let failures = &mut self.start_failures[service.index()];
         failures.count = failures.count.saturating_add(1);
         failures.last_at = now;
-        if failures.count <= BLAMES_VMS {
+        if failures.count <= MAX_FAILURES_BLAMED_ON_VM {
             let vm = &mut self.vms[vm.index()];
             vm.failed_starts = vm.failed_starts.saturating_add(1);
             vm.failed_at = now;
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Records that `vm` is back from a reboot, which gives it a new chance.
+    /// Records that `vm` is back from a reboot, which resets its failed starts.
     pub fn record_reboot(&mut self, vm: VmId, now: Time) {
         let vm = &mut self.vms[vm.index()];
         vm.maintained_at = Some(now);
--- a/crates/policy/src/status.rs
+++ b/crates/policy/src/status.rs
@@ -1,4 +1,4 @@
-//! What can be expected of a VM, and of a copy on it.
+//! The status of VMs and of the copies on them.
 
 use corianderfork_model::place::VmId;
 use corianderfork_model::{Fleet, Time};
@@ -6,93 +6,99 @@
 use crate::config::Config;
 use crate::state::{Copy, Phase, Purpose, State, Vm};
 
-/// Starts that fail on a VM in a row before it counts as unfit.
-pub(crate) const UNFIT: u16 = 2;
+/// The number of consecutive failed starts from which a VM counts as unfit.
+pub(crate) const UNFIT_FAILED_STARTS: u16 = 2;
 
-/// What can be expected of a VM.
+/// The status of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Host {
-    /// It takes copies.
+pub(crate) enum VmStatus {
+    /// Serves and takes new copies.
     Usable,
-    /// It serves, but is to be left: it takes no further copies.
-    Closing,
-    /// It is maintained and comes back with its copies.
-    Away,
-    /// It is out of service and its copies don't come back.
-    Gone,
-    /// Nobody sees it.
+    /// Serves, but takes no new copies; its copies are to be replaced.
+    Cordoned,
+    /// In maintenance; comes back with its copies.
+    Maintenance,
+    /// Out of service; its copies don't come back.
+    OutOfService,
+    /// Not visible to the platform, or in a failed rack or data centre.
     Lost,
 }
 
-/// What can be expected of a copy.
+/// The status of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// It serves.
-    Able,
-    /// It was started and hasn't answered yet.
+pub(crate) enum CopyStatus {
+    /// Serves.
+    Ready,
+    /// Started, but has not answered yet.
     Warming,
-    /// It comes back with its VM.
-    Away,
-    /// It fails, or is on a VM that is gone.
+    /// On a VM in maintenance; comes back with it.
+    Maintenance,
+    /// Failing, or on a VM that is out of service.
     Failing,
-    /// Nobody sees its VM, but it may still run there.
+    /// On a lost VM, where it may still run.
     Lost,
-    /// Nobody sees its VM, and its lease has lapsed.
-    Lapsed,
+    /// On a lost VM, and its lease has expired.
+    LeaseExpired,
 }
 
 /// A copy on a VM.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Placement {
     pub(crate) vm: VmId,
-    pub(crate) standing: Standing,
-    /// Whether it is to be left once others serve in its place.
+    pub(crate) status: CopyStatus,
+    /// Whether it is to be stopped once other copies replace it.
     pub(crate) leaving: bool,
 }
 
-impl Place {
-    /// Whether it serves or soon will, and stays.
-    pub(crate) fn stays(&self) -> bool {
-        !self.leaving && matches!(self.standing, Standing::Able | Standing::Warming)
+impl Placement {
+    /// Whether the copy serves or is warming, and is not leaving.
+    pub(crate) fn is_staying(&self) -> bool {
+        !self.leaving && matches!(self.status, CopyStatus::Ready | CopyStatus::Warming)
     }
 
-    /// Whether it serves or soon will, and is about to leave.
-    pub(crate) fn leaves(&self) -> bool {
-        self.leaving && matches!(self.standing, Standing::Able | Standing::Warming)
+    /// Whether the copy serves or is warming, and is leaving.
+    pub(crate) fn is_leaving(&self) -> bool {
+        self.leaving && matches!(self.status, CopyStatus::Ready | CopyStatus::Warming)
     }
 
-    /// Whether it stays, or comes back with its VM.
-    pub(crate) fn remains(&self) -> bool {
-        self.stays() || self.standing == Standing::Away
+    /// Whether the copy stays, or comes back with its VM.
+    pub(crate) fn will_remain(&self) -> bool {
+        self.is_staying() || self.status == CopyStatus::Maintenance
     }
 }
 
-/// What can be expected of `vm`.
-pub(crate) fn host(fleet: &Fleet, state: &State, id: VmId, vm: &Vm) -> Host {
+/// Returns the status of `vm`.
+pub(crate) fn vm_status(fleet: &Fleet, state: &State, id: VmId, vm: &Vm) -> VmStatus {
     let rack = fleet.vm(id).rack;
     let domain_failed = state.failed_racks.contains(&rack)
         || state.failed_data_centres.contains(&fleet.data_centre_of(id));
     match (vm.phase, vm.purpose) {
-        _ if vm.lost_since.is_some() || domain_failed => Host::Lost,
-        (Phase::Serving, _) if vm.failed_starts >= UNFIT => Host::Closing,
-        (Phase::Serving, _) => Host::Usable,
-        (Phase::Out, _) => Host::Gone,
-        (_, Some(Purpose::Maintenance)) => Host::Away,
-        _ => Host::Gone,
+        _ if vm.lost_since.is_some() || domain_failed => VmStatus::Lost,
+        (Phase::Serving, _) if vm.failed_starts >= UNFIT_FAILED_STARTS => VmStatus::Cordoned,
+        (Phase::Serving, _) => VmStatus::Usable,
+        (Phase::Out, _) => VmStatus::OutOfService,
+        (_, Some(Purpose::Maintenance)) => VmStatus::Maintenance,
+        _ => VmStatus::OutOfService,
     }
 }
 
-impl Standing {
-    /// What can be expected of `copy` on `vm`.
-    pub(crate) fn new(host: Host, vm: &Vm, copy: &Copy, config: &Config, now: Time) -> Self {
-        let lost = vm.lost_since.unwrap_or(now);
-        match host {
-            Host::Lost if now - lost > config.lease_ttl => Self::Lapsed,
-            Host::Lost => Self::Lost,
-            Host::Away => Self::Away,
-            Host::Gone => Self::Failing,
+impl CopyStatus {
+    /// Returns the status of `copy` on `vm`.
+    pub(crate) fn new(
+        vm_status: VmStatus,
+        vm: &Vm,
+        copy: &Copy,
+        config: &Config,
+        now: Time,
+    ) -> Self {
+        let lost_since = vm.lost_since.unwrap_or(now);
+        match vm_status {
+            VmStatus::Lost if now - lost_since > config.lease_ttl => Self::LeaseExpired,
+            VmStatus::Lost => Self::Lost,
+            VmStatus::Maintenance => Self::Maintenance,
+            VmStatus::OutOfService => Self::Failing,
             _ if copy.failing => Self::Failing,
-            _ if copy.warm => Self::Able,
+            _ if copy.warm => Self::Ready,
             _ if now - copy.since > config.start_timeout => Self::Failing,
             _ => Self::Warming,
         }
--- a/crates/policy/src/step.rs
+++ b/crates/policy/src/step.rs
@@ -1,4 +1,4 @@
-//! The steps a decision asks the controller to take.
+//! The steps that a decision tells the controller to take.
 
 use std::fmt;
 
@@ -8,51 +8,51 @@
 
 use crate::state::Purpose;
 
-/// One thing to do.
+/// An operation on a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// Start a copy of `service` on `vm`. If one is assigned to it already,
-    /// as after a reboot, that one is started again.
+    /// Start a copy of `service` on `vm`. A copy that is already assigned to it,
+    /// as after a reboot, is started again.
     Start {
         /// The VM.
         vm: VmId,
         /// The service.
         service: ServiceId,
     },
-    /// Stop the copy of `service` on `vm` once nothing is in flight there, and
-    /// take it off the VM's record. Of a lost or rebooting VM only the record
-    /// changes.
+    /// Stop the copy of `service` on `vm` once no request is in flight there,
+    /// and remove it from the VM's record. If the VM is lost or rebooting, only
+    /// the record changes.
     Stop {
         /// The VM.
         vm: VmId,
         /// The service.
         service: ServiceId,
     },
-    /// Take `vm` out of service once nothing is in flight there.
+    /// Take `vm` out of service once no request is in flight there.
     Drain {
         /// The VM.
         vm: VmId,
-        /// What for; kept in the VM's record.
+        /// The purpose, stored in the VM's record.
         purpose: Purpose,
     },
-    /// Reboot `vm`, which is drained.
+    /// Reboot `vm`, which must be drained.
     Reboot {
         /// The VM.
         vm: VmId,
     },
-    /// Write `to` as the pool of `vm`, which is drained and carries nothing.
+    /// Set the pool of `vm` to `to`. The VM must be drained and have no copies.
     SwitchPool {
         /// The VM.
         vm: VmId,
         /// Its new pool.
         to: PoolId,
     },
-    /// Let `vm` serve in the pool that its record names.
+    /// Admit `vm` to the pool that its record names.
     Admit {
         /// The VM.
         vm: VmId,
     },
-    /// Leave `vm` out until an operator looks at it.
+    /// Take `vm` out of service until an operator intervenes.
     SetOut {
         /// The VM.
         vm: VmId,
@@ -60,7 +60,7 @@
 }
 
 impl Operation {
-    /// The VM that it is done to.
+    /// Returns the VM that the operation affects.
     pub fn vm(self) -> VmId {
         match self {
             Self::Start { vm, .. }
@@ -74,43 +74,43 @@
     }
 }
 
-/// Why a step is taken.
+/// The reason for a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Reason {
     /// Too few copies for the load.
     Load,
-    /// Too few copies to outlast the failure that the budget names.
+    /// Too few copies would survive the failure that the budget covers.
     Redundancy,
-    /// Fewer copies than the budget's least.
+    /// Fewer copies than the budget's minimum.
     Budget,
-    /// A copy takes the place of one that is lost or failing.
+    /// Replaces a copy that is lost or failing.
     Replace,
-    /// A copy goes ahead of the VM whose maintenance comes next.
+    /// Replaces a copy in advance on a VM that is about to be drained.
     Surge,
-    /// A copy makes room on a VM that carries more than it has.
+    /// The copy's VM is overcommitted, or being vacated for other reasons.
     Overcommitted,
-    /// More copies than load and budget call for.
+    /// More copies than load and budget require.
     Surplus,
-    /// The copy fails what it is given, or never answered.
+    /// The copy fails its requests, or never answered.
     Failing,
-    /// The copy gives way to one of this more urgent service.
+    /// The copy makes room for one of this more urgent service.
     Displaced(ServiceId),
-    /// The VM is part of the wave under way.
+    /// The VM is part of the current wave.
     Wave,
-    /// The VM is due by its pool's days of maintenance.
+    /// The VM is due for periodic maintenance.
     Due,
-    /// An operator or a rule asked for it.
+    /// Requested by an operator or a rule.
     Requested,
-    /// The VM fails everything that is started on it.
+    /// Every start on the VM fails.
     Unfit,
-    /// The pool has no room for copies it needs.
+    /// Another pool has no room for copies it needs.
     NoRoom,
-    /// The VM goes back to its home pool.
+    /// The VM returns to its home pool.
     ReturnHome,
-    /// The copy stands on a VM that is leaving its pool.
+    /// The copy's VM is leaving its pool.
     LeavingPool,
-    /// The step before this one is done.
+    /// The VM's previous phase is complete.
     NextPhase,
 }
 
@@ -138,22 +138,22 @@
     }
 }
 
-/// One thing to do, and why.
+/// An operation and its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Step {
-    /// What to do.
+    /// The operation.
     pub operation: Operation,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
 impl Step {
-    /// A step.
+    /// Creates a step.
     pub fn new(operation: Operation, reason: Reason) -> Self {
         Self { operation, reason }
     }
 
-    /// A line for the audit trail.
+    /// Returns a line for the audit trail.
     pub fn to_text(self, fleet: &Fleet) -> String {
         let vm = &fleet.vm(self.operation.vm()).name;
         let operation = match self.operation {
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -1,79 +1,88 @@
-//! How many copies of a service there are to be.
+//! The target number of copies of a service.
 
 use corianderfork_model::arena::Id;
 use corianderfork_model::service::{Outlasts, Service, ServiceId};
 
 use crate::directive::Copies;
-use crate::failure_domain::spread;
+use crate::failure_domain::copies_to_survive;
 use crate::note::Note;
-use crate::view::{Place, View};
+use crate::view::{Placement, View};
 
-/// What is asked for one service.
+/// The target for one service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Target {
-    /// Copies there are to be.
-    pub(crate) want: u32,
-    /// Copies that have to be able to serve.
-    pub(crate) need: u32,
-    /// The failure after which `need` are to be left.
+    /// The number of copies to run.
+    pub(crate) desired: u32,
+    /// The number of copies that the load requires.
+    pub(crate) required: u32,
+    /// The failure that `required` copies have to survive.
     pub(crate) level: Outlasts,
-    /// Whether copies beyond `want` may be stopped.
-    pub(crate) shrink: bool,
+    /// Whether copies beyond `desired` may be stopped.
+    pub(crate) may_shrink: bool,
 }
 
 impl Target {
-    /// What load, budget and directive ask for `service`.
+    /// Computes the target of `service` from its load, its budget and the
+    /// directive.
     pub(crate) fn new(view: &View<'_>, service: ServiceId, notes: &mut Vec<Note>) -> Self {
-        let row = view.fleet.service(service);
+        let spec = view.fleet.service(service);
         let demand = view.demands[service.index()];
-        let (min, max) = bounds(service, row, notes);
-        let shed = view.directive.shed.is_some_and(|class| row.class <= class);
-        if shed {
-            return Self { want: min, need: min, level: Outlasts::Nothing, shrink: true };
+        let (min, max) = copy_limits(service, spec, notes);
+        let is_shed = view.directive.shed.is_some_and(|class| spec.class <= class);
+        if is_shed {
+            return Self {
+                desired: min,
+                required: min,
+                level: Outlasts::Nothing,
+                may_shrink: true,
+            };
         }
-        let level = view.level(service);
-        let here = view.count(service, Place::remains);
-        let need = demand.now.clamp(min, max);
-        let covered = |load: u32| spread(load, level, view.domains(row.pool, level));
-        // The least copies too are to be left after the failure.
-        let held = covered(demand.retained.max(min));
-        // While a failure is waited out, what is left is no surplus.
-        let whole = level == row.budget.outlasts;
-        let settled = demand.settled && !demand.stale && whole;
+        let level = view.failure_level(service);
+        let present = view.count_copies(service, Placement::will_remain);
+        let required = demand.now.clamp(min, max);
+        let with_redundancy =
+            |load: u32| copies_to_survive(load, level, view.domains(spec.pool, level));
+        // The budget's minimum has to survive the failure too.
+        let retained = with_redundancy(demand.retained.max(min));
+        // During a failure the redundancy is lowered; the remaining copies are
+        // not surplus then.
+        let has_full_redundancy = level == spec.budget.outlasts;
+        let settled = demand.settled && !demand.stale && has_full_redundancy;
         if demand.stale {
             notes.push(Note::StaleLoad { service });
         }
         let target = match view.directive.copies_of(service) {
             Copies::Measured if demand.stale => {
-                Self { want: here.max(held), need, level, shrink: false }
+                Self { desired: present.max(retained), required, level, may_shrink: false }
             }
-            Copies::Measured => Self { want: held, need, level, shrink: settled },
-            Copies::Count(count) => Self { want: count, need, level, shrink: true },
+            Copies::Measured => Self { desired: retained, required, level, may_shrink: settled },
+            Copies::Count(count) => Self { desired: count, required, level, may_shrink: true },
             Copies::Share(share) => {
-                Self { want: share.of(row.licences), need, level, shrink: true }
+                Self { desired: share.of(spec.licences), required, level, may_shrink: true }
             }
-            // Never less than the budget's failure calls for: what may be
-            // drained is judged by the budget, and with fewer copies than that
-            // no VM could ever be drained.
+            // Never less than the redundancy that the budget requires: with
+            // fewer copies the budget would not allow any drain.
             Copies::Headroom(share) => {
-                let want = demand.retained.saturating_add(share.of(demand.retained)).max(held);
-                Self { want, need, level, shrink: settled }
+                let desired =
+                    demand.retained.saturating_add(share.of(demand.retained)).max(retained);
+                Self { desired, required, level, may_shrink: settled }
             }
-            // As many as there are, those that are about to leave included:
-            // else no VM that carries one could be drained while a rule holds.
+            // Includes copies that are leaving: otherwise no VM with a copy
+            // could be drained while the directive applies.
             Copies::Hold => {
-                let want = here + view.count(service, Place::leaves);
-                Self { want, need: min, level: Outlasts::Nothing, shrink: false }
+                let desired = present + view.count_copies(service, Placement::is_leaving);
+                Self { desired, required: min, level: Outlasts::Nothing, may_shrink: false }
             }
         };
-        Self { want: target.want.clamp(min, max), ..target }
+        Self { desired: target.desired.clamp(min, max), ..target }
     }
 }
 
-/// The least and the most copies that can be asked for.
-fn bounds(service: ServiceId, row: &Service, notes: &mut Vec<Note>) -> (u32, u32) {
-    let max = row.budget.max_copies.min(row.licences);
-    let min = row.budget.min_copies;
+/// Returns the minimum and the maximum number of copies. Adds a note if the
+/// budget's minimum exceeds the maximum.
+fn copy_limits(service: ServiceId, spec: &Service, notes: &mut Vec<Note>) -> (u32, u32) {
+    let max = spec.budget.max_copies.min(spec.licences);
+    let min = spec.budget.min_copies;
     if min > max {
         notes.push(Note::ConflictingLimits { service, min, max });
     }
