--- a/crates/jobs/src/pool/turns.rs
+++ b/crates/jobs/src/pool/ranking.rs
@@ -4,7 +4,7 @@
 
 use corianderfork_model::Time;
 
-use super::table::{Entry, Occurrence};
+use super::entry::{Entry, Occurrence};
 use super::{JobKey, Pool};
 use crate::job::chain_ms;
 
@@ -63,7 +63,7 @@
     }
 
     fn urgency(&self, now: Time, entry: &Entry, row: &Occurrence) -> Urgency {
-        if entry.lasts {
+        if entry.long_running {
             return Urgency::Critical;
         }
         let left = chain_ms(&entry.steps, |index, step| {
