--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small driver: it takes steps and lets minutes pass.
+//! A simulated fleet that applies decisions, minute by minute.
 
 #![allow(dead_code)]
 
@@ -13,8 +13,8 @@
 
 pub const CORE: u32 = 1_000;
 pub const GIB: u32 = 1_024;
-/// Minutes from the Unix epoch at which the drivers begin.
-pub const BEGIN: u64 = 1_000_000;
+/// The minute since the Unix epoch at which a simulation starts.
+pub const START_MINUTE: u64 = 1_000_000;
 
 pub fn size(cores: u32, gib: u32) -> Size {
     Size { milli_cores: cores * CORE, memory_mib: gib * GIB, accelerators: 0 }
@@ -28,16 +28,17 @@
     Time::from_millis(at * 60_000)
 }
 
-/// Data centres with two racks of `vms` VMs each, all in one pool.
-pub fn fleet(centres: usize, vms: usize) -> (Fleet, PoolId) {
+/// Returns a fleet of data centres with two racks of `vms` VMs each, all in one
+/// pool.
+pub fn fleet(data_centres: usize, vms: usize) -> (Fleet, PoolId) {
     let mut fleet = Fleet::default();
     let pool = fleet.add_pool(Pool::new(name("pool")));
-    add_vms(&mut fleet, pool, centres, vms);
+    add_vms(&mut fleet, pool, data_centres, vms);
     (fleet, pool)
 }
 
-pub fn add_vms(fleet: &mut Fleet, pool: PoolId, centres: usize, vms: usize) {
-    for dc in 0..centres {
+pub fn add_vms(fleet: &mut Fleet, pool: PoolId, data_centres: usize, vms: usize) {
+    for dc in 0..data_centres {
         let label = format!("dc-{dc}");
         let id = fleet.find_data_centre(&label).unwrap_or_else(|| {
             fleet.add_data_centre(DataCentre::new(name(&label), name("region")))
@@ -56,50 +57,50 @@
     fleet: &mut Fleet,
     pool: PoolId,
     text: &str,
-    (least, most): (u32, u32),
+    (min_copies, max_copies): (u32, u32),
     outlasts: Outlasts,
 ) -> ServiceId {
-    let mut budget = Budget::new(least, most);
+    let mut budget = Budget::new(min_copies, max_copies);
     budget.outlasts = outlasts;
-    fleet.add_service(Service::new(name(text), pool, size(3, 6), budget, most))
+    fleet.add_service(Service::new(name(text), pool, size(3, 6), budget, max_copies))
 }
 
-/// A fleet and its state, driven minute by minute.
+/// A fleet and its state, simulated minute by minute.
 pub struct Driver {
     pub fleet: Fleet,
     pub state: State,
     pub directive: Directive,
     pub config: Config,
     pub now: u64,
-    /// Requests in hand of each service.
+    /// Requests in flight of each service.
     pub loads: Vec<u64>,
     /// VMs on which every start fails.
-    pub bad: Vec<VmId>,
-    /// Services of which every start fails.
-    pub broken: Vec<ServiceId>,
-    /// Starts and stops of copies so far.
+    pub failing_vms: Vec<VmId>,
+    /// Services whose every start fails.
+    pub failing_services: Vec<ServiceId>,
+    /// The number of starts and stops of copies so far.
     pub moves: usize,
-    /// What the last decision said.
-    pub last: Decision,
+    /// The last decision.
+    pub last_decision: Decision,
 }
 
 impl Driver {
     pub fn new(fleet: Fleet) -> Self {
-        let mut state = State::new(&fleet, minute(BEGIN));
+        let mut state = State::new(&fleet, minute(START_MINUTE));
         for vm in fleet.vm_ids() {
-            state.vm_mut(vm).maintained_at = Some(minute(BEGIN));
+            state.vm_mut(vm).maintained_at = Some(minute(START_MINUTE));
         }
         let loads = vec![0; fleet.services().len()];
         Self {
             state,
             directive: Directive::default(),
             config: Config::default(),
-            now: BEGIN,
+            now: START_MINUTE,
             loads,
-            bad: Vec::new(),
-            broken: Vec::new(),
+            failing_vms: Vec::new(),
+            failing_services: Vec::new(),
             moves: 0,
-            last: Decision::default(),
+            last_decision: Decision::default(),
             fleet,
         }
     }
@@ -109,50 +110,55 @@
         self
     }
 
-    /// Lets `minutes` pass.
+    /// Simulates `minutes`.
     pub fn run(&mut self, minutes: u64) {
         for _ in 0..minutes {
-            self.step();
+            self.run_minute();
         }
     }
 
-    /// Lets minutes pass until `done`; panics after three days.
+    /// Simulates until `done`, and returns the minutes that took. Panics after
+    /// three days.
     pub fn run_until(&mut self, mut done: impl FnMut(&Self) -> bool) -> u64 {
-        let begun = self.now;
+        let start = self.now;
         while !done(self) {
-            assert!(self.now - begun < 3 * 1440, "not done after three days: {:?}", self.last);
-            self.step();
+            assert!(
+                self.now - start < 3 * 1440,
+                "not done after three days: {:?}",
+                self.last_decision
+            );
+            self.run_minute();
         }
-        self.now - begun
+        self.now - start
     }
 
-    pub fn step(&mut self) -> &Decision {
-        self.pass();
+    pub fn run_minute(&mut self) -> &Decision {
+        self.advance_minute();
         self.decide();
-        self.take();
-        &self.last
+        self.apply_steps();
+        &self.last_decision
     }
 
-    /// Lets one minute pass.
-    pub fn pass(&mut self) {
+    /// Advances the clock by one minute and updates the state.
+    pub fn advance_minute(&mut self) {
         self.now += 1;
-        self.tick();
+        self.update_state();
     }
 
-    /// Takes the steps of the last decision.
-    pub fn take(&mut self) {
-        for step in self.last.steps.clone() {
+    /// Applies the steps of the last decision.
+    pub fn apply_steps(&mut self) {
+        for step in self.last_decision.steps.clone() {
             self.apply(step);
         }
     }
 
     pub fn decide(&mut self) -> &Decision {
         let now = minute(self.now);
-        self.last = decide(&self.fleet, &self.state, &self.directive, &self.config, now);
-        &self.last
+        self.last_decision = decide(&self.fleet, &self.state, &self.directive, &self.config, now);
+        &self.last_decision
     }
 
-    fn tick(&mut self) {
+    fn update_state(&mut self) {
         let now = minute(self.now);
         for (service, load) in self.fleet.service_ids().zip(self.loads.clone()) {
             let load = Load { at: now, in_flight_milli: load * 1000, ..Load::default() };
@@ -171,23 +177,24 @@
                 {
                     self.state.record_reboot(id, now);
                 }
-                Phase::Serving => self.warm(id),
+                Phase::Serving => self.update_copies(id),
                 _ => {}
             }
         }
     }
 
-    fn warm(&mut self, id: VmId) {
+    fn update_copies(&mut self, id: VmId) {
         for at in 0..self.state.vm(id).copies.len() {
             let copy = self.state.vm(id).copies[at];
-            let fails = self.bad.contains(&id) || self.broken.contains(&copy.service);
-            if fails && !copy.failing {
+            let is_failing =
+                self.failing_vms.contains(&id) || self.failing_services.contains(&copy.service);
+            if is_failing && !copy.failing {
                 self.state.record_start_failure(id, copy.service, minute(self.now));
-            } else if !fails && (copy.failing || !copy.warm) {
+            } else if !is_failing && (copy.failing || !copy.warm) {
                 self.state.record_start_success(id, copy.service);
             }
             let copy = &mut self.state.vm_mut(id).copies[at];
-            (copy.warm, copy.failing) = (!fails, fails);
+            (copy.warm, copy.failing) = (!is_failing, is_failing);
         }
     }
 
@@ -228,25 +235,25 @@
         }
     }
 
-    /// VMs on which copies of `service` serve.
-    pub fn able(&self, service: ServiceId) -> Vec<VmId> {
-        let able = |copy: &Copy| copy.service == service && copy.warm && !copy.failing;
+    /// Returns the VMs on which copies of `service` serve.
+    pub fn ready_vms(&self, service: ServiceId) -> Vec<VmId> {
+        let is_ready = |copy: &Copy| copy.service == service && copy.warm && !copy.failing;
         let vms = self.state.vms().filter(|(_, vm)| {
-            vm.phase == Phase::Serving && vm.lost_since.is_none() && vm.copies.iter().any(able)
+            vm.phase == Phase::Serving && vm.lost_since.is_none() && vm.copies.iter().any(is_ready)
         });
         vms.map(|(id, _)| id).collect()
     }
 
-    /// Copies of `service` assigned to VMs.
-    pub fn held(&self, service: ServiceId) -> usize {
+    /// Returns the number of copies of `service` assigned to VMs.
+    pub fn assigned(&self, service: ServiceId) -> usize {
         let copies = self.state.vms().flat_map(|(_, vm)| &vm.copies);
         copies.filter(|copy| copy.service == service).count()
     }
 
-    /// Loses the VMs for which `lost` holds.
-    pub fn lose(&mut self, mut lost: impl FnMut(&Fleet, VmId) -> bool) {
+    /// Marks the VMs for which `is_lost` holds as lost.
+    pub fn lose_vms(&mut self, mut is_lost: impl FnMut(&Fleet, VmId) -> bool) {
         for id in self.fleet.vm_ids() {
-            if lost(&self.fleet, id) {
+            if is_lost(&self.fleet, id) {
                 let vm = self.state.vm_mut(id);
                 vm.lost_since = Some(minute(self.now));
                 vm.copies.iter_mut().for_each(|copy| copy.warm = false);
@@ -254,8 +261,8 @@
         }
     }
 
-    /// Brings all lost VMs back.
-    pub fn find_all(&mut self) {
+    /// Recovers all lost VMs.
+    pub fn recover_all(&mut self) {
         for id in self.fleet.vm_ids() {
             self.state.vm_mut(id).lost_since = None;
         }
