--- a/crates/policy/benches/policy/main.rs
+++ b/crates/policy/benches/policy/main.rs
@@ -1,23 +1,23 @@
-//! Measures the decisions against two baselines and a lower bound.
+//! Compares the decisions with two baselines and a lower bound.
 //!
 //! `cargo bench --bench policy` prints one CSV block. Each figure is the mean
-//! over the seeds, violations are their sum:
+//! over the seeds, except for violations, which are summed up:
 //!
-//! - `buffer_cost`: copy-hours that licences were held beyond what the load of
-//!   the minute needs, over three days after one to learn from (the target
+//! - `buffer_cost`: copy-hours of licences held beyond what the load of each
+//!   minute needs, over three days after one day of learning (at the target
 //!   size: two days from the first minute);
 //! - `roll_out_time`: hours from the order of the wave until its last VM serves
 //!   again;
-//! - `moves`: copies started on another VM, able copies stopped, and VMs that
-//!   changed their pool;
-//! - `violations`: service-minutes in which a service had fewer able copies than
-//!   its budget's least, or fewer slots than its load, or more copies than
-//!   licences; a failure larger than the budget names is excused for its first
-//!   quarter of an hour;
+//! - `moves`: copies started on another VM, ready copies stopped, and VMs moved
+//!   to another pool;
+//! - `violations`: service-minutes in which a service had fewer ready copies than
+//!   its budget's minimum, fewer slots than its load, or more copies than
+//!   licences; during a failure larger than the budget covers, the first 15
+//!   minutes are excused;
 //! - `decision_ms`: mean time of one decision, in milliseconds.
 //!
-//! `POLICY_DETAIL=1` prints each step and violation to standard error;
-//! `POLICY_ONLY=name` runs one policy, `POLICY_USER=name` one user.
+//! `POLICY_DETAIL=1` prints each step and violation to standard error,
+//! `POLICY_ONLY=name` runs one policy, and `POLICY_USER=name` one user's fleet.
 
 mod baseline;
 mod initial_placement;
@@ -30,21 +30,22 @@
 use corianderfork_policy::config::Width;
 use corianderfork_policy::{Config, Directive, State, Step, decide};
 
-use scenario::Shape;
+use scenario::Scenario;
 use simulator::{Measures, Policy};
 
 const SEEDS: [u64; 5] = [11, 23, 42, 57, 68];
 
-/// Milliseconds.
+/// Milliseconds per hour.
 const HOUR: u64 = 3_600_000;
 
-struct Own {
+/// The decisions of this crate.
+struct DecidePolicy {
     config: Config,
 }
 
-impl Policy for Own {
-    fn decide(&mut self, shape: &Shape, state: &State, _: &[f64], now: Time) -> Vec<Step> {
-        let decision = decide(&shape.fleet, state, &Directive::default(), &self.config, now);
+impl Policy for DecidePolicy {
+    fn decide(&mut self, scenario: &Scenario, state: &State, _: &[f64], now: Time) -> Vec<Step> {
+        let decision = decide(&scenario.fleet, state, &Directive::default(), &self.config, now);
         if now.as_millis().is_multiple_of(HOUR) && std::env::var_os("POLICY_DETAIL").is_some() {
             eprintln!("hour {}: {:?}", now.as_millis() / HOUR, decision.notes);
         }
@@ -52,8 +53,8 @@
     }
 }
 
-/// The policy as it was before its rounds: one VM of a pool at a time, copies
-/// given up after ten minutes, nothing learned from the day before.
+/// The parameters of the first version: one VM per pool at a time, a hold time
+/// of ten minutes, and no profile of the previous day.
 fn first_version() -> Config {
     Config::new()
         .hold_time(Duration::from_secs(600))
@@ -62,30 +63,38 @@
         .width(Width::Fixed(1))
 }
 
-type Maker = fn() -> Box<dyn Policy>;
+type MakePolicy = fn() -> Box<dyn Policy>;
 
-/// A policy, and whether it is run at the target size too.
-struct Row {
+/// A policy, and whether it also runs at the target size.
+struct Entry {
     name: &'static str,
-    make: Maker,
-    everywhere: bool,
+    make: MakePolicy,
+    at_target_size: bool,
 }
 
-fn policies() -> Vec<Row> {
-    let row = |name, make, everywhere| Row { name, make, everywhere };
+fn policies() -> Vec<Entry> {
+    let entry = |name, make, at_target_size| Entry { name, make, at_target_size };
     vec![
-        row("fixed_one_at_a_time", || Box::new(baseline::Fixed), true),
-        row("even_reshuffled", || Box::new(baseline::Reshuffle::default()), true),
-        row("corianderfork_first", || own(first_version()), false),
-        row("corianderfork_no_profile", || own(Config::new().daily_profile(false)), false),
-        row("corianderfork_no_surge", || own(Config::new().surge(false)), false),
-        row("corianderfork_doubling", || own(Config::new().width(Width::Doubling)), false),
-        row("corianderfork", || own(Config::new()), true),
+        entry("fixed_one_at_a_time", || Box::new(baseline::Fixed), true),
+        entry("even_reshuffled", || Box::new(baseline::Reshuffle::default()), true),
+        entry("corianderfork_first", || decide_policy(first_version()), false),
+        entry(
+            "corianderfork_no_profile",
+            || decide_policy(Config::new().daily_profile(false)),
+            false,
+        ),
+        entry("corianderfork_no_surge", || decide_policy(Config::new().surge(false)), false),
+        entry(
+            "corianderfork_doubling",
+            || decide_policy(Config::new().width(Width::Doubling)),
+            false,
+        ),
+        entry("corianderfork", || decide_policy(Config::new()), true),
     ]
 }
 
-fn own(config: Config) -> Box<dyn Policy> {
-    Box::new(Own { config })
+fn decide_policy(config: Config) -> Box<dyn Policy> {
+    Box::new(DecidePolicy { config })
 }
 
 fn mean(all: &[Measures]) -> Measures {
@@ -107,33 +116,35 @@
     );
 }
 
-/// A name, its shape by seed, and the seeds.
-type User = (&'static str, fn(u64) -> Shape, &'static [u64]);
+/// A user's name, the scenario for a seed, and the seeds.
+type User = (&'static str, fn(u64) -> Scenario, &'static [u64]);
 
 fn main() {
-    let only = std::env::var("POLICY_ONLY").ok();
-    let user = std::env::var("POLICY_USER").ok();
+    let only_policy = std::env::var("POLICY_ONLY").ok();
+    let only_user = std::env::var("POLICY_USER").ok();
     let users: [User; 3] = [
-        ("Gourmoti", Shape::gourmoti, &SEEDS),
-        ("Indus", Shape::indus, &SEEDS),
-        ("target", Shape::target, &SEEDS[..1]),
+        ("Gourmoti", Scenario::gourmoti, &SEEDS),
+        ("Indus", Scenario::indus, &SEEDS),
+        ("target", Scenario::target, &SEEDS[..1]),
     ];
     println!("user,policy,buffer_cost,roll_out_time,moves,violations,decision_ms");
-    for (name, shape, seeds) in users {
-        if user.as_deref().is_some_and(|user| user != name) {
+    for (name, scenario, seeds) in users {
+        if only_user.as_deref().is_some_and(|user| user != name) {
             continue;
         }
-        let shapes: Vec<Shape> = seeds.iter().map(|seed| shape(*seed)).collect();
-        for row in policies() {
-            let other = only.as_deref().is_some_and(|only| only != row.name);
-            if other || (name == "target" && !row.everywhere) {
+        let scenarios: Vec<Scenario> = seeds.iter().map(|seed| scenario(*seed)).collect();
+        for entry in policies() {
+            let skip = only_policy.as_deref().is_some_and(|only| only != entry.name);
+            if skip || (name == "target" && !entry.at_target_size) {
                 continue;
             }
-            let all: Vec<Measures> =
-                shapes.iter().map(|shape| simulator::run(shape, &mut *(row.make)())).collect();
-            print(name, row.name, mean(&all));
+            let all: Vec<Measures> = scenarios
+                .iter()
+                .map(|scenario| simulator::run(scenario, &mut *(entry.make)()))
+                .collect();
+            print(name, entry.name, mean(&all));
         }
-        let bounds: Vec<Measures> = shapes.iter().map(baseline::lower_bound).collect();
+        let bounds: Vec<Measures> = scenarios.iter().map(baseline::lower_bound).collect();
         print(name, "lower_bound", mean(&bounds));
     }
 }
--- a/crates/policy/benches/policy/simulator.rs
+++ b/crates/policy/benches/policy/simulator.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the fleet at the interface of the decisions: it takes steps
-//! and shows a state, minute by minute.
+//! Simulates a fleet at the interface of the decisions: it applies steps and
+//! updates the state, minute by minute.
 
 use std::time::{Duration, Instant};
 
@@ -13,112 +13,114 @@
 use corianderfork_policy::wave::Order;
 
 use crate::initial_placement::place_evenly;
-use crate::scenario::{Part, Shape};
+use crate::scenario::{Part, Scenario};
 
-/// Minutes that things take.
+// Durations in minutes.
 const DRAIN: u64 = 1;
 const REBOOT: u64 = 8;
 const WARM: u64 = 2;
 const REPORT_LAG: u64 = 2;
-/// Minutes within which a failure larger than a budget names is to be mended.
-const GRACE: u64 = 15;
+/// Minutes during which a failure larger than the budget covers is excused.
+const GRACE_PERIOD: u64 = 15;
 
-/// What decides.
+/// A policy under test.
 pub trait Policy {
-    fn decide(&mut self, shape: &Shape, state: &State, loads: &[f64], now: Time) -> Vec<Step>;
+    fn decide(&mut self, scenario: &Scenario, state: &State, loads: &[f64], now: Time)
+    -> Vec<Step>;
 }
 
-/// What is measured.
+/// The results of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Measures {
     /// Copy-hours held beyond those the load needs.
     pub buffer_cost: f64,
     /// Hours from the order of the wave until its last VM serves again.
     pub roll_out_time: f64,
-    /// Copies started elsewhere or stopped while able, and VMs that changed
-    /// their pool.
+    /// Copies started elsewhere, ready copies stopped, and VMs moved to another
+    /// pool.
     pub moves: u64,
-    /// Service-minutes below budget, load or licence, and steps that would put
-    /// a VM into two pools.
+    /// Service-minutes below budget or load or above the licences, and steps that
+    /// are invalid in the VM's phase.
     pub violations: u64,
     /// Mean time of one decision.
     pub decision_ms: f64,
 }
 
-/// The copies of one service at a moment.
+/// The number of copies of one service.
 #[derive(Clone, Copy, Debug, Default)]
-struct Census {
-    held: u32,
-    able: u32,
+struct CopyCounts {
+    assigned: u32,
+    ready: u32,
     slots: f64,
 }
 
-pub struct Fake<'a> {
-    shape: &'a Shape,
+pub struct Simulator<'a> {
+    scenario: &'a Scenario,
     state: State,
     now: u64,
     wave_done: Option<u64>,
     measures: Measures,
-    detail: bool,
+    verbose: bool,
 }
 
 pub fn time(minute: u64) -> Time {
     Time::from_millis(minute * 60_000)
 }
 
-/// The jobs that never run are the last two services.
-pub fn real_services(shape: &Shape) -> usize {
-    shape.fleet.services().len() - 2
+/// Returns the number of services that can run; the last two can't.
+pub fn schedulable_services(scenario: &Scenario) -> usize {
+    scenario.fleet.services().len() - 2
 }
 
-/// Runs `policy` through all that happens to `shape`.
-pub fn run(shape: &Shape, policy: &mut dyn Policy) -> Measures {
-    let mut fake = Fake::new(shape);
-    let mut spent = Duration::ZERO;
-    for minute in shape.begin..shape.end {
-        fake.now = minute;
-        if minute == shape.measured {
-            fake.measures = Measures::default();
+/// Runs `policy` through `scenario`.
+pub fn run(scenario: &Scenario, policy: &mut dyn Policy) -> Measures {
+    let mut simulator = Simulator::new(scenario);
+    let mut decision_time = Duration::ZERO;
+    for minute in scenario.start..scenario.end {
+        simulator.now = minute;
+        if minute == scenario.measure_from {
+            simulator.measures = Measures::default();
         }
-        fake.tick();
-        let loads = fake.report();
+        simulator.tick();
+        let loads = simulator.report();
         let start = Instant::now();
-        let steps = policy.decide(shape, &fake.state, &loads, time(minute));
-        spent += start.elapsed();
-        steps.iter().for_each(|step| fake.apply(*step));
-        fake.measure();
+        let steps = policy.decide(scenario, &simulator.state, &loads, time(minute));
+        decision_time += start.elapsed();
+        steps.iter().for_each(|step| simulator.apply(*step));
+        simulator.measure();
     }
-    fake.measures.decision_ms = spent.as_secs_f64() * 1000.0 / (shape.end - shape.begin) as f64;
-    fake.measures.roll_out_time = fake.roll_out();
-    if fake.detail {
-        eprintln!("seed {}: {:?}", shape.seed, fake.measures);
+    simulator.measures.decision_ms =
+        decision_time.as_secs_f64() * 1000.0 / (scenario.end - scenario.start) as f64;
+    simulator.measures.roll_out_time = simulator.roll_out_time();
+    if simulator.verbose {
+        eprintln!("seed {}: {:?}", scenario.seed, simulator.measures);
     }
-    fake.measures
+    simulator.measures
 }
 
-impl<'a> Fake<'a> {
-    fn new(shape: &'a Shape) -> Self {
-        let mut state = State::new(&shape.fleet, time(shape.begin));
-        let ids: Vec<VmId> = shape.fleet.vm_ids().collect();
+impl<'a> Simulator<'a> {
+    fn new(scenario: &'a Scenario) -> Self {
+        let mut state = State::new(&scenario.fleet, time(scenario.start));
+        let ids: Vec<VmId> = scenario.fleet.vm_ids().collect();
         for &id in &ids {
-            // Long ago enough to be spread, late enough that none is due.
+            // Spread over ten days, and recent enough that no VM is due.
             let days = id.index() as u64 % 10;
-            state.vm_mut(id).maintained_at = Some(time(shape.begin.saturating_sub(days * 1440)));
+            state.vm_mut(id).maintained_at = Some(time(scenario.start.saturating_sub(days * 1440)));
         }
-        place_evenly(shape, &mut state);
+        place_evenly(scenario, &mut state);
         Self {
-            shape,
+            scenario,
             state,
-            now: shape.begin,
+            now: scenario.start,
             wave_done: None,
             measures: Measures::default(),
-            detail: std::env::var_os("POLICY_DETAIL").is_some(),
+            verbose: std::env::var_os("POLICY_DETAIL").is_some(),
         }
     }
 
-    fn down(&self, vm: VmId, minute: u64) -> bool {
-        let fleet = &self.shape.fleet;
-        self.shape.outages.iter().any(|outage| {
+    fn is_down(&self, vm: VmId, minute: u64) -> bool {
+        let fleet = &self.scenario.fleet;
+        self.scenario.outages.iter().any(|outage| {
             let hit = match outage.part {
                 Part::Vm(index) => vm.index() == index,
                 Part::Rack(index) => fleet.vm(vm).rack.index() == index,
@@ -128,20 +130,20 @@
         })
     }
 
-    fn bad(&self, vm: VmId) -> bool {
+    fn is_vm_failing(&self, vm: VmId) -> bool {
         let back = |at| self.state.vm(vm).maintained_at.is_some_and(|then| then > time(at));
-        self.shape.bad.iter().any(|bad| {
+        self.scenario.failing_vms.iter().any(|bad| {
             bad.vm == vm.index()
                 && (bad.at..bad.at + bad.minutes).contains(&self.now)
-                && (!bad.rebooted || back(bad.at))
+                && (!bad.after_reboot || back(bad.at))
         })
     }
 
     fn tick(&mut self) {
-        if self.now == self.shape.wave.0 {
-            self.state.wave = Some(Order::new(time(self.now), time(self.shape.wave.1)));
+        if self.now == self.scenario.wave.0 {
+            self.state.wave = Some(Order::new(time(self.now), time(self.scenario.wave.1)));
         }
-        for id in self.shape.fleet.vm_ids() {
+        for id in self.scenario.fleet.vm_ids() {
             self.tick_vm(id);
         }
         let done = |order: &Order| order.is_done(&self.state);
@@ -152,10 +154,10 @@
 
     fn tick_vm(&mut self, id: VmId) {
         let now = time(self.now);
-        // A failure is seen a minute later.
-        let lost = self.now > 0 && self.down(id, self.now - 1);
-        let bad = self.bad(id);
-        let broken = ServiceId::from_index(self.shape.fleet.services().len() - 1);
+        // A failure is detected one minute later.
+        let lost = self.now > 0 && self.is_down(id, self.now - 1);
+        let vm_failing = self.is_vm_failing(id);
+        let broken_service = ServiceId::from_index(self.scenario.fleet.services().len() - 1);
         let vm = self.state.vm_mut(id);
         if lost != vm.lost_since.is_some() {
             vm.lost_since = lost.then_some(now);
@@ -177,42 +179,42 @@
         }
         for at in 0..self.state.vm(id).copies.len() {
             let copy = self.state.vm(id).copies[at];
-            let old = (now - copy.since).as_secs() / 60 >= WARM;
-            let fails = bad || copy.service == broken;
-            if self.state.vm(id).phase != Phase::Serving || !old {
+            let is_warmed_up = (now - copy.since).as_secs() / 60 >= WARM;
+            let is_failing = vm_failing || copy.service == broken_service;
+            if self.state.vm(id).phase != Phase::Serving || !is_warmed_up {
                 continue;
             }
-            if fails && !copy.failing {
+            if is_failing && !copy.failing {
                 self.state.record_start_failure(id, copy.service, now);
-            } else if !fails && (copy.failing || !copy.warm) {
+            } else if !is_failing && (copy.failing || !copy.warm) {
                 self.state.record_start_success(id, copy.service);
             }
             let copy = &mut self.state.vm_mut(id).copies[at];
-            (copy.warm, copy.failing) = (!fails, fails);
+            (copy.warm, copy.failing) = (!is_failing, is_failing);
         }
     }
 
-    /// Reports loads and usage as they were some minutes ago.
+    /// Reports the loads of some minutes ago, and the current usage.
     fn report(&mut self) -> Vec<f64> {
-        let at = self.now.saturating_sub(REPORT_LAG).max(self.shape.begin);
+        let at = self.now.saturating_sub(REPORT_LAG).max(self.scenario.start);
         let now = time(self.now);
         let mut loads = Vec::new();
-        let census = self.census();
-        for service in self.shape.fleet.service_ids() {
-            let real = service.index() < real_services(self.shape);
-            let load = if real { self.shape.load(service.index(), at) } else { 1.0 };
-            let slots = census[service.index()].slots;
-            let run = 0.05;
+        let counts = self.count_copies();
+        for service in self.scenario.fleet.service_ids() {
+            let is_schedulable = service.index() < schedulable_services(self.scenario);
+            let load = if is_schedulable { self.scenario.load(service.index(), at) } else { 1.0 };
+            let slots = counts[service.index()].slots;
+            let run_time = 0.05;
             let report = Load {
                 at: time(at),
                 in_flight_milli: (load.min(slots) * 1000.0) as u64,
-                arrivals_milli: (load / run * 1000.0) as u64,
-                refused_milli: ((load - slots).max(0.0) / run * 1000.0) as u64,
+                arrivals_milli: (load / run_time * 1000.0) as u64,
+                refused_milli: ((load - slots).max(0.0) / run_time * 1000.0) as u64,
             };
-            self.state.sizer.record_load(now, &self.shape.fleet, service, report);
+            self.state.sizer.record_load(now, &self.scenario.fleet, service, report);
             loads.push(load);
         }
-        for id in self.shape.fleet.vm_ids() {
+        for id in self.scenario.fleet.vm_ids() {
             for at in 0..self.state.vm(id).copies.len() {
                 let copy = self.state.vm(id).copies[at];
                 if copy.warm {
@@ -224,8 +226,8 @@
     }
 
     fn report_usage(&mut self, service: ServiceId, now: Time) {
-        let declared = self.shape.fleet.service(service).size;
-        let share = self.shape.true_share(service.index());
+        let declared = self.scenario.fleet.service(service).size;
+        let share = self.scenario.actual_size_factor(service.index());
         let of = |size: u32| (f64::from(size) * share) as u32;
         let usage = Usage {
             at: now,
@@ -237,30 +239,31 @@
 
     fn apply(&mut self, step: Step) {
         let now = time(self.now);
-        let counted = |service: ServiceId| u64::from(service.index() < real_services(self.shape));
-        if self.detail {
+        let move_weight =
+            |service: ServiceId| u64::from(service.index() < schedulable_services(self.scenario));
+        if self.verbose {
             let clock = (self.now / 1440, self.now / 60 % 24, self.now % 60);
-            eprintln!("{clock:?} {}", step.to_text(&self.shape.fleet));
+            eprintln!("{clock:?} {}", step.to_text(&self.scenario.fleet));
         }
         let vm = self.state.vm_mut(step.operation.vm());
         match step.operation {
             Operation::Start { service, .. } => {
-                let held = vm.copies.iter_mut().find(|copy| copy.service == service);
-                match held {
+                let existing = vm.copies.iter_mut().find(|copy| copy.service == service);
+                match existing {
                     Some(copy) => *copy = Copy::new(service, now),
                     None => {
                         vm.copies.push(Copy::new(service, now));
-                        self.measures.moves += counted(service);
+                        self.measures.moves += move_weight(service);
                     }
                 }
             }
             Operation::Stop { service, .. } => {
-                let able = |copy: &Copy| copy.service == service && copy.warm && !copy.failing;
+                let is_ready = |copy: &Copy| copy.service == service && copy.warm && !copy.failing;
                 if vm.phase == Phase::Serving
                     && vm.lost_since.is_none()
-                    && vm.copies.iter().any(able)
+                    && vm.copies.iter().any(is_ready)
                 {
-                    self.measures.moves += counted(service);
+                    self.measures.moves += move_weight(service);
                 }
                 vm.copies.retain(|copy| copy.service != service);
             }
@@ -285,57 +288,62 @@
     }
 
     /// Counts the copies of each service.
-    fn census(&self) -> Vec<Census> {
-        let fleet = &self.shape.fleet;
-        let mut counts = vec![Census::default(); fleet.services().len()];
+    fn count_copies(&self) -> Vec<CopyCounts> {
+        let fleet = &self.scenario.fleet;
+        let mut all_counts = vec![CopyCounts::default(); fleet.services().len()];
         for (id, vm) in self.state.vms() {
-            let up = vm.phase == Phase::Serving && !self.down(id, self.now) && !self.bad(id);
+            let up = vm.phase == Phase::Serving
+                && !self.is_down(id, self.now)
+                && !self.is_vm_failing(id);
             let speed = self.speed(id);
             for copy in &vm.copies {
-                let census = &mut counts[copy.service.index()];
-                census.held += 1;
+                let counts = &mut all_counts[copy.service.index()];
+                counts.assigned += 1;
                 if up && copy.warm && !copy.failing {
-                    census.able += 1;
-                    census.slots += f64::from(fleet.service(copy.service).slots) * speed;
+                    counts.ready += 1;
+                    counts.slots += f64::from(fleet.service(copy.service).slots) * speed;
                 }
             }
         }
-        counts
+        all_counts
     }
 
-    /// A VM that carries more than it has slows all its copies down.
+    /// Returns the speed of the copies on a VM: all copies on an overcommitted VM
+    /// slow down.
     fn speed(&self, id: VmId) -> f64 {
-        let fleet = &self.shape.fleet;
+        let fleet = &self.scenario.fleet;
         let need = |copy: &Copy| {
             let cores = fleet.service(copy.service).size.milli_cores;
-            f64::from(cores) * self.shape.true_share(copy.service.index())
+            f64::from(cores) * self.scenario.actual_size_factor(copy.service.index())
         };
         let used: f64 = self.state.vm(id).copies.iter().map(need).sum();
         (f64::from(fleet.vm(id).size.milli_cores) / used.max(1.0)).min(1.0)
     }
 
     fn measure(&mut self) {
-        let census = self.census();
-        for (id, service) in self.shape.fleet.services().take(real_services(self.shape)) {
-            let load = self.shape.load(id.index(), self.now);
-            let census = census[id.index()];
+        let counts = self.count_copies();
+        for (id, service) in
+            self.scenario.fleet.services().take(schedulable_services(self.scenario))
+        {
+            let load = self.scenario.load(id.index(), self.now);
+            let counts = counts[id.index()];
             let needed = (load / f64::from(service.slots)).ceil();
-            self.measures.buffer_cost += (f64::from(census.held) - needed).max(0.0) / 60.0;
-            let short = load > census.slots || census.able < service.budget.min_copies;
-            let excused = self.failure() > service.budget.outlasts;
-            let violated = (short && !excused) || census.held > service.licences;
+            self.measures.buffer_cost += (f64::from(counts.assigned) - needed).max(0.0) / 60.0;
+            let is_short = load > counts.slots || counts.ready < service.budget.min_copies;
+            let is_excused = self.recent_failure() > service.budget.outlasts;
+            let violated = (is_short && !is_excused) || counts.assigned > service.licences;
             self.measures.violations += u64::from(violated);
-            if violated && self.detail {
-                eprintln!("{} {:?} {} load {load}: {census:?}", self.now / 60, id, service.name);
+            if violated && self.verbose {
+                eprintln!("{} {:?} {} load {load}: {counts:?}", self.now / 60, id, service.name);
             }
         }
     }
 
-    /// The largest failure that began within the time of grace.
-    fn failure(&self) -> Outlasts {
-        let fresh = |at: u64| (at..at + GRACE).contains(&self.now);
-        let begun = self.shape.outages.iter().filter(|outage| fresh(outage.at));
-        let level = begun.map(|outage| match outage.part {
+    /// Returns the largest failure that started within the grace period.
+    fn recent_failure(&self) -> Outlasts {
+        let fresh = |at: u64| (at..at + GRACE_PERIOD).contains(&self.now);
+        let started = self.scenario.outages.iter().filter(|outage| fresh(outage.at));
+        let level = started.map(|outage| match outage.part {
             Part::Vm(_) => Outlasts::Vm,
             Part::Rack(_) => Outlasts::Rack,
             Part::DataCentre(_) => Outlasts::DataCentre,
@@ -343,17 +351,17 @@
         level.max().unwrap_or(Outlasts::Nothing)
     }
 
-    /// Hours the wave took; if it isn't done, what it would take at its pace
-    /// so far.
-    fn roll_out(&self) -> f64 {
-        let begun = self.shape.wave.0;
+    /// Returns the hours that the wave took. If it is not done, extrapolates from
+    /// its pace so far.
+    fn roll_out_time(&self) -> f64 {
+        let started = self.scenario.wave.0;
         if let Some(done) = self.wave_done {
-            return (done - begun) as f64 / 60.0;
+            return (done - started) as f64 / 60.0;
         }
         let order = self.state.wave.as_ref();
-        let waits = |vm: &&Vm| order.is_none_or(|order| order.is_pending(vm));
-        let left = self.state.vms().map(|(_, vm)| vm).filter(waits).count() as f64;
-        let done = self.state.vms().len() as f64 - left;
-        (self.shape.end - begun) as f64 / 60.0 * (done + left) / done.max(1.0)
+        let is_pending = |vm: &&Vm| order.is_none_or(|order| order.is_pending(vm));
+        let remaining = self.state.vms().map(|(_, vm)| vm).filter(is_pending).count() as f64;
+        let done = self.state.vms().len() as f64 - remaining;
+        (self.scenario.end - started) as f64 / 60.0 * (done + remaining) / done.max(1.0)
     }
 }
