--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -24,7 +24,7 @@
 //! use corianderfork_model::place::{DataCentre, Pool, Rack, Size, Vm};
 //! use corianderfork_model::service::{Budget, Service};
 //! use corianderfork_model::{Fleet, Name, Time};
-//! use corianderfork_policy::{Operation, Config, Directive, State, decide};
+//! use corianderfork_policy::{Config, Directive, Operation, State, decide};
 //!
 //! let mut fleet = Fleet::default();
 //! let pool = fleet.add_pool(Pool::new(Name::new("registry")?));
@@ -42,8 +42,9 @@
 //! let now = Time::from_millis(0);
 //! let state = State::new(&fleet, now);
 //! let decision = decide(&fleet, &state, &Directive::default(), &Config::default(), now);
-//! // The budget's two copies, one in each data centre.
-//! let starts = decision.steps.iter().filter(|step| matches!(step.operation, Operation::Start { .. }));
+//! // The budget's minimum of two copies, one in each data centre.
+//! let operations = decision.steps.iter().map(|step| step.operation);
+//! let starts = operations.filter(|operation| matches!(operation, Operation::Start { .. }));
 //! assert_eq!(starts.count(), 2);
 //! # Ok::<(), corianderfork_model::name::Error>(())
 //! ```
--- a/crates/rules/src/action.rs
+++ b/crates/rules/src/action.rs
@@ -1,23 +1,23 @@
-//! What a rule does when it decides.
+//! Actions of rules.
 //!
 //! A `then` text holds one or more actions separated by `;`:
 //!
 //! | Text | Meaning |
 //! |---|---|
 //! | `copies transfer 10` | run 10 copies |
-//! | `copies transfer 20%` | run that share of the licences, rounded up |
-//! | `headroom transfer 30%` | run what the load needs and 30% more |
-//! | `hold` | change no number of copies |
+//! | `copies transfer 20%` | run as many as that share of the licences, rounded up |
+//! | `headroom transfer 30%` | run 30% more copies than the load needs |
+//! | `hold` | keep the current numbers of copies |
 //! | `drain vm v01`, `drain rack r1` | drain these VMs |
 //! | `wave pace 2` | at most 2 VMs of a wave out of service at once |
-//! | `wave pause` | begin no further drain of a wave |
+//! | `wave pause` | drain no further VMs for a wave |
 //! | `shed later`, `shed normal` | refuse work of this class and below |
 //! | `refuse moves` | move no VM between pools and no copy between VMs |
-//! | `order transfer, lookup` | these services are served first, in this order |
-//! | `normal` | nothing special; stands alone |
+//! | `order transfer, lookup` | serve these services first, in this order |
+//! | `normal` | no special action; can't be combined with others |
 //!
-//! `copies` and `headroom` take a service, `pool NAME` or `all`; the narrowest
-//! one holds for a service, wherever it stands in the text.
+//! `copies` and `headroom` take a service, `pool NAME` or `all`. The most
+//! specific one applies to a service, whatever the order in the text.
 
 use corianderfork_model::Fleet;
 use corianderfork_model::place::{RackId, VmId};
@@ -25,7 +25,7 @@
 
 use crate::error::Error;
 
-/// How many copies a service gets.
+/// A number of copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Amount {
     /// This many.
@@ -35,7 +35,7 @@
 }
 
 impl Amount {
-    /// The number of copies, for a service with `licences`.
+    /// Returns the number of copies for a service with `licences`.
     pub fn copies(self, licences: u32) -> u32 {
         match self {
             Self::Count(copies) => copies,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What an operator drains by rule.
+/// The VMs that a rule drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// One VM.
@@ -56,8 +56,8 @@
     Rack(RackId),
 }
 
-/// One thing a rule does. What no action of the deciding rule speaks of stays
-/// with the policy's own decision.
+/// An action of a rule. The policy decides whatever the actions of the deciding
+/// rule do not determine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Action {
@@ -65,23 +65,23 @@
     Copies {
         /// The service.
         service: ServiceId,
-        /// How many.
+        /// The number of copies.
         amount: Amount,
     },
-    /// Run what the load needs, and more.
+    /// Run more copies than the load needs.
     Headroom {
         /// The service.
         service: ServiceId,
-        /// How much more, in per mille of what the load needs; up to 5000.
+        /// The headroom, in per mille of what the load needs; up to 5000.
         per_mille: u16,
     },
-    /// Change no number of copies.
+    /// Keep the current numbers of copies.
     Hold,
     /// Drain VMs.
     Drain(Target),
     /// At most this many VMs of a wave are out of service at once.
     WavePace(u16),
-    /// Begin no further drain of a wave.
+    /// Drain no further VMs for a wave.
     WavePause,
     /// Refuse work of this class and of the classes below it.
     Shed(Class),
@@ -92,7 +92,7 @@
 }
 
 impl Action {
-    /// The action as operators write it, in the names of `fleet`.
+    /// Returns the action as written in rules, with the names of `fleet`.
     pub fn describe(&self, fleet: &Fleet) -> String {
         let name = |service: &ServiceId| fleet.service(*service).name.to_string();
         let percent = |n: u16| crate::situation::Value::PerMille(n.into());
@@ -122,11 +122,11 @@
     }
 }
 
-/// Reads a `then` text in the names of `fleet`. `normal` gives no action.
+/// Parses a `then` text that uses names of `fleet`. `normal` results in no action.
 ///
 /// # Errors
 ///
-/// Fails at the first mistake, with its place and the remedy.
+/// Returns the first mistake, with its position and the remedy.
 pub fn parse(text: &str, fleet: &Fleet) -> Result<Vec<Action>, Error> {
-    crate::action_parser::actions(text, fleet)
+    crate::action_parser::parse(text, fleet)
 }
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -1,26 +1,26 @@
-//! When a rule matches.
+//! Conditions of rules.
 //!
-//! A condition joins terms by `and`, `or`, `not` and parentheses; `and` binds
-//! closer than `or`. The terms:
+//! A condition combines terms with `and`, `or`, `not` and parentheses; `and` has
+//! precedence over `or`. The terms are:
 //!
 //! | Term | Unit | Meaning |
 //! |---|---|---|
-//! | `load(S)` | percent | requests in hand over the slots of copies able to serve |
+//! | `load(S)` | percent | requests in flight over the slots of copies able to serve |
 //! | `trend(S)` | percent a minute | change of that load |
-//! | `spare(S)` | copies | copies beyond what load and budget need |
+//! | `spare(S)` | copies | copies beyond those that load and budget need |
 //! | `licences(S)` | copies or percent | licences in use, or their share of all |
 //! | `copies(S)` | copies | copies able to serve |
-//! | `wave_failures` | VMs | VMs of the present wave that came back failing |
+//! | `wave_failures` | VMs | VMs of the current wave that came back failing |
 //! | `usage_age` | seconds (`90s`, `5m`) | age of the oldest usage report in use |
-//! | `hour` | 0 to 23 | hour of the operators' day |
-//! | `weekday in mon..fri, sun` | | day of the operators' week; ranges may wrap |
-//! | `store_down`, `wave`, `usage_stale` | | yes or no |
-//! | `down(data_centre N)`, `down(rack N)` | | yes or no; `any data_centre`, `any rack` for one at least |
+//! | `hour` | 0 to 23 | hour in the operators' time zone |
+//! | `weekday in mon..fri, sun` | | weekday in the operators' time zone; ranges may wrap |
+//! | `store_down`, `wave`, `usage_stale` | | flags |
+//! | `down(data_centre N)`, `down(rack N)` | | flags; `any data_centre` or `any rack` for at least one |
 //! | `known(Q)` | | whether a quantity or flag has a value that is not stale |
 //! | `always` | | true |
 //!
-//! `S` is a service's name or `pool NAME`, which takes all services of a pool
-//! together. Quantities are compared by `<`, `<=`, `>`, `>=`, `==` and `!=`.
+//! `S` is a service's name or `pool NAME`, which combines all services of a pool.
+//! Quantities are compared with `<`, `<=`, `>`, `>=`, `==` and `!=`.
 
 use corianderfork_model::Fleet;
 
@@ -29,38 +29,38 @@
 use crate::situation::Situation;
 use crate::term::Term;
 
-/// Whether a condition holds.
+/// The truth value of a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Truth {
-    /// It does not.
+    /// The condition is false.
     False,
-    /// A value that it rests on is unknown or stale.
+    /// The condition depends on a value that is unknown or stale.
     Unknown,
-    /// It does.
+    /// The condition is true.
     True,
 }
 
-/// When a rule matches.
+/// The condition of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
     pub(crate) node: Node,
     text: String,
 }
 
-/// A condition as a tree. `All` of nothing is `always`.
+/// The syntax tree of a condition. An empty `And` is `always`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Node {
-    All(Vec<Node>),
-    Any(Vec<Node>),
+    And(Vec<Node>),
+    Or(Vec<Node>),
     Not(Box<Node>),
     Term(Term),
 }
 
-/// Reads a condition in the names of `fleet`.
+/// Parses a condition that uses names of `fleet`.
 ///
 /// # Errors
 ///
-/// Fails at the first mistake, with its place and the remedy.
+/// Returns the first mistake, with its position and the remedy.
 ///
 /// ```
 /// use corianderfork_model::Fleet;
@@ -74,31 +74,31 @@
 /// assert_eq!(error.help(), "did you mean `fri`?");
 /// ```
 pub fn parse(text: &str, fleet: &Fleet) -> Result<Condition, Error> {
-    let node = crate::condition_parser::condition(text, fleet)?;
+    let node = crate::condition_parser::parse(text, fleet)?;
     Ok(Condition { node, text: text.trim().to_owned() })
 }
 
 impl Condition {
-    /// The condition as the operator wrote it.
+    /// Returns the condition as written by the operator.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// Whether the condition holds in `situation`.
+    /// Returns the truth value of the condition in `situation`.
     pub fn truth(&self, situation: &Situation) -> Truth {
         self.node.truth(situation)
     }
 
-    /// Whether the condition is true in every situation by its form alone, as
-    /// `always` is.
+    /// Whether the syntax alone makes the condition true in every situation, as
+    /// `always` does.
     pub fn is_always(&self) -> bool {
         self.node.is_always()
     }
 
-    /// Every value that the condition asks for, in the order of the text.
+    /// Returns the values that the condition refers to, in the order of the text.
     pub fn observations(&self, situation: &Situation) -> Vec<Observation> {
         let mut observations = Vec::new();
-        self.node.each_term(&mut |term| {
+        self.node.for_each_term(&mut |term| {
             let observation = term.observe(situation);
             if !observations.contains(&observation) {
                 observations.push(observation);
@@ -111,12 +111,12 @@
 impl Node {
     fn truth(&self, situation: &Situation) -> Truth {
         match self {
-            Self::All(nodes) => {
+            Self::And(nodes) => {
                 nodes.iter().fold(Truth::True, |truth, node| truth.and(node.truth(situation)))
             }
-            Self::Any(nodes) => {
-                let none = |node: &Self| node.truth(situation).not();
-                nodes.iter().fold(Truth::True, |truth, node| truth.and(none(node))).not()
+            Self::Or(nodes) => {
+                let is_false = |node: &Self| node.truth(situation).not();
+                nodes.iter().fold(Truth::True, |truth, node| truth.and(is_false(node))).not()
             }
             Self::Not(node) => node.truth(situation).not(),
             Self::Term(term) => term.truth(situation),
@@ -125,25 +125,25 @@
 
     fn is_always(&self) -> bool {
         match self {
-            Self::All(nodes) => nodes.iter().all(Self::is_always),
-            Self::Any(nodes) => nodes.iter().any(Self::is_always),
+            Self::And(nodes) => nodes.iter().all(Self::is_always),
+            Self::Or(nodes) => nodes.iter().any(Self::is_always),
             Self::Not(_) | Self::Term(_) => false,
         }
     }
 
-    pub(crate) fn each_term<'a>(&'a self, visit: &mut impl FnMut(&'a Term)) {
+    pub(crate) fn for_each_term<'a>(&'a self, visit: &mut impl FnMut(&'a Term)) {
         match self {
-            Self::All(nodes) | Self::Any(nodes) => {
-                nodes.iter().for_each(|node| node.each_term(visit));
+            Self::And(nodes) | Self::Or(nodes) => {
+                nodes.iter().for_each(|node| node.for_each_term(visit));
             }
-            Self::Not(node) => node.each_term(visit),
+            Self::Not(node) => node.for_each_term(visit),
             Self::Term(term) => visit(term),
         }
     }
 }
 
 impl Truth {
-    /// True if both are, false if one is.
+    /// Returns true if both are true, false if either is false, else unknown.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The opposite; unknown stays unknown.
+    /// Returns the negation; unknown stays unknown.
     #[must_use]
     #[allow(clippy::should_implement_trait)]
     pub fn not(self) -> Self {
--- a/crates/rules/src/condition_parser.rs
+++ b/crates/rules/src/condition_parser.rs
@@ -1,26 +1,26 @@
-//! Text to a condition, by recursive descent.
+//! Parses conditions by recursive descent.
 
 use corianderfork_model::Fleet;
 
 use crate::condition::Node;
 use crate::cursor::{Cursor, Word};
 use crate::error::{Error, Kind, MAX_DEPTH};
-use crate::lexer::Token;
-use crate::number::{Number, within};
+use crate::lexer::TokenKind;
+use crate::number::{Number, check_bounds};
 use crate::region::Ranges;
 use crate::situation::Weekday;
 use crate::term::{Subject, THOUSAND, Term, Test};
 
-/// The greatest percentage that makes sense, in per mille.
+/// The maximum percentage, in per mille.
 const MAX_PER_MILLE: i64 = 100_000;
-/// The greatest count that makes sense.
+/// The maximum count.
 const MAX_COUNT: i64 = 1_000_000;
-/// A week: no usage report that old is of use.
+/// One week; older usage reports are useless.
 const MAX_SECONDS: i64 = 7 * 86_400;
-/// Hours of a day; `hour < 24` is sound, if idle.
+/// The hours of a day. `hour < 24` is valid, although always true.
 const MAX_HOUR: i64 = 24;
 
-/// Every word that a term begins with.
+/// All words that a term can start with.
 const TERMS: [&str; 16] = [
     "always",
     "load",
@@ -40,78 +40,78 @@
     "not",
 ];
 
-/// Reads a condition.
-pub(crate) fn condition(text: &str, fleet: &Fleet) -> Result<Node, Error> {
+/// Parses a condition.
+pub(crate) fn parse(text: &str, fleet: &Fleet) -> Result<Node, Error> {
     let mut cursor = Cursor::new(text, fleet)?;
-    let node = any(&mut cursor, 0)?;
-    if cursor.is_done() {
+    let node = parse_or(&mut cursor, 0)?;
+    if cursor.is_at_end() {
         return Ok(node);
     }
     Err(cursor.unexpected("`and`, `or` or the end"))
 }
 
-fn any(cursor: &mut Cursor<'_>, depth: usize) -> Result<Node, Error> {
-    let mut nodes = vec![all(cursor, depth)?];
-    while cursor.takes("or") {
-        nodes.push(all(cursor, depth)?);
+fn parse_or(cursor: &mut Cursor<'_>, depth: usize) -> Result<Node, Error> {
+    let mut nodes = vec![parse_and(cursor, depth)?];
+    while cursor.eat("or") {
+        nodes.push(parse_and(cursor, depth)?);
     }
-    Ok(joined(nodes, Node::Any))
+    Ok(join(nodes, Node::Or))
 }
 
-fn all(cursor: &mut Cursor<'_>, depth: usize) -> Result<Node, Error> {
-    let mut nodes = vec![unary(cursor, depth)?];
-    while cursor.takes("and") {
-        nodes.push(unary(cursor, depth)?);
+fn parse_and(cursor: &mut Cursor<'_>, depth: usize) -> Result<Node, Error> {
+    let mut nodes = vec![parse_unary(cursor, depth)?];
+    while cursor.eat("and") {
+        nodes.push(parse_unary(cursor, depth)?);
     }
-    Ok(joined(nodes, Node::All))
+    Ok(join(nodes, Node::And))
 }
 
-fn joined(mut nodes: Vec<Node>, join: impl Fn(Vec<Node>) -> Node) -> Node {
-    if nodes.len() == 1 { nodes.remove(0) } else { join(nodes) }
+fn join(mut nodes: Vec<Node>, wrap: impl Fn(Vec<Node>) -> Node) -> Node {
+    if nodes.len() == 1 { nodes.remove(0) } else { wrap(nodes) }
 }
 
-/// The depth is bounded because each level takes a frame of the stack: text
-/// that an operator pastes must not be able to end the process.
-fn unary(cursor: &mut Cursor<'_>, depth: usize) -> Result<Node, Error> {
+/// Parses a term, a negation or a condition in parentheses. The depth is limited,
+/// as each level takes a stack frame and no text may overflow the stack.
+fn parse_unary(cursor: &mut Cursor<'_>, depth: usize) -> Result<Node, Error> {
     if depth > MAX_DEPTH {
         let help = "use fewer, or split the rule in two";
-        return Err(Error::new(Kind::TooDeep, cursor.at(), help));
+        return Err(Error::new(Kind::TooDeep, cursor.span(), help));
     }
-    if cursor.takes("not") {
-        return Ok(Node::Not(Box::new(unary(cursor, depth + 1)?)));
+    if cursor.eat("not") {
+        return Ok(Node::Not(Box::new(parse_unary(cursor, depth + 1)?)));
     }
-    if cursor.takes("(") {
-        let node = any(cursor, depth + 1)?;
+    if cursor.eat("(") {
+        let node = parse_or(cursor, depth + 1)?;
         cursor.expect(")", "`and`, `or` or `)`")?;
         return Ok(node);
     }
-    if cursor.takes("always") {
-        return Ok(Node::All(Vec::new()));
+    if cursor.eat("always") {
+        return Ok(Node::And(Vec::new()));
     }
-    Ok(Node::Term(term(cursor)?))
+    Ok(Node::Term(parse_term(cursor)?))
 }
 
-fn term(cursor: &mut Cursor<'_>) -> Result<Term, Error> {
-    if cursor.takes("known") {
+fn parse_term(cursor: &mut Cursor<'_>) -> Result<Term, Error> {
+    if cursor.eat("known") {
         cursor.expect("(", "`(`")?;
-        let (subject, label) = subject(cursor)?;
+        let (subject, label) = parse_subject(cursor)?;
         cursor.expect(")", "`)`")?;
         return Ok(Term { subject, label, test: Test::Known });
     }
-    let (subject, label) = subject(cursor)?;
+    let (subject, label) = parse_subject(cursor)?;
     let ranges = match subject {
         Subject::DataCentreDown(_) | Subject::RackDown(_) => Ranges::new(1, 1),
         Subject::Wave | Subject::StoreDown | Subject::UsageStale => Ranges::new(1, 1),
-        Subject::Weekday => days(cursor)?,
-        _ => comparison(cursor, &subject, &label)?,
+        Subject::Weekday => parse_days(cursor)?,
+        _ => parse_comparison(cursor, &subject, &label)?,
     };
     Ok(Term { subject, label, test: Test::In(ranges) })
 }
 
-/// A quantity or flag, and how it is written.
-fn subject(cursor: &mut Cursor<'_>) -> Result<(Subject, String), Error> {
+/// Parses a quantity or flag. Returns it with its text.
+fn parse_subject(cursor: &mut Cursor<'_>) -> Result<(Subject, String), Error> {
     let word = cursor.word("a condition such as `load(SERVICE) > 80%`")?;
-    let plain = match word.text {
+    let simple = match word.text {
         "hour" => Some(Subject::Hour),
         "weekday" => Some(Subject::Weekday),
         "store_down" => Some(Subject::StoreDown),
@@ -121,7 +121,7 @@
         "usage_stale" => Some(Subject::UsageStale),
         _ => None,
     };
-    if let Some(subject) = plain {
+    if let Some(subject) = simple {
         return Ok((subject, word.text.to_owned()));
     }
     let wrap = match word.text {
@@ -130,27 +130,27 @@
         "spare" => Subject::Spare,
         "licences" => Subject::Licences,
         "copies" => Subject::Copies,
-        "down" => return down(cursor),
-        _ => return Err(word.unknown(TERMS)),
+        "down" => return parse_down(cursor),
+        _ => return Err(word.unknown_word(TERMS)),
     };
     cursor.expect("(", "`(` and the name of a service")?;
-    let scope = cursor.scope()?;
+    let scope = cursor.parse_scope()?;
     cursor.expect(")", "`)`")?;
     Ok((wrap(scope.services), format!("{}({})", word.text, scope.label)))
 }
 
-fn down(cursor: &mut Cursor<'_>) -> Result<(Subject, String), Error> {
-    const DUE: &str = "`data_centre NAME`, `rack NAME`, `any data_centre` or `any rack`";
+fn parse_down(cursor: &mut Cursor<'_>) -> Result<(Subject, String), Error> {
+    const EXPECTED: &str = "`data_centre NAME`, `rack NAME`, `any data_centre` or `any rack`";
     cursor.expect("(", "`(`")?;
-    let any = cursor.takes("any");
-    let what = cursor.word(DUE)?;
+    let any = cursor.eat("any");
+    let what = cursor.word(EXPECTED)?;
     let name = cursor.peek();
     let subject = match (what.text, any) {
         ("data_centre", true) => Subject::DataCentreDown(cursor.fleet.data_centre_ids().collect()),
-        ("data_centre", false) => Subject::DataCentreDown(vec![cursor.data_centre()?]),
+        ("data_centre", false) => Subject::DataCentreDown(vec![cursor.parse_data_centre()?]),
         ("rack", true) => Subject::RackDown(cursor.fleet.rack_ids().collect()),
-        ("rack", false) => Subject::RackDown(vec![cursor.rack()?]),
-        _ => return Err(what.unknown(["data_centre", "rack", "any"])),
+        ("rack", false) => Subject::RackDown(vec![cursor.parse_rack()?]),
+        _ => return Err(what.unknown_word(["data_centre", "rack", "any"])),
     };
     cursor.expect(")", "`)`")?;
     let label = if any {
@@ -161,49 +161,55 @@
     Ok((subject, label))
 }
 
-fn comparison(cursor: &mut Cursor<'_>, subject: &Subject, label: &str) -> Result<Ranges, Error> {
-    let operator = cursor.take(Token::Compare, "`<`, `<=`, `>`, `>=`, `==` or `!=`")?;
+fn parse_comparison(
+    cursor: &mut Cursor<'_>,
+    subject: &Subject,
+    label: &str,
+) -> Result<Ranges, Error> {
+    let operator = cursor.expect_kind(TokenKind::Compare, "`<`, `<=`, `>`, `>=`, `==` or `!=`")?;
     let word = cursor.word("a number")?;
-    let n = operand(cursor, subject, label, &word)?;
-    Ok(compared(operator.text, n))
+    let n = parse_operand(cursor, subject, label, &word)?;
+    Ok(comparison_ranges(operator.text, n))
 }
 
-/// The numbers that compare so with `n`.
-fn compared(operator: &str, n: i64) -> Ranges {
+/// Returns the numbers for which the comparison with `n` is true.
+fn comparison_ranges(operator: &str, n: i64) -> Ranges {
     match operator {
         "<" => Ranges::new(i64::MIN, n - 1),
         "<=" => Ranges::new(i64::MIN, n),
         ">" => Ranges::new(n + 1, i64::MAX),
         ">=" => Ranges::new(n, i64::MAX),
-        "!=" => Ranges::all().minus(&Ranges::new(n, n)),
+        "!=" => Ranges::all().subtract(&Ranges::new(n, n)),
         _ => Ranges::new(n, n),
     }
 }
 
-/// The number of `word` in the unit in which `subject` is held.
-fn operand(
+/// Parses `word` as a number in the unit in which values of `subject` are stored.
+fn parse_operand(
     cursor: &Cursor<'_>,
     subject: &Subject,
     label: &str,
     word: &Word<'_>,
 ) -> Result<i64, Error> {
-    let number = Number::read(word)?;
+    let number = Number::parse(word)?;
     match (subject, number) {
-        (Subject::Load(_), Number::PerMille(n)) => within(n, 0, MAX_PER_MILLE, word),
-        (Subject::Trend(_), Number::PerMille(n)) => within(n, -MAX_PER_MILLE, MAX_PER_MILLE, word),
-        (Subject::Spare(_), Number::Plain(n)) => within(n, -MAX_COUNT, MAX_COUNT, word),
+        (Subject::Load(_), Number::PerMille(n)) => check_bounds(n, 0, MAX_PER_MILLE, word),
+        (Subject::Trend(_), Number::PerMille(n)) => {
+            check_bounds(n, -MAX_PER_MILLE, MAX_PER_MILLE, word)
+        }
+        (Subject::Spare(_), Number::Plain(n)) => check_bounds(n, -MAX_COUNT, MAX_COUNT, word),
         (Subject::Copies(_) | Subject::WaveFailures, Number::Plain(n)) => {
-            within(n, 0, MAX_COUNT, word)
+            check_bounds(n, 0, MAX_COUNT, word)
         }
-        (Subject::Hour, Number::Plain(n)) => within(n, 0, MAX_HOUR, word),
-        (Subject::UsageAge, Number::Seconds(n)) => within(n, 0, MAX_SECONDS, word),
+        (Subject::Hour, Number::Plain(n)) => check_bounds(n, 0, MAX_HOUR, word),
+        (Subject::UsageAge, Number::Seconds(n)) => check_bounds(n, 0, MAX_SECONDS, word),
         (Subject::Licences(_), Number::Plain(n)) => {
-            within(n, 0, MAX_COUNT, word).map(|n| n * THOUSAND)
+            check_bounds(n, 0, MAX_COUNT, word).map(|n| n * THOUSAND)
         }
-        (Subject::Licences(of), Number::PerMille(n)) => {
-            let share = within(n, 0, THOUSAND, word)?;
-            let held = of.iter().map(|id| i64::from(cursor.fleet.service(*id).licences));
-            Ok(held.sum::<i64>() * share)
+        (Subject::Licences(ids), Number::PerMille(n)) => {
+            let share = check_bounds(n, 0, THOUSAND, word)?;
+            let licences = ids.iter().map(|id| i64::from(cursor.fleet.service(*id).licences));
+            Ok(licences.sum::<i64>() * share)
         }
         _ => Err(wrong_unit(subject, label, word)),
     }
@@ -219,35 +225,35 @@
     };
     let kind =
         Kind::WrongUnit { quantity: label.to_owned(), found: word.text.to_owned(), expected };
-    Error::new(kind, word.at.clone(), format!("write {expected}"))
+    Error::new(kind, word.span.clone(), format!("write {expected}"))
 }
 
-/// `in mon..fri, sun`, or `== mon`, or `!= mon`.
-fn days(cursor: &mut Cursor<'_>) -> Result<Ranges, Error> {
-    if cursor.takes("==") {
-        return Ok(Ranges::of([day(cursor)?]));
+/// Parses `in mon..fri, sun`, `== mon` or `!= mon`.
+fn parse_days(cursor: &mut Cursor<'_>) -> Result<Ranges, Error> {
+    if cursor.eat("==") {
+        return Ok(Ranges::from_values([parse_day(cursor)?]));
     }
-    if cursor.takes("!=") {
-        let day = day(cursor)?;
-        return Ok(Subject::Weekday.domain().minus(&Ranges::of([day])));
+    if cursor.eat("!=") {
+        let day = parse_day(cursor)?;
+        return Ok(Subject::Weekday.domain().subtract(&Ranges::from_values([day])));
     }
     cursor.expect("in", "`in`, `==` or `!=` and days such as `mon..fri`")?;
     let mut days = Vec::new();
     loop {
-        let first = day(cursor)?;
-        let last = if cursor.takes("..") { day(cursor)? } else { first };
+        let first = parse_day(cursor)?;
+        let last = if cursor.eat("..") { parse_day(cursor)? } else { first };
         let count = (last - first).rem_euclid(7);
         days.extend((0..=count).map(|n| (first + n) % 7));
-        if !cursor.takes(",") {
-            return Ok(Ranges::of(days));
+        if !cursor.eat(",") {
+            return Ok(Ranges::from_values(days));
         }
     }
 }
 
-fn day(cursor: &mut Cursor<'_>) -> Result<i64, Error> {
+fn parse_day(cursor: &mut Cursor<'_>) -> Result<i64, Error> {
     let word = cursor.word("a day, `mon` to `sun`")?;
     match Weekday::parse(word.text) {
         Some(day) => Ok(day.number()),
-        None => Err(word.unknown(Weekday::ALL.map(Weekday::as_str))),
+        None => Err(word.unknown_word(Weekday::ALL.map(Weekday::as_str))),
     }
 }
--- a/crates/rules/src/cursor.rs
+++ b/crates/rules/src/cursor.rs
@@ -1,105 +1,110 @@
-//! The tokens of one text, read from the left.
+//! A cursor over the tokens of a text.
 
 use std::ops::Range;
 
 use corianderfork_model::Fleet;
 
 use crate::error::{Error, Kind};
-use crate::lexer::{self, Lexeme, Token};
+use crate::lexer::{self, Token, TokenKind};
 use crate::nearest;
 
-/// Reads the tokens of `text`.
+/// Reads the tokens of `text` from left to right.
 pub(crate) struct Cursor<'a> {
     text: &'a str,
     pub fleet: &'a Fleet,
-    lexemes: Vec<Lexeme>,
-    next: usize,
+    tokens: Vec<Token>,
+    position: usize,
 }
 
-/// A word and where it stands.
+/// The text of a token and its position.
 #[derive(Clone, Debug)]
 pub(crate) struct Word<'a> {
     pub text: &'a str,
-    pub at: Range<usize>,
+    pub span: Range<usize>,
 }
 
 impl<'a> Cursor<'a> {
     pub(crate) fn new(text: &'a str, fleet: &'a Fleet) -> Result<Self, Error> {
-        Ok(Self { text, fleet, lexemes: lexer::split(text)?, next: 0 })
+        Ok(Self { text, fleet, tokens: lexer::split(text)?, position: 0 })
     }
 
-    pub(crate) fn is_done(&self) -> bool {
-        self.next >= self.lexemes.len()
+    pub(crate) fn is_at_end(&self) -> bool {
+        self.position >= self.tokens.len()
     }
 
-    /// The next token's text, or the empty text at the end.
+    /// Returns the text of the next token, or an empty text at the end.
     pub(crate) fn peek(&self) -> &'a str {
-        self.lexemes.get(self.next).map_or("", |lexeme| &self.text[lexeme.at.clone()])
+        self.tokens.get(self.position).map_or("", |token| &self.text[token.span.clone()])
     }
 
-    /// Where the next token stands.
-    pub(crate) fn at(&self) -> Range<usize> {
+    /// Returns the position of the next token, or of the end.
+    pub(crate) fn span(&self) -> Range<usize> {
         let end = self.text.trim_end().len();
-        self.lexemes.get(self.next).map_or(end..end, |lexeme| lexeme.at.clone())
+        self.tokens.get(self.position).map_or(end..end, |token| token.span.clone())
     }
 
-    /// Takes the next token if it reads `text`.
-    pub(crate) fn takes(&mut self, text: &str) -> bool {
+    /// Consumes the next token if its text is `text`. Returns whether it did.
+    pub(crate) fn eat(&mut self, text: &str) -> bool {
         let found = self.peek() == text;
-        self.next += usize::from(found);
+        self.position += usize::from(found);
         found
     }
 
-    /// Takes the next token, which has to read `text`.
+    /// Consumes the next token, which must be `text`.
     pub(crate) fn expect(&mut self, text: &str, expected: &'static str) -> Result<(), Error> {
-        if self.takes(text) { Ok(()) } else { Err(self.unexpected(expected)) }
+        if self.eat(text) { Ok(()) } else { Err(self.unexpected(expected)) }
     }
 
-    /// Takes the next token if it is of `token`.
-    pub(crate) fn take(&mut self, token: Token, expected: &'static str) -> Result<Word<'a>, Error> {
-        match self.lexemes.get(self.next) {
-            Some(lexeme) if lexeme.token == token => {
-                let at = lexeme.at.clone();
-                self.next += 1;
-                Ok(Word { text: &self.text[at.clone()], at })
+    /// Consumes the next token, which must be of `kind`.
+    pub(crate) fn expect_kind(
+        &mut self,
+        kind: TokenKind,
+        expected: &'static str,
+    ) -> Result<Word<'a>, Error> {
+        match self.tokens.get(self.position) {
+            Some(token) if token.kind == kind => {
+                let span = token.span.clone();
+                self.position += 1;
+                Ok(Word { text: &self.text[span.clone()], span })
             }
             _ => Err(self.unexpected(expected)),
         }
     }
 
-    /// Takes a word, name or number.
+    /// Consumes the next token, which must be a word, name or number.
     pub(crate) fn word(&mut self, expected: &'static str) -> Result<Word<'a>, Error> {
-        self.take(Token::Word, expected)
+        self.expect_kind(TokenKind::Word, expected)
     }
 
-    /// The mistake of another token than the one due.
+    /// Returns the error for a next token other than the expected one.
     pub(crate) fn unexpected(&self, expected: &'static str) -> Error {
-        let kind = if self.is_done() {
+        let kind = if self.is_at_end() {
             Kind::UnexpectedEnd(expected)
         } else {
             Kind::Unexpected { found: self.peek().to_owned(), expected }
         };
-        Error::new(kind, self.at(), format!("write {expected} here"))
+        Error::new(kind, self.span(), format!("write {expected} here"))
     }
 }
 
 impl Word<'_> {
-    /// The mistake of a word that is none of `known`.
-    pub(crate) fn unknown<'b>(&self, known: impl IntoIterator<Item = &'b str>) -> Error {
+    /// Returns the error for a word that is not in `known`.
+    pub(crate) fn unknown_word<'b>(&self, known: impl IntoIterator<Item = &'b str>) -> Error {
         let kind = Kind::UnknownWord(self.text.to_owned());
-        Error::new(kind, self.at.clone(), nearest::help(self.text, known))
+        Error::new(kind, self.span.clone(), nearest::help(self.text, known))
     }
 
-    /// The id that `find` has for this name.
+    /// Returns `found`, the result of the lookup of this name, or an error that
+    /// suggests a name from `known`.
     pub(crate) fn resolve<'b, I>(
         &self,
         category: &'static str,
-        find: Option<I>,
+        found: Option<I>,
         known: impl IntoIterator<Item = &'b str>,
     ) -> Result<I, Error> {
-        find.ok_or_else(|| {
+        found.ok_or_else(|| {
             let kind = Kind::UnknownName { category, name: self.text.to_owned() };
-            Error::new(kind, self.at.clone(), nearest::help(self.text, known))
+            Error::new(kind, self.span.clone(), nearest::help(self.text, known))
         })
     }
 }
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -1,44 +1,44 @@
-//! Why a text is not a condition or an action.
+//! Errors in the text of conditions and actions.
 
 use std::ops::Range;
 
-/// What is wrong with a text, where, and what to do about it.
+/// A mistake in a text, with its position and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{kind}")]
 pub struct Error {
     kind: Kind,
-    at: Range<usize>,
+    span: Range<usize>,
     help: String,
 }
 
-/// The kinds of mistakes.
+/// The kind of a mistake.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Kind {
-    /// The text is empty, or ends before it is complete.
-    #[error("the text ends where {0} is due")]
+    /// The text is empty or incomplete.
+    #[error("the text ends where {0} is expected")]
     UnexpectedEnd(&'static str),
     /// The text is longer than [`MAX_LEN`].
-    #[error("the text has {0} bytes; {MAX_LEN} is the most")]
+    #[error("the text has {0} bytes; the maximum is {MAX_LEN}")]
     TooLong(usize),
-    /// More parentheses and `not`s inside one another than [`MAX_DEPTH`].
-    #[error("more than {MAX_DEPTH} parentheses and `not`s inside one another")]
+    /// Parentheses and `not`s are nested more than [`MAX_DEPTH`] deep.
+    #[error("parentheses and `not`s are nested more than {MAX_DEPTH} deep")]
     TooDeep,
-    /// A character that no condition and no action has.
-    #[error("`{0}` has no meaning here")]
+    /// A character that occurs in no condition or action.
+    #[error("unexpected character `{0}`")]
     UnexpectedCharacter(char),
-    /// Something else is due here.
-    #[error("`{found}` stands where {expected} is due")]
+    /// Another token is expected here.
+    #[error("found `{found}`, expected {expected}")]
     Unexpected {
-        /// What stands there.
+        /// The token found.
         found: String,
-        /// What is due.
+        /// What is expected.
         expected: &'static str,
     },
-    /// A word that is no quantity, flag or action.
+    /// A word that is not a quantity, flag or action.
     #[error("`{0}` is unknown")]
     UnknownWord(String),
-    /// A name that the configuration does not have.
+    /// A name that is not in the configuration.
     #[error("there is no {category} called `{name}`")]
     UnknownName {
         /// `service`, `pool`, `data centre`, `rack` or `VM`.
@@ -46,68 +46,68 @@
         /// The name.
         name: String,
     },
-    /// A pool that carries no service, so that it has no value.
-    #[error("pool `{0}` carries no service")]
+    /// A pool without services, which has no values.
+    #[error("pool `{0}` has no services")]
     EmptyPool(String),
-    /// A number that is no number, or has more digits than count.
-    #[error("`{0}` is no number that fits here")]
+    /// A text that is not a number, or has too many digits.
+    #[error("`{0}` is not a valid number")]
     InvalidNumber(String),
     /// A number outside its bounds.
-    #[error("`{found}` is out of bounds, which are {min} to {max}")]
+    #[error("`{found}` is out of bounds; expected {min} to {max}")]
     OutOfBounds {
         /// The number as written.
         found: String,
-        /// The least.
+        /// The minimum.
         min: String,
-        /// The most.
+        /// The maximum.
         max: String,
     },
-    /// A number without its unit, or with another's.
+    /// A number with a missing or wrong unit.
     #[error("`{quantity}` is compared with {expected}, not with `{found}`")]
     WrongUnit {
         /// The quantity.
         quantity: String,
         /// The number as written.
         found: String,
-        /// What it is compared with.
+        /// What the quantity is compared with.
         expected: &'static str,
     },
-    /// Two actions of one text that contradict each other.
-    #[error("`{0}` contradicts an action before it")]
+    /// Two conflicting actions in the same text.
+    #[error("`{0}` conflicts with an earlier action")]
     Conflict(String),
 }
 
-/// The longest text, in bytes.
+/// The maximum length of a text, in bytes.
 pub const MAX_LEN: usize = 4_096;
-/// The deepest nesting of parentheses and `not`s.
+/// The maximum nesting of parentheses and `not`s.
 pub const MAX_DEPTH: usize = 32;
 
 impl Error {
-    pub(crate) fn new(kind: Kind, at: Range<usize>, help: impl Into<String>) -> Self {
-        Self { kind, at, help: help.into() }
+    pub(crate) fn new(kind: Kind, span: Range<usize>, help: impl Into<String>) -> Self {
+        Self { kind, span, help: help.into() }
     }
 
-    /// What is wrong.
+    /// Returns the kind of the mistake.
     pub fn kind(&self) -> &Kind {
         &self.kind
     }
 
-    /// The byte offset of the mistake in the text.
+    /// Returns the byte offset of the mistake in the text.
     pub fn offset(&self) -> usize {
-        self.at.start
+        self.span.start
     }
 
-    /// The length of the mistake in bytes; may be zero at the end of the text.
+    /// Returns the length of the mistake in bytes; zero at the end of the text.
     pub fn len(&self) -> usize {
-        self.at.len()
+        self.span.len()
     }
 
-    /// Whether the mistake is a place between two bytes, as at the text's end.
+    /// Whether the mistake has no length, as at the end of the text.
     pub fn is_empty(&self) -> bool {
-        self.at.is_empty()
+        self.span.is_empty()
     }
 
-    /// What to do about it.
+    /// Returns the remedy.
     pub fn help(&self) -> &str {
         &self.help
     }
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a list decided as it did.
+//! Explains decisions.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use crate::list::{Decision, Rule};
 use crate::situation::{Situation, Value};
 
-/// A value that a condition asked for.
+/// A value that a condition refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// The quantity as conditions write it, `load(transfer)` say.
+    /// The quantity as written in conditions, such as `load(transfer)`.
     pub label: String,
-    /// Its value, or `None` if it is unknown or stale.
+    /// The value, or `None` if it is unknown or stale.
     pub value: Option<Value>,
-    /// Its age, also where it is stale; `None` if it was never known.
+    /// The age, also of a stale value; `None` if there never was a value.
     pub age: Option<Duration>,
 }
 
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct SkippedRule {
-    /// Its name.
+    /// The name.
     pub name: Name,
-    /// Its condition, as the operator wrote it.
+    /// The condition as written by the operator.
     pub when: String,
-    /// False, or unknown.
+    /// The truth of the condition: false or unknown.
     pub truth: Truth,
-    /// The values it asked for.
+    /// The values that the condition refers to.
     pub observations: Vec<Observation>,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A decision, and why no earlier rule made it.
+/// A decision, and why no earlier rule matched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
     decision: Decision,
@@ -73,12 +73,12 @@
         Self { decision, rules, skipped }
     }
 
-    /// The decision.
+    /// Returns the decision.
     pub fn decision(&self) -> &Decision {
         &self.decision
     }
 
-    /// The rules above the deciding one, in their order.
+    /// Returns the rules above the deciding one, in order.
     pub fn skipped(&self) -> &[SkippedRule] {
         &self.skipped
     }
@@ -86,10 +86,10 @@
 
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for skipped in &self.skipped {
-            let truth = if skipped.truth == Truth::Unknown { "unknown" } else { "false" };
-            writeln!(f, "rule `{}` did not match: `{}` is {truth}", skipped.name, skipped.when)?;
-            write_observations(f, &skipped.observations)?;
+        for rule in &self.skipped {
+            let truth = if rule.truth == Truth::Unknown { "unknown" } else { "false" };
+            writeln!(f, "rule `{}` did not match: `{}` is {truth}", rule.name, rule.when)?;
+            write_observations(f, &rule.observations)?;
         }
         let (number, name) = (self.decision.rule() + 1, self.decision.name());
         writeln!(f, "rule `{name}` ({number} of {}) decided", self.rules)?;
--- a/crates/rules/src/lexer.rs
+++ b/crates/rules/src/lexer.rs
@@ -1,12 +1,12 @@
-//! Text to tokens.
+//! Splits a text into tokens.
 
 use std::ops::Range;
 
 use crate::error::{Error, Kind, MAX_LEN};
 
-/// What a token is.
+/// The kind of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Token {
+pub(crate) enum TokenKind {
     /// A word, name or number.
     Word,
     /// `(`
@@ -23,73 +23,75 @@
     Compare,
 }
 
-/// A token and where it stands.
+/// A token and its position.
 #[derive(Clone, Debug)]
-pub(crate) struct Lexeme {
-    pub token: Token,
-    pub at: Range<usize>,
+pub(crate) struct Token {
+    pub kind: TokenKind,
+    pub span: Range<usize>,
 }
 
 /// Splits `text` into tokens.
-pub(crate) fn split(text: &str) -> Result<Vec<Lexeme>, Error> {
+pub(crate) fn split(text: &str) -> Result<Vec<Token>, Error> {
     if text.len() > MAX_LEN {
         let help = "split the rule in two";
         return Err(Error::new(Kind::TooLong(text.len()), 0..text.len(), help));
     }
-    let mut lexemes = Vec::new();
+    let mut tokens = Vec::new();
     let mut start = 0;
     while let Some(c) = text[start..].chars().next() {
         if c.is_whitespace() {
             start += c.len_utf8();
             continue;
         }
-        let (token, len) = next(&text[start..], c).map_err(|help| {
+        let (kind, len) = next_token(&text[start..], c).map_err(|help| {
             Error::new(Kind::UnexpectedCharacter(c), start..start + c.len_utf8(), help)
         })?;
-        lexemes.push(Lexeme { token, at: start..start + len });
+        tokens.push(Token { kind, span: start..start + len });
         start += len;
     }
-    Ok(lexemes)
+    Ok(tokens)
 }
 
-/// The token that `rest` begins with and its length, or what to do about it.
-fn next(rest: &str, first: char) -> Result<(Token, usize), &'static str> {
-    let single = match first {
-        '(' => Some(Token::Open),
-        ')' => Some(Token::Close),
-        ',' => Some(Token::Comma),
-        ';' => Some(Token::Semicolon),
+/// Returns the kind and length of the token at the start of `rest`, or the remedy
+/// if there is none.
+fn next_token(rest: &str, first: char) -> Result<(TokenKind, usize), &'static str> {
+    let kind = match first {
+        '(' => Some(TokenKind::Open),
+        ')' => Some(TokenKind::Close),
+        ',' => Some(TokenKind::Comma),
+        ';' => Some(TokenKind::Semicolon),
         _ => None,
     };
-    if let Some(token) = single {
-        return Ok((token, 1));
+    if let Some(kind) = kind {
+        return Ok((kind, 1));
     }
     match first {
-        '.' if rest.starts_with("..") => Ok((Token::Dots, 2)),
-        '<' | '>' if rest[1..].starts_with('=') => Ok((Token::Compare, 2)),
-        '<' | '>' => Ok((Token::Compare, 1)),
-        '=' | '!' if rest[1..].starts_with('=') => Ok((Token::Compare, 2)),
+        '.' if rest.starts_with("..") => Ok((TokenKind::Dots, 2)),
+        '<' | '>' if rest[1..].starts_with('=') => Ok((TokenKind::Compare, 2)),
+        '<' | '>' => Ok((TokenKind::Compare, 1)),
+        '=' | '!' if rest[1..].starts_with('=') => Ok((TokenKind::Compare, 2)),
         '=' => Err("write `==` to compare"),
         '!' => Err("write `not`, or `!=` to compare"),
         '&' => Err("write `and`"),
         '|' => Err("write `or`"),
-        c if is_word(c) => Ok((Token::Word, word_len(rest))),
+        c if is_word_char(c) => Ok((TokenKind::Word, word_len(rest))),
         _ => Err("remove it"),
     }
 }
 
-fn is_word(c: char) -> bool {
+fn is_word_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || c == '-' || c == '_'
 }
 
-/// The length of the word or number, with its fraction and its `%`.
+/// Returns the length of the word or number, including its fraction and `%`.
 fn word_len(rest: &str) -> usize {
-    let run = |from: usize| rest[from..].find(|c| !is_word(c)).map_or(rest.len(), |n| from + n);
-    let mut end = run(0);
-    let whole = rest[..end].trim_start_matches('-').bytes().all(|b| b.is_ascii_digit());
+    let word_end =
+        |from: usize| rest[from..].find(|c| !is_word_char(c)).map_or(rest.len(), |n| from + n);
+    let mut end = word_end(0);
+    let is_integer = rest[..end].trim_start_matches('-').bytes().all(|b| b.is_ascii_digit());
     let mut after = rest[end..].chars();
-    if whole && after.next() == Some('.') && after.next().is_some_and(|c| c.is_ascii_digit()) {
-        end = run(end + 1);
+    if is_integer && after.next() == Some('.') && after.next().is_some_and(|c| c.is_ascii_digit()) {
+        end = word_end(end + 1);
     }
     end + usize::from(rest[end..].starts_with('%'))
 }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,20 +1,20 @@
-//! Ordered when-then rules: for any situation, the first that matches decides.
+//! Ordered when-then rules: in any situation, the first rule that matches
+//! decides.
 //!
-//! An operator writes a [`List`] of rules. Each has a [`Condition`] over the
-//! [`Situation`] of the fleet and the [`Action`]s to take when it holds. The
-//! list is read from the top; the first rule whose condition is *true* decides
-//! alone, and rules below it have no say. The last rule has to be `always`, so
-//! a situation in which no rule matches cannot be configured.
+//! An operator writes a [`List`] of rules. Each has a [`Condition`] on the
+//! [`Situation`] of the fleet and the [`Action`]s to take if the condition is
+//! true. The first rule whose condition is *true* decides alone; the rules below
+//! it have no effect. The last rule must be `always`, so that some rule matches
+//! in every situation.
 //!
-//! A value may be unknown: never reported, or reported so long ago that it is
-//! stale. Conditions therefore have three truth values ([`Truth`]). A
-//! comparison with an unknown value is neither true nor false but unknown, and
-//! so is its negation; a rule whose condition comes out unknown does not match.
-//! A rule can ask for the case itself with `known(load(transfer))` or
-//! `usage_stale`. [`List::explain`] says which values were unknown.
+//! A value is unknown if it was never reported or its last report is stale.
+//! Conditions therefore have three truth values ([`Truth`]). A comparison with an
+//! unknown value is unknown, and so is its negation. A rule whose condition is
+//! unknown does not match. Rules can test for unknown values with
+//! `known(load(transfer))` or `usage_stale`, and [`List::explain`] reports them.
 //!
-//! Everything here is pure: no clock, no I/O, no randomness. The same list and
-//! the same situation give the same decision.
+//! Everything here is pure: there is no clock, I/O or randomness, and the same
+//! list and situation give the same decision.
 //!
 //! ```
 //! use std::time::Duration;
@@ -41,12 +41,13 @@
 //!     rule("otherwise", "always", "hold")?,
 //! ])?;
 //!
-//! let mut now = Situation::new();
-//! now.set_load(transfer, 9, 10, Duration::from_secs(1));
-//! assert_eq!(list.decide(&now).actions(), [Action::Hold]); // is the store down? unknown
+//! let mut situation = Situation::new();
+//! situation.set_load(transfer, 9, 10, Duration::from_secs(1));
+//! // Whether the store is down is unknown, so the first rule does not match.
+//! assert_eq!(list.decide(&situation).actions(), [Action::Hold]);
 //!
-//! now.set_store_down(false, Duration::ZERO);
-//! let decision = list.decide(&now);
+//! situation.set_store_down(false, Duration::ZERO);
+//! let decision = list.decide(&situation);
 //! assert_eq!(decision.name().as_str(), "busy");
 //! assert_eq!(decision.actions(), [Action::Headroom { service: transfer, per_mille: 300 }]);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
--- a/crates/rules/src/lint.rs
+++ b/crates/rules/src/lint.rs
@@ -1,21 +1,22 @@
-//! Rules that can never match, and rules that contradict each other.
+//! Finds rules that can never match, and overlapping rules with different
+//! actions.
 
 use corianderfork_model::Name;
 
 use crate::action::Action;
 use crate::action_parser;
 use crate::list::{List, Rule};
-use crate::region::{self, Region, Steps};
+use crate::region::{self, Region, WorkBudget};
 
-/// Something about a list that its operator surely did not mean.
+/// A likely mistake in a list of rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Finding {
-    /// The place in the list of the rule that it is about, from zero.
+    /// The zero-based index of the rule in the list.
     pub rule: usize,
-    /// The name of that rule.
+    /// The name of the rule.
     pub name: Name,
-    /// What it is.
+    /// The kind of mistake.
     pub kind: Kind,
 }
 
@@ -29,16 +30,16 @@
     /// An earlier rule is `always`.
     #[error("never matches: rule `{0}` above it always matches")]
     AfterAlways(Name),
-    /// One earlier rule, or several together, match wherever it does.
-    #[error("never matches: wherever it does, {} above it matches", any_of(.0))]
+    /// Earlier rules cover every case in which the rule would match.
+    #[error("never matches: {} above it matches in every such case", rule_list(.0))]
     Shadowed(Vec<Name>),
-    /// Earlier rules that may match at the same time do something else with the
-    /// same service, and decide then.
-    #[error("may match together with {} above it, which decides then", any_of(.0))]
+    /// Earlier rules that set the copies of the same service differently may
+    /// match at the same time, and then take precedence.
+    #[error("may match together with {} above it, which then takes precedence", rule_list(.0))]
     Overlap(Vec<Name>),
 }
 
-fn any_of(names: &[Name]) -> String {
+fn rule_list(names: &[Name]) -> String {
     let names: Vec<_> = names.iter().map(|name| format!("`{name}`")).collect();
     let rules = if names.len() == 1 { "rule" } else { "one of the rules" };
     format!("{rules} {}", names.join(", "))
@@ -50,20 +51,20 @@
         !matches!(self, Self::Overlap(_))
     }
 
-    /// What to do about it.
+    /// Returns the remedy.
     pub fn help(&self) -> &'static str {
         match self {
             Self::Contradiction => "correct the condition, or remove the rule",
             Self::AfterAlways(_) => "move the rule above the one that always matches, or remove it",
             Self::Shadowed(_) => "move the rule above the weaker one, or remove it",
-            Self::Overlap(_) => "nothing, if the order is what you mean; else swap the rules",
+            Self::Overlap(_) => "swap the rules, unless their order is intended",
         }
     }
 }
 
-/// Looks for rules that can never match and for overlaps, in the order of the
-/// list. What it calls never matching never matches; it may miss some where a
-/// condition is very large.
+/// Finds rules that can never match and overlapping rules, in the order of the
+/// list. There are no false positives among rules reported as never matching, but
+/// some may be missed if conditions are very large.
 ///
 /// ```
 /// use corianderfork_model::{Fleet, Name};
@@ -86,22 +87,28 @@
 /// ```
 pub fn lint(list: &List) -> Vec<Finding> {
     let rules = list.rules();
-    let mut steps = Steps::default();
+    let mut budget = WorkBudget::default();
     let regions: Vec<_> =
-        rules.iter().map(|rule| region::of(&rule.when().node, &mut steps)).collect();
+        rules.iter().map(|rule| region::of_condition(&rule.when().node, &mut budget)).collect();
     let mut findings = Vec::new();
     for (i, rule) in rules.iter().enumerate() {
-        let kind = never(rules, &regions, i, &mut steps)
-            .or_else(|| overlaps(rules, &regions, i, &mut steps));
+        let kind = unreachable_kind(rules, &regions, i, &mut budget)
+            .or_else(|| overlap_kind(rules, &regions, i, &mut budget));
         findings.extend(kind.map(|kind| Finding { rule: i, name: rule.name().clone(), kind }));
     }
     findings
 }
 
+/// The regions of a rule's condition, or `None` if they are too many to compute.
 type Regions = Option<Vec<Region>>;
 
-/// Why the rule at `i` can never match, if so.
-fn never(rules: &[Rule], regions: &[Regions], i: usize, steps: &mut Steps) -> Option<Kind> {
+/// Returns why the rule at `i` can never match, or `None` if it may match.
+fn unreachable_kind(
+    rules: &[Rule],
+    regions: &[Regions],
+    i: usize,
+    budget: &mut WorkBudget,
+) -> Option<Kind> {
     if let Some(always) = rules[..i].iter().find(|rule| rule.when().is_always()) {
         return Some(Kind::AfterAlways(always.name().clone()));
     }
@@ -109,25 +116,30 @@
     if rest.is_empty() {
         return Some(Kind::Contradiction);
     }
-    let mut takers = Vec::new();
-    for (earlier, taken) in rules[..i].iter().zip(regions) {
-        let Some(taken) = taken else { continue };
-        // Too large to work out with this rule; the others may do.
-        let Some(left) = region::minus(&rest, taken, steps) else { continue };
-        if left != rest {
-            takers.push(earlier.name().clone());
+    let mut shadowing = Vec::new();
+    for (earlier, covered) in rules[..i].iter().zip(regions) {
+        let Some(covered) = covered else { continue };
+        // Too large to compute for this rule; the other rules may be enough.
+        let Some(remaining) = region::subtract(&rest, covered, budget) else { continue };
+        if remaining != rest {
+            shadowing.push(earlier.name().clone());
         }
-        if left.is_empty() {
-            return Some(Kind::Shadowed(takers));
+        if remaining.is_empty() {
+            return Some(Kind::Shadowed(shadowing));
         }
-        rest = left;
+        rest = remaining;
     }
     None
 }
 
-/// Earlier rules that may match at the same time and do something else. The
-/// last resort is left out: it is there to be overlapped.
-fn overlaps(rules: &[Rule], regions: &[Regions], i: usize, steps: &mut Steps) -> Option<Kind> {
+/// Returns the earlier rules that may match at the same time and size a service
+/// differently. Skips `always`, the fallback, which is meant to overlap.
+fn overlap_kind(
+    rules: &[Rule],
+    regions: &[Regions],
+    i: usize,
+    budget: &mut WorkBudget,
+) -> Option<Kind> {
     let (rule, own) = (&rules[i], regions[i].as_ref()?);
     if rule.when().is_always() {
         return None;
@@ -135,18 +147,21 @@
     let mut names = Vec::new();
     for (earlier, other) in rules[..i].iter().zip(regions) {
         let Some(other) = other else { continue };
-        if contradicts(earlier.then(), rule.then()) && region::meet(other, own, steps) {
+        if size_differently(earlier.then(), rule.then()) && region::any_overlap(other, own, budget)
+        {
             names.push(earlier.name().clone());
         }
     }
     (!names.is_empty()).then_some(Kind::Overlap(names))
 }
 
-/// Whether two rules size one service differently.
-fn contradicts(one: &[Action], other: &[Action]) -> bool {
+/// Whether two rules set the copies of one service differently.
+fn size_differently(one: &[Action], other: &[Action]) -> bool {
     one.iter().any(|one| {
-        let service = action_parser::sized(one);
+        let service = action_parser::sized_service(one);
         service.is_some()
-            && other.iter().any(|other| action_parser::sized(other) == service && other != one)
+            && other
+                .iter()
+                .any(|other| action_parser::sized_service(other) == service && other != one)
     })
 }
--- a/crates/rules/src/list.rs
+++ b/crates/rules/src/list.rs
@@ -1,4 +1,4 @@
-//! The ordered list of rules, and its decision.
+//! The ordered list of rules, and its decisions.
 
 use corianderfork_model::Name;
 
@@ -7,10 +7,10 @@
 use crate::explain::{Explanation, Observation, SkippedRule};
 use crate::situation::Situation;
 
-/// The most rules that a list has.
+/// The maximum number of rules in a list.
 pub const MAX_RULES: usize = 256;
 
-/// When and what.
+/// A condition and the actions to take if it is true.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
     name: Name,
@@ -19,58 +19,58 @@
 }
 
 impl Rule {
-    /// A rule that does `then` when `when` holds.
+    /// Creates a rule that takes the actions `then` if `when` is true.
     pub fn new(name: Name, when: Condition, then: Vec<Action>) -> Self {
         Self { name, when, then }
     }
 
-    /// Its name.
+    /// Returns the name.
     pub fn name(&self) -> &Name {
         &self.name
     }
 
-    /// When it matches.
+    /// Returns the condition.
     pub fn when(&self) -> &Condition {
         &self.when
     }
 
-    /// What it does.
+    /// Returns the actions.
     pub fn then(&self) -> &[Action] {
         &self.then
     }
 }
 
-/// Rules in their order, the last of which always matches.
+/// An ordered list of rules, the last of which always matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct List {
     rules: Vec<Rule>,
 }
 
-/// Why rules are no [`List`].
+/// Why rules don't form a valid [`List`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// There is no rule.
+    /// There are no rules.
     #[error("there is no rule; write at least one whose `when` is `always`")]
     Empty,
     /// There are more than [`MAX_RULES`].
-    #[error("there are {0} rules; join some, {MAX_RULES} is the most")]
+    #[error("there are {0} rules; join some, the maximum is {MAX_RULES}")]
     TooMany(usize),
-    /// Two rules have one name.
+    /// Two rules have the same name.
     #[error("two rules are called `{0}`; give one of them another name")]
     Duplicate(Name),
     /// The last rule does not always match.
-    #[error("the last rule, `{0}`, does not match always; add a last rule with `when = always`")]
+    #[error("the last rule, `{0}`, does not always match; add a last rule with `when = always`")]
     NoFallback(Name),
 }
 
 impl List {
-    /// The rules in their order.
+    /// Creates a list from rules in order.
     ///
     /// # Errors
     ///
-    /// Fails if there is no rule or there are too many, if two have one name, or if the last
-    /// one is not `always`.
+    /// Fails if there are no rules or too many, if two rules have the same name,
+    /// or if the last one is not `always`.
     ///
     /// ```
     /// use corianderfork_model::{Fleet, Name};
@@ -99,16 +99,16 @@
         Ok(Self { rules })
     }
 
-    /// The rules in their order.
+    /// Returns the rules in order.
     pub fn rules(&self) -> &[Rule] {
         &self.rules
     }
 
-    /// The decision of the first rule that matches.
+    /// Returns the decision of the first rule that matches.
     pub fn decide(&self, situation: &Situation) -> Decision {
         let matches = |rule: &Rule| rule.when.truth(situation) == Truth::True;
-        // The last rule is `always`, so there is a match; were there none, the
-        // last resort is what the operator asked for.
+        // There is always a match, as the last rule is `always`. The fallback to
+        // the last rule is what the operator wants in any case.
         let index = self.rules.iter().position(matches).unwrap_or(self.rules.len() - 1);
         let rule = &self.rules[index];
         Decision {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The decision, and why no earlier rule made it.
+    /// Returns the decision, and why no earlier rule matched.
     pub fn explain(&self, situation: &Situation) -> Explanation {
         let decision = self.decide(situation);
         let skipped = self.rules[..decision.rule]
@@ -130,7 +130,7 @@
     }
 }
 
-/// What a list decided, and on what grounds.
+/// The decision of a list, and the values that it rests on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     rule: usize,
@@ -140,22 +140,22 @@
 }
 
 impl Decision {
-    /// The place of the deciding rule in the list, from zero.
+    /// Returns the zero-based index of the deciding rule.
     pub fn rule(&self) -> usize {
         self.rule
     }
 
-    /// The name of the deciding rule.
+    /// Returns the name of the deciding rule.
     pub fn name(&self) -> &Name {
         &self.name
     }
 
-    /// What to do.
+    /// Returns the actions to take.
     pub fn actions(&self) -> &[Action] {
         &self.actions
     }
 
-    /// The values that the deciding rule saw.
+    /// Returns the values that the deciding rule's condition refers to.
     pub fn observations(&self) -> &[Observation] {
         &self.observations
     }
--- a/crates/rules/src/situation.rs
+++ b/crates/rules/src/situation.rs
@@ -1,4 +1,4 @@
-//! What operators think in: the state of the fleet at one moment.
+//! The state of the fleet at one moment, as conditions see it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,17 +8,17 @@
 use corianderfork_model::place::{DataCentreId, RackId};
 use corianderfork_model::service::ServiceId;
 
-/// A quantity that a [`Situation`] may know, each of one fleet.
+/// A quantity in a [`Situation`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum Quantity {
-    /// Requests in hand of a service.
+    /// Requests in flight of a service.
     InFlight(ServiceId),
-    /// Slots of a service's copies that are able to serve.
+    /// Slots of a service's copies able to serve.
     Slots(ServiceId),
-    /// Change of a service's load, in per mille a minute.
+    /// Change of a service's load, in per mille per minute.
     Trend(ServiceId),
-    /// Copies of a service beyond what its load and its budget need.
+    /// Copies of a service beyond those that its load and budget need.
     Spare(ServiceId),
     /// Licences of a service in use.
     Licences(ServiceId),
@@ -28,13 +28,13 @@
     DataCentreDown(DataCentreId),
     /// Whether a rack is down.
     RackDown(RackId),
-    /// Hour of the operators' day, 0 to 23.
+    /// Hour in the operators' time zone, 0 to 23.
     Hour,
-    /// Day of the operators' week, 0 (Monday) to 6.
+    /// Weekday in the operators' time zone, 0 (Monday) to 6.
     Weekday,
-    /// Whether a maintenance wave is under way.
+    /// Whether a maintenance wave is in progress.
     Wave,
-    /// VMs of the present wave that came back failing.
+    /// VMs of the current wave that came back failing.
     WaveFailures,
     /// Whether the platform's store is down.
     StoreDown,
@@ -42,28 +42,28 @@
     UsageAge,
 }
 
-/// A value and how old it is.
+/// A value and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
     /// The value; flags are 0 and 1.
     pub value: i64,
-    /// The time since it was true for certain.
+    /// The time since the value was known to be correct.
     pub age: Duration,
 }
 
-/// A value as an operator reads it.
+/// A value as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Value {
-    /// A share in thousandths; more than 1000 is more than the whole.
+    /// A share in thousandths; may exceed 1000.
     PerMille(i64),
     /// A plain number.
     Count(i64),
-    /// Yes or no.
+    /// A flag, shown as `yes` or `no`.
     Flag(bool),
     /// A day of the week.
     Day(Weekday),
-    /// A time in seconds.
+    /// A duration in seconds.
     Seconds(i64),
 }
 
@@ -114,7 +114,7 @@
         Self::Sunday,
     ];
 
-    /// The day as conditions write it: `mon` to `sun`.
+    /// Returns the name used in conditions: `mon` to `sun`.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Monday => "mon",
@@ -127,12 +127,12 @@
         }
     }
 
-    /// The day that conditions write as `text`.
+    /// Parses a name used in conditions.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|day| day.as_str() == text)
     }
 
-    /// Days since Monday, 0 to 6.
+    /// Returns the days since Monday, 0 to 6.
     pub const fn number(self) -> i64 {
         self as i64
     }
@@ -140,20 +140,20 @@
 
 /// The state of the fleet at one moment, each value with its age.
 ///
-/// A new situation knows nothing. What is never set is unknown, and so is what
-/// is older than [`Situation::stale_after`].
+/// In a new situation all values are unknown. A value is also unknown if it is
+/// older than [`Situation::stale_after`].
 ///
 /// ```
 /// use std::time::Duration;
 /// use corianderfork_rules::situation::{Quantity, Situation};
 ///
-/// let mut now = Situation::new();
-/// now.set_store_down(true, Duration::from_secs(5));
-/// assert_eq!(now.get(Quantity::StoreDown).map(|r| r.value), Some(1));
-/// assert_eq!(now.get(Quantity::Hour), None);
+/// let mut situation = Situation::new();
+/// situation.set_store_down(true, Duration::from_secs(5));
+/// assert_eq!(situation.get(Quantity::StoreDown).map(|r| r.value), Some(1));
+/// assert_eq!(situation.get(Quantity::Hour), None);
 ///
-/// now.set_store_down(true, Duration::from_secs(600));
-/// assert_eq!(now.get(Quantity::StoreDown), None); // too old to act on
+/// situation.set_store_down(true, Duration::from_secs(600));
+/// assert_eq!(situation.get(Quantity::StoreDown), None); // stale
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Situation {
@@ -168,10 +168,10 @@
 }
 
 impl Situation {
-    /// The age above which a value counts as unknown, unless set otherwise.
+    /// The default age above which a value counts as unknown.
     pub const STALE_AFTER: Duration = Duration::from_secs(60);
 
-    /// A situation of which nothing is known.
+    /// Creates a situation in which all values are unknown.
     pub fn new() -> Self {
         Self { readings: BTreeMap::new(), stale_after: Self::STALE_AFTER }
     }
@@ -182,17 +182,17 @@
         self
     }
 
-    /// The age above which a value counts as unknown.
+    /// Returns the age above which a value counts as unknown.
     pub fn stale_after(&self) -> Duration {
         self.stale_after
     }
 
-    /// The reading of `quantity`, or `None` if it is unknown or stale.
+    /// Returns the reading of `quantity`, or `None` if it is unknown or stale.
     pub fn get(&self, quantity: Quantity) -> Option<Reading> {
         self.last(quantity).filter(|reading| reading.age <= self.stale_after)
     }
 
-    /// The last reading of `quantity`, however old.
+    /// Returns the last reading of `quantity`, even if it is stale.
     pub fn last(&self, quantity: Quantity) -> Option<Reading> {
         self.readings.get(&quantity).copied()
     }
@@ -202,8 +202,8 @@
         self
     }
 
-    /// Requests in hand of `service`, and the slots of its copies able to
-    /// serve. `load(service)` is the first over the second.
+    /// Sets the requests in flight of `service`, and the slots of its copies able
+    /// to serve. `load(service)` is the ratio of the two.
     pub fn set_load(
         &mut self,
         service: ServiceId,
@@ -215,28 +215,29 @@
         self.set(Quantity::Slots(service), slots.into(), age)
     }
 
-    /// Change of a service's load in per mille a minute, rising above zero.
+    /// Sets the change of a service's load in per mille per minute; positive if it
+    /// rises.
     pub fn set_trend(&mut self, service: ServiceId, per_mille: i32, age: Duration) -> &mut Self {
         self.set(Quantity::Trend(service), per_mille.into(), age)
     }
 
-    /// Copies of a service beyond what its load and its budget need; negative
-    /// where some are missing.
+    /// Sets the number of copies of a service beyond those that its load and
+    /// budget need; negative if copies are missing.
     pub fn set_spare(&mut self, service: ServiceId, copies: i32, age: Duration) -> &mut Self {
         self.set(Quantity::Spare(service), copies.into(), age)
     }
 
-    /// Licences of a service in use.
+    /// Sets the number of a service's licences in use.
     pub fn set_licences(&mut self, service: ServiceId, in_use: u32, age: Duration) -> &mut Self {
         self.set(Quantity::Licences(service), in_use.into(), age)
     }
 
-    /// Copies of a service able to serve.
+    /// Sets the number of a service's copies able to serve.
     pub fn set_copies(&mut self, service: ServiceId, able: u32, age: Duration) -> &mut Self {
         self.set(Quantity::Copies(service), able.into(), age)
     }
 
-    /// Whether a data centre is down.
+    /// Sets whether a data centre is down.
     pub fn set_data_centre_down(
         &mut self,
         id: DataCentreId,
@@ -246,49 +247,50 @@
         self.set(Quantity::DataCentreDown(id), down.into(), age)
     }
 
-    /// Whether a rack is down.
+    /// Sets whether a rack is down.
     pub fn set_rack_down(&mut self, id: RackId, down: bool, age: Duration) -> &mut Self {
         self.set(Quantity::RackDown(id), down.into(), age)
     }
 
-    /// Hour and weekday at `unix`, the time since the Unix epoch, for operators
-    /// whose clocks are `utc_offset_minutes` ahead of UTC.
+    /// Sets hour and weekday to those at `unix_time`, the time since the Unix
+    /// epoch, in a time zone `utc_offset_minutes` ahead of UTC.
     ///
     /// ```
     /// use corianderfork_model::Time;
     /// use corianderfork_rules::situation::{Quantity, Situation, Weekday};
     ///
     /// // Thursday, 1 January 1970, 20:00 in UTC is Friday, 01:30 in Kolkata.
-    /// let mut now = Situation::new();
-    /// now.set_clock(Time::from_millis(20 * 3_600_000), 330);
-    /// assert_eq!(now.get(Quantity::Hour).map(|r| r.value), Some(1));
-    /// assert_eq!(now.get(Quantity::Weekday).map(|r| r.value), Some(Weekday::Friday.number()));
+    /// let mut situation = Situation::new();
+    /// situation.set_clock(Time::from_millis(20 * 3_600_000), 330);
+    /// assert_eq!(situation.get(Quantity::Hour).map(|r| r.value), Some(1));
+    /// let weekday = situation.get(Quantity::Weekday).map(|r| r.value);
+    /// assert_eq!(weekday, Some(Weekday::Friday.number()));
     /// ```
-    pub fn set_clock(&mut self, unix: Time, utc_offset_minutes: i16) -> &mut Self {
+    pub fn set_clock(&mut self, unix_time: Time, utc_offset_minutes: i16) -> &mut Self {
         const HOURS: i64 = 24;
         const DAYS: i64 = 7;
         let epoch = Weekday::Thursday.number();
-        let minutes = i64::try_from(unix.as_millis() / 60_000).unwrap_or(i64::MAX / 2);
+        let minutes = i64::try_from(unix_time.as_millis() / 60_000).unwrap_or(i64::MAX / 2);
         let hours = (minutes + i64::from(utc_offset_minutes)).div_euclid(60);
         let day = (hours.div_euclid(HOURS) + epoch).rem_euclid(DAYS);
         self.set(Quantity::Hour, hours.rem_euclid(HOURS), Duration::ZERO);
         self.set(Quantity::Weekday, day, Duration::ZERO)
     }
 
-    /// Whether a maintenance wave is under way, and how many of its VMs came
-    /// back failing.
-    pub fn set_wave(&mut self, under_way: bool, failures: u32, age: Duration) -> &mut Self {
-        self.set(Quantity::Wave, under_way.into(), age);
+    /// Sets whether a maintenance wave is in progress, and how many of its VMs
+    /// came back failing.
+    pub fn set_wave(&mut self, in_progress: bool, failures: u32, age: Duration) -> &mut Self {
+        self.set(Quantity::Wave, in_progress.into(), age);
         self.set(Quantity::WaveFailures, failures.into(), age)
     }
 
-    /// Whether the platform's store is down.
+    /// Sets whether the platform's store is down.
     pub fn set_store_down(&mut self, down: bool, age: Duration) -> &mut Self {
         self.set(Quantity::StoreDown, down.into(), age)
     }
 
-    /// Age of the oldest usage report that sizes rest on. Known as soon as it
-    /// is set: it does not grow stale itself.
+    /// Sets the age of the oldest usage report from which sizes are computed. This
+    /// value never becomes stale itself.
     pub fn set_usage_age(&mut self, age: Duration) -> &mut Self {
         let seconds = i64::try_from(age.as_secs()).unwrap_or(i64::MAX);
         self.set(Quantity::UsageAge, seconds, Duration::ZERO)
--- a/crates/rules/src/term.rs
+++ b/crates/rules/src/term.rs
@@ -10,7 +10,7 @@
 use crate::region::Ranges;
 use crate::situation::{Quantity, Reading, Situation, Value, Weekday};
 
-/// What a term asks for: one quantity, or several taken together.
+/// The subject of a comparison: a quantity, or several of them combined.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
     Load(Vec<ServiceId>),
@@ -26,30 +26,30 @@
     WaveFailures,
     StoreDown,
     UsageAge,
-    /// Age of usage reports above [`Situation::stale_after`].
+    /// Whether the age of usage reports exceeds [`Situation::stale_after`].
     UsageStale,
 }
 
-/// A test of one subject.
+/// A test on a subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Term {
     pub subject: Subject,
-    /// The subject as conditions write it.
+    /// The subject as written in conditions.
     pub label: String,
     pub test: Test,
 }
 
-/// What has to be true of the subject.
+/// A test on a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Test {
-    /// Its value lies in these ranges.
+    /// The value is in these ranges.
     In(Ranges),
-    /// It has a value at all.
+    /// The value is known.
     Known,
 }
 
 impl Subject {
-    /// The values that the subject can have.
+    /// Returns the possible values of the subject.
     pub(crate) fn domain(&self) -> Ranges {
         match self {
             Self::DataCentreDown(_) | Self::RackDown(_) => Ranges::new(0, 1),
@@ -61,20 +61,24 @@
         }
     }
 
-    /// The present value, and the greatest age of what it rests on.
-    pub(crate) fn reading(&self, now: &Situation) -> Option<Reading> {
-        self.read(now, &|quantity| now.get(quantity))
+    /// Returns the current value, with the maximum age of its inputs.
+    pub(crate) fn reading(&self, situation: &Situation) -> Option<Reading> {
+        self.read(situation, &|quantity| situation.get(quantity))
     }
 
-    fn read(&self, now: &Situation, get: &dyn Fn(Quantity) -> Option<Reading>) -> Option<Reading> {
+    fn read(
+        &self,
+        situation: &Situation,
+        get: &dyn Fn(Quantity) -> Option<Reading>,
+    ) -> Option<Reading> {
         match self {
-            Self::Load(of) => load(of, get),
-            Self::Trend(of) => mean(of, get),
-            Self::Spare(of) => sum(of, Quantity::Spare, get),
-            Self::Licences(of) => sum(of, Quantity::Licences, get).map(in_thousandths),
-            Self::Copies(of) => sum(of, Quantity::Copies, get),
-            Self::DataCentreDown(of) => any(of, Quantity::DataCentreDown, get),
-            Self::RackDown(of) => any(of, Quantity::RackDown, get),
+            Self::Load(ids) => load_per_mille(ids, get),
+            Self::Trend(ids) => mean_trend(ids, get),
+            Self::Spare(ids) => sum(ids, Quantity::Spare, get),
+            Self::Licences(ids) => sum(ids, Quantity::Licences, get).map(in_thousandths),
+            Self::Copies(ids) => sum(ids, Quantity::Copies, get),
+            Self::DataCentreDown(ids) => any_down(ids, Quantity::DataCentreDown, get),
+            Self::RackDown(ids) => any_down(ids, Quantity::RackDown, get),
             Self::Hour => get(Quantity::Hour),
             Self::Weekday => get(Quantity::Weekday),
             Self::Wave => get(Quantity::Wave),
@@ -83,7 +87,7 @@
             Self::UsageAge => get(Quantity::UsageAge),
             Self::UsageStale => {
                 let age = get(Quantity::UsageAge)?;
-                let limit = i64::try_from(now.stale_after().as_secs()).unwrap_or(i64::MAX);
+                let limit = i64::try_from(situation.stale_after().as_secs()).unwrap_or(i64::MAX);
                 Some(Reading { value: (age.value > limit).into(), age: age.age })
             }
         }
@@ -105,8 +109,8 @@
 }
 
 impl Term {
-    pub(crate) fn truth(&self, now: &Situation) -> Truth {
-        let reading = self.subject.reading(now);
+    pub(crate) fn truth(&self, situation: &Situation) -> Truth {
+        let reading = self.subject.reading(situation);
         match (&self.test, reading) {
             (Test::Known, Some(_)) => Truth::True,
             (Test::Known, None) => Truth::False,
@@ -116,9 +120,9 @@
         }
     }
 
-    pub(crate) fn observe(&self, now: &Situation) -> Observation {
-        let reading = self.subject.reading(now);
-        let last = || self.subject.read(now, &|quantity| now.last(quantity));
+    pub(crate) fn observe(&self, situation: &Situation) -> Observation {
+        let reading = self.subject.reading(situation);
+        let last = || self.subject.read(situation, &|quantity| situation.last(quantity));
         Observation {
             label: self.label.clone(),
             value: reading.map(|reading| self.subject.value(reading.value)),
@@ -127,43 +131,48 @@
     }
 }
 
-/// Licences are held in thousandths of a copy, so that a share of them
-/// (`licences(transfer) > 90%`) is compared without rounding.
+/// Licences are stored in thousandths of a copy, so that comparisons with a share
+/// of them (`licences(transfer) > 90%`) need no rounding.
 pub(crate) const THOUSAND: i64 = 1000;
 
 fn in_thousandths(reading: Reading) -> Reading {
     Reading { value: reading.value.saturating_mul(THOUSAND), age: reading.age }
 }
 
+/// Looks up the reading of a quantity.
 type Get<'a> = &'a dyn Fn(Quantity) -> Option<Reading>;
 
-fn sum<I: Copy>(of: &[I], quantity: impl Fn(I) -> Quantity, get: Get<'_>) -> Option<Reading> {
-    of.iter().try_fold(Reading { value: 0, age: Duration::ZERO }, |total, id| {
-        let one = get(quantity(*id))?;
-        Some(Reading { value: total.value.saturating_add(one.value), age: total.age.max(one.age) })
+fn sum<I: Copy>(ids: &[I], quantity: impl Fn(I) -> Quantity, get: Get<'_>) -> Option<Reading> {
+    ids.iter().try_fold(Reading { value: 0, age: Duration::ZERO }, |total, id| {
+        let reading = get(quantity(*id))?;
+        Some(Reading {
+            value: total.value.saturating_add(reading.value),
+            age: total.age.max(reading.age),
+        })
     })
 }
 
-/// Requests in hand over slots, in per mille. A service none of whose copies is
-/// able to serve counts as fully loaded: were it 0, a rule that adds copies
-/// under load would fall silent just when the last copy is lost.
-fn load(of: &[ServiceId], get: Get<'_>) -> Option<Reading> {
-    let in_flight = sum(of, Quantity::InFlight, get)?;
-    let slots = sum(of, Quantity::Slots, get)?;
+/// Returns requests in flight over slots, in per mille. A service without any
+/// copy able to serve counts as fully loaded; otherwise a rule that adds copies
+/// under load would stop matching when the last copy is lost.
+fn load_per_mille(ids: &[ServiceId], get: Get<'_>) -> Option<Reading> {
+    let in_flight = sum(ids, Quantity::InFlight, get)?;
+    let slots = sum(ids, Quantity::Slots, get)?;
     let share = in_flight.value.saturating_mul(THOUSAND) / slots.value.max(1);
     let value = if slots.value == 0 { share.max(THOUSAND) } else { share };
     Some(Reading { value, age: in_flight.age.max(slots.age) })
 }
 
-/// The trend of a pool is the mean of its services' trends.
-fn mean(of: &[ServiceId], get: Get<'_>) -> Option<Reading> {
-    let total = sum(of, Quantity::Trend, get)?;
-    let count = i64::try_from(of.len().max(1)).unwrap_or(i64::MAX);
+/// Returns the mean trend of the services.
+fn mean_trend(ids: &[ServiceId], get: Get<'_>) -> Option<Reading> {
+    let total = sum(ids, Quantity::Trend, get)?;
+    let count = i64::try_from(ids.len().max(1)).unwrap_or(i64::MAX);
     Some(Reading { value: total.value / count, age: total.age })
 }
 
-/// One known failure is enough to answer yes; no is known only if all are known.
-fn any<I: Copy>(of: &[I], quantity: impl Fn(I) -> Quantity, get: Get<'_>) -> Option<Reading> {
-    let down = of.iter().filter_map(|id| get(quantity(*id))).find(|reading| reading.value != 0);
-    down.or_else(|| sum(of, quantity, get))
+/// Returns 1 if any of `ids` is known to be down. The result is 0 only if all are
+/// known, and unknown otherwise.
+fn any_down<I: Copy>(ids: &[I], quantity: impl Fn(I) -> Quantity, get: Get<'_>) -> Option<Reading> {
+    let down = ids.iter().filter_map(|id| get(quantity(*id))).find(|reading| reading.value != 0);
+    down.or_else(|| sum(ids, quantity, get))
 }
--- a/crates/rules/tests/action.rs
+++ b/crates/rules/tests/action.rs
@@ -1,4 +1,4 @@
-//! Actions: what they mean, and what is said of wrong ones.
+//! Parsing of actions, and errors for invalid ones.
 
 mod common;
 
@@ -9,11 +9,11 @@
 use corianderfork_rules::{Action, Error};
 use proptest::prelude::*;
 
-fn parsed(text: &str) -> Vec<Action> {
+fn parse_ok(text: &str) -> Vec<Action> {
     parse(text, &fleet()).expect(text)
 }
 
-fn refused(text: &str) -> Error {
+fn parse_err(text: &str) -> Error {
     parse(text, &fleet()).expect_err(text)
 }
 
@@ -22,7 +22,7 @@
     let (fleet, transfer, lookup) = (fleet(), service("transfer"), service("lookup"));
     let text = "copies transfer 20%; headroom lookup 30%; drain vm v01; drain rack r1; \
                 wave pace 2; shed later; refuse moves; order transfer, lookup";
-    let actions = parsed(text);
+    let actions = parse_ok(text);
     let vm = fleet.find_vm("v01").expect("declared");
     let rack = fleet.find_rack("r1").expect("declared");
     assert_eq!(
@@ -40,20 +40,20 @@
     );
     let described: Vec<_> = actions.iter().map(|action| action.describe(&fleet)).collect();
     assert_eq!(described.join("; "), text);
-    assert_eq!(parsed("normal"), []);
-    assert_eq!(parsed("hold; wave pause;"), [Action::Hold, Action::WavePause]);
+    assert_eq!(parse_ok("normal"), []);
+    assert_eq!(parse_ok("hold; wave pause;"), [Action::Hold, Action::WavePause]);
 }
 
 #[test]
-fn parse_narrowest_holds() {
+fn parse_most_specific_applies() {
     let transfer = service("transfer");
-    let own = Action::Headroom { service: transfer, per_mille: 500 };
+    let specific = Action::Headroom { service: transfer, per_mille: 500 };
     for text in
         ["headroom all 10%; headroom transfer 50%", "headroom transfer 50%; headroom all 10%"]
     {
-        let actions = parsed(text);
+        let actions = parse_ok(text);
         assert_eq!(actions.len(), 2);
-        assert!(actions.contains(&own), "{text}: {actions:?}");
+        assert!(actions.contains(&specific), "{text}: {actions:?}");
     }
 }
 
@@ -68,20 +68,20 @@
         "order lookup, lookup",
         "shed later; shed normal",
     ] {
-        assert!(matches!(refused(text).kind(), Kind::Conflict(_)), "{text}");
+        assert!(matches!(parse_err(text).kind(), Kind::Conflict(_)), "{text}");
     }
 }
 
 #[test]
-fn parse_mistakes() {
-    assert_eq!(refused("headrom all 10%").help(), "did you mean `headroom`?");
-    assert_eq!(refused("drain vm v02").help(), "did you mean `v01`?");
-    assert!(matches!(refused("headroom transfer 30").kind(), Kind::WrongUnit { .. }));
-    assert!(matches!(refused("copies transfer 101%").kind(), Kind::OutOfBounds { .. }));
-    assert!(matches!(refused("copies transfer -1").kind(), Kind::OutOfBounds { .. }));
-    assert!(matches!(refused("wave pace 0").kind(), Kind::OutOfBounds { .. }));
-    assert!(matches!(refused("hold wave pause").kind(), Kind::Unexpected { .. }));
-    assert!(matches!(refused(" ").kind(), Kind::UnexpectedEnd(_)));
+fn parse_invalid_actions() {
+    assert_eq!(parse_err("headrom all 10%").help(), "did you mean `headroom`?");
+    assert_eq!(parse_err("drain vm v02").help(), "did you mean `v01`?");
+    assert!(matches!(parse_err("headroom transfer 30").kind(), Kind::WrongUnit { .. }));
+    assert!(matches!(parse_err("copies transfer 101%").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(parse_err("copies transfer -1").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(parse_err("wave pace 0").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(parse_err("hold wave pause").kind(), Kind::Unexpected { .. }));
+    assert!(matches!(parse_err(" ").kind(), Kind::UnexpectedEnd(_)));
 }
 
 #[test]
--- a/crates/rules/tests/common/mod.rs
+++ b/crates/rules/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet, and random conditions and situations over it.
-#![allow(dead_code)] // each test file uses its part
+//! A small fleet, and random conditions and situations for it.
+#![allow(dead_code)] // no test file uses all helpers
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// A fleet with services `transfer` and `lookup` in pool `registry`, VM `v01`
+/// Returns a fleet with services `transfer` and `lookup` in pool `registry`, VM `v01`
 /// in rack `r1` of data centre `kolkata`, and pool `idle` without services.
 pub fn fleet() -> Fleet {
     let mut fleet = Fleet::default();
@@ -34,7 +34,7 @@
     fleet().find_service(name).expect("a service")
 }
 
-/// A list whose rules are called `r0`, `r1` and so on.
+/// Returns a list of rules called `r0`, `r1` and so on.
 pub fn list(rules: &[(&str, &str)]) -> List {
     let fleet = fleet();
     let rule = |(i, (when, then)): (usize, &(&str, &str))| {
@@ -44,7 +44,8 @@
     List::new(rules.iter().enumerate().map(rule).collect()).expect("a list")
 }
 
-/// Conditions over few subjects and few thresholds, so that they often meet.
+/// Generates conditions with few subjects and thresholds, so that they often
+/// overlap.
 pub fn condition_text() -> impl Strategy<Value = String> {
     let operator = prop::sample::select(vec!["<", "<=", ">", ">=", "==", "!="]);
     let compared = (prop::sample::select(vec!["hour", "spare(lookup)"]), operator, 0..4u8);
@@ -65,28 +66,28 @@
     })
 }
 
-/// Situations in which each value may be missing or stale.
+/// Generates situations in which values may be missing or stale.
 pub fn situation() -> impl Strategy<Value = Situation> {
     let age = || prop::option::weighted(0.8, prop::sample::select(vec![0u64, 5, 500]));
     let values = (0..5u64, -1..5i32, any::<bool>(), any::<bool>(), 0..4u32, 0..3u32);
     (values, age(), age(), age(), age(), 0..7u64).prop_map(
         |((hour, spare, store, wave, in_flight, slots), a, b, c, d, day)| {
-            let mut now = Situation::new();
-            now.set_clock(Time::from_millis((day * 24 + hour) * 3_600_000), 0);
+            let mut situation = Situation::new();
+            situation.set_clock(Time::from_millis((day * 24 + hour) * 3_600_000), 0);
             let age = Duration::from_secs;
-            a.map(|a| now.set_spare(service("lookup"), spare, age(a)).clone());
-            b.map(|b| now.set_store_down(store, age(b)).clone());
-            c.map(|c| now.set_wave(wave, 0, age(c)).clone());
+            a.map(|a| situation.set_spare(service("lookup"), spare, age(a)).clone());
+            b.map(|b| situation.set_store_down(store, age(b)).clone());
+            c.map(|c| situation.set_wave(wave, 0, age(c)).clone());
             d.map(|d| {
-                now.set_load(service("transfer"), in_flight, slots, age(d));
-                now.set_load(service("lookup"), in_flight, 1, age(d)).clone()
+                situation.set_load(service("transfer"), in_flight, slots, age(d));
+                situation.set_load(service("lookup"), in_flight, 1, age(d)).clone()
             });
-            now
+            situation
         },
     )
 }
 
-/// Random lists that end in `always`.
+/// Generates lists that end in `always`.
 pub fn any_list() -> impl Strategy<Value = List> {
     prop::collection::vec(condition_text(), 0..5).prop_map(|texts| {
         let whens = texts.iter().map(String::as_str).chain(["always"]);
@@ -94,7 +95,7 @@
     })
 }
 
-/// So many cases from a fixed seed: a run that fails, fails again.
+/// Returns a configuration with a fixed seed, so that failures are reproducible.
 pub fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
--- a/crates/rules/tests/condition.rs
+++ b/crates/rules/tests/condition.rs
@@ -1,4 +1,4 @@
-//! Conditions: what they mean, and what is said of wrong ones.
+//! Parsing and evaluation of conditions, and errors for invalid ones.
 
 mod common;
 
@@ -12,141 +12,147 @@
 
 const FRESH: Duration = Duration::ZERO;
 
-fn parsed(text: &str) -> Condition {
+fn parse_ok(text: &str) -> Condition {
     condition::parse(text, &fleet()).expect(text)
 }
 
-fn refused(text: &str) -> Error {
+fn parse_err(text: &str) -> Error {
     condition::parse(text, &fleet()).expect_err(text)
 }
 
-fn truth(text: &str, now: &Situation) -> Truth {
-    parsed(text).truth(now)
+fn truth(text: &str, situation: &Situation) -> Truth {
+    parse_ok(text).truth(situation)
 }
 
 #[test]
 fn truth_precedence() {
-    let mut now = Situation::new();
-    now.set_store_down(true, FRESH).set_wave(false, 0, FRESH);
-    assert_eq!(truth("store_down or wave and wave", &now), Truth::True);
-    assert_eq!(truth("(store_down or wave) and wave", &now), Truth::False);
-    assert_eq!(truth("not wave and store_down", &now), Truth::True);
+    let mut situation = Situation::new();
+    situation.set_store_down(true, FRESH).set_wave(false, 0, FRESH);
+    assert_eq!(truth("store_down or wave and wave", &situation), Truth::True);
+    assert_eq!(truth("(store_down or wave) and wave", &situation), Truth::False);
+    assert_eq!(truth("not wave and store_down", &situation), Truth::True);
 }
 
 #[test]
 fn truth_load_bounds() {
-    let mut now = Situation::new();
-    now.set_load(service("transfer"), 8, 10, FRESH);
-    assert_eq!(truth("load(transfer) > 80%", &now), Truth::False);
-    assert_eq!(truth("load(transfer) >= 80%", &now), Truth::True);
-    assert_eq!(truth("load(transfer) > 79.9%", &now), Truth::True);
+    let mut situation = Situation::new();
+    situation.set_load(service("transfer"), 8, 10, FRESH);
+    assert_eq!(truth("load(transfer) > 80%", &situation), Truth::False);
+    assert_eq!(truth("load(transfer) >= 80%", &situation), Truth::True);
+    assert_eq!(truth("load(transfer) > 79.9%", &situation), Truth::True);
 }
 
 #[test]
-fn truth_pool_takes_services_together() {
-    let mut now = Situation::new();
-    now.set_load(service("transfer"), 10, 10, FRESH);
-    assert_eq!(truth("load(pool registry) >= 50%", &now), Truth::Unknown);
-    now.set_load(service("lookup"), 0, 30, FRESH);
-    assert_eq!(truth("load(pool registry) == 25%", &now), Truth::True);
+fn truth_pool_combines_services() {
+    let mut situation = Situation::new();
+    situation.set_load(service("transfer"), 10, 10, FRESH);
+    assert_eq!(truth("load(pool registry) >= 50%", &situation), Truth::Unknown);
+    situation.set_load(service("lookup"), 0, 30, FRESH);
+    assert_eq!(truth("load(pool registry) == 25%", &situation), Truth::True);
 }
 
 #[test]
-fn truth_no_copy_able_to_serve() {
-    // Symptom: a rule that adds copies under load falls silent.
-    // Sequence: the last copy of a service is lost; its load is read.
-    // Cause: no request in hand over no slots taken for a load of nothing.
-    let mut now = Situation::new();
-    now.set_load(service("transfer"), 0, 0, FRESH);
-    assert_eq!(truth("load(transfer) > 80%", &now), Truth::True);
+fn truth_load_without_able_copy() {
+    // Guards against a rule that adds copies under load and stops matching when
+    // the last copy is lost: zero requests over zero slots is not a load of zero.
+    let mut situation = Situation::new();
+    situation.set_load(service("transfer"), 0, 0, FRESH);
+    assert_eq!(truth("load(transfer) > 80%", &situation), Truth::True);
 }
 
 #[test]
 fn truth_licences_share() {
-    let mut now = Situation::new();
-    now.set_licences(service("transfer"), 9, FRESH);
-    assert_eq!(truth("licences(transfer) == 90%", &now), Truth::True);
-    assert_eq!(truth("licences(transfer) > 8", &now), Truth::True);
+    let mut situation = Situation::new();
+    situation.set_licences(service("transfer"), 9, FRESH);
+    assert_eq!(truth("licences(transfer) == 90%", &situation), Truth::True);
+    assert_eq!(truth("licences(transfer) > 8", &situation), Truth::True);
 }
 
 #[test]
 fn truth_weekday_wraps() {
-    let mut now = Situation::new();
-    now.set_clock(Time::from_millis(3 * 86_400_000), 0); // a Sunday
-    assert_eq!(truth("weekday in sat..mon", &now), Truth::True);
-    assert_eq!(truth("weekday in mon..fri, sat", &now), Truth::False);
-    assert_eq!(truth("weekday != sun", &now), Truth::False);
+    let mut situation = Situation::new();
+    situation.set_clock(Time::from_millis(3 * 86_400_000), 0); // a Sunday
+    assert_eq!(truth("weekday in sat..mon", &situation), Truth::True);
+    assert_eq!(truth("weekday in mon..fri, sat", &situation), Truth::False);
+    assert_eq!(truth("weekday != sun", &situation), Truth::False);
 }
 
 #[test]
-fn truth_stale_value_is_unknown() {
-    // Symptom: copies are removed while the load is high.
-    // Sequence: load reports stop; the last one, low, is kept and acted on.
-    // Cause: a value acted on however old it is.
-    let mut now = Situation::new();
-    now.set_load(service("transfer"), 0, 10, now.stale_after() + Duration::from_millis(1));
-    assert_eq!(truth("load(transfer) < 10%", &now), Truth::Unknown);
-    assert_eq!(truth("not load(transfer) < 10%", &now), Truth::Unknown);
-    assert_eq!(truth("known(load(transfer))", &now), Truth::False);
-    assert_eq!(truth("load(transfer) < 10% or always", &now), Truth::True);
+fn truth_stale_value_unknown() {
+    // Guards against stopping copies under high load: load reports stop arriving,
+    // and the last report, a low load, must not count forever.
+    let mut situation = Situation::new();
+    situation.set_load(
+        service("transfer"),
+        0,
+        10,
+        situation.stale_after() + Duration::from_millis(1),
+    );
+    assert_eq!(truth("load(transfer) < 10%", &situation), Truth::Unknown);
+    assert_eq!(truth("not load(transfer) < 10%", &situation), Truth::Unknown);
+    assert_eq!(truth("known(load(transfer))", &situation), Truth::False);
+    assert_eq!(truth("load(transfer) < 10% or always", &situation), Truth::True);
 }
 
 #[test]
 fn truth_usage_stale() {
-    let mut now = Situation::new();
-    assert_eq!(truth("usage_stale", &now), Truth::Unknown);
-    now.set_usage_age(now.stale_after() * 2);
-    assert_eq!(truth("usage_stale and usage_age >= 2m", &now), Truth::True);
-    now.set_usage_age(FRESH);
-    assert_eq!(truth("usage_stale", &now), Truth::False);
+    let mut situation = Situation::new();
+    assert_eq!(truth("usage_stale", &situation), Truth::Unknown);
+    situation.set_usage_age(situation.stale_after() * 2);
+    assert_eq!(truth("usage_stale and usage_age >= 2m", &situation), Truth::True);
+    situation.set_usage_age(FRESH);
+    assert_eq!(truth("usage_stale", &situation), Truth::False);
 }
 
 #[test]
-fn truth_any_down() {
-    let mut now = Situation::new();
+fn truth_any_data_centre_down() {
+    let mut situation = Situation::new();
     let kolkata = fleet().find_data_centre("kolkata").expect("declared");
-    assert_eq!(truth("down(any data_centre)", &now), Truth::Unknown);
-    now.set_data_centre_down(kolkata, true, FRESH);
-    assert_eq!(truth("down(any data_centre) and down(data_centre kolkata)", &now), Truth::True);
+    assert_eq!(truth("down(any data_centre)", &situation), Truth::Unknown);
+    situation.set_data_centre_down(kolkata, true, FRESH);
+    assert_eq!(
+        truth("down(any data_centre) and down(data_centre kolkata)", &situation),
+        Truth::True
+    );
 }
 
 #[test]
 fn parse_unknown_names() {
-    let error = refused("store_down or load(trnsfer) > 80%");
+    let error = parse_err("store_down or load(trnsfer) > 80%");
     assert_eq!(
         error.kind(),
         &Kind::UnknownName { category: "service", name: "trnsfer".to_owned() }
     );
     assert_eq!((error.offset(), error.len()), (19, 7));
     assert_eq!(error.help(), "did you mean `transfer`?");
-    assert_eq!(refused("load(pool regsitry) > 1%").help(), "did you mean `registry`?");
-    assert_eq!(refused("down(data_centre kolkatta)").help(), "did you mean `kolkata`?");
-    assert_eq!(refused("stor_down").help(), "did you mean `store_down`?");
-    assert_eq!(refused("load(pool idle) > 1%").kind(), &Kind::EmptyPool("idle".to_owned()));
+    assert_eq!(parse_err("load(pool regsitry) > 1%").help(), "did you mean `registry`?");
+    assert_eq!(parse_err("down(data_centre kolkatta)").help(), "did you mean `kolkata`?");
+    assert_eq!(parse_err("stor_down").help(), "did you mean `store_down`?");
+    assert_eq!(parse_err("load(pool idle) > 1%").kind(), &Kind::EmptyPool("idle".to_owned()));
 }
 
 #[test]
-fn parse_wrong_numbers() {
-    assert!(matches!(refused("load(transfer) > 80").kind(), Kind::WrongUnit { .. }));
-    assert!(matches!(refused("hour > 8%").kind(), Kind::WrongUnit { .. }));
-    assert!(matches!(refused("hour < 25").kind(), Kind::OutOfBounds { .. }));
-    assert!(matches!(refused("copies(lookup) > -1").kind(), Kind::OutOfBounds { .. }));
-    assert!(matches!(refused("hour < many").kind(), Kind::InvalidNumber(_)));
+fn parse_invalid_numbers() {
+    assert!(matches!(parse_err("load(transfer) > 80").kind(), Kind::WrongUnit { .. }));
+    assert!(matches!(parse_err("hour > 8%").kind(), Kind::WrongUnit { .. }));
+    assert!(matches!(parse_err("hour < 25").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(parse_err("copies(lookup) > -1").kind(), Kind::OutOfBounds { .. }));
+    assert!(matches!(parse_err("hour < many").kind(), Kind::InvalidNumber(_)));
     assert!(matches!(
-        refused("spare(lookup) > 99999999999999999999").kind(),
+        parse_err("spare(lookup) > 99999999999999999999").kind(),
         Kind::InvalidNumber(_)
     ));
 }
 
 #[test]
-fn parse_wrong_form() {
-    assert!(matches!(refused("").kind(), Kind::UnexpectedEnd(_)));
-    assert!(matches!(refused("wave and").kind(), Kind::UnexpectedEnd(_)));
-    assert!(matches!(refused("wave store_down").kind(), Kind::Unexpected { .. }));
-    assert_eq!(refused("hour = 8").help(), "write `==` to compare");
-    assert_eq!(refused("wave && wave").help(), "write `and`");
-    assert_eq!(refused(&"(".repeat(2_000)).kind(), &Kind::TooDeep);
-    assert!(matches!(refused(&"wave or ".repeat(1_000)).kind(), Kind::TooLong(_)));
+fn parse_invalid_syntax() {
+    assert!(matches!(parse_err("").kind(), Kind::UnexpectedEnd(_)));
+    assert!(matches!(parse_err("wave and").kind(), Kind::UnexpectedEnd(_)));
+    assert!(matches!(parse_err("wave store_down").kind(), Kind::Unexpected { .. }));
+    assert_eq!(parse_err("hour = 8").help(), "write `==` to compare");
+    assert_eq!(parse_err("wave && wave").help(), "write `and`");
+    assert_eq!(parse_err(&"(".repeat(2_000)).kind(), &Kind::TooDeep);
+    assert!(matches!(parse_err(&"wave or ".repeat(1_000)).kind(), Kind::TooLong(_)));
 }
 
 proptest! {
@@ -175,8 +181,8 @@
     }
 
     #[test]
-    fn truth_de_morgan(a in condition_text(), b in condition_text(), now in situation()) {
-        let left = truth(&format!("not (({a}) and ({b}))"), &now);
-        prop_assert_eq!(left, truth(&format!("not ({a}) or not ({b})"), &now));
+    fn truth_de_morgan(a in condition_text(), b in condition_text(), situation in situation()) {
+        let left = truth(&format!("not (({a}) and ({b}))"), &situation);
+        prop_assert_eq!(left, truth(&format!("not ({a}) or not ({b})"), &situation));
     }
 }
