--- a/crates/policy/benches/policy/baseline.rs
+++ b/crates/policy/benches/policy/baseline.rs
@@ -26,7 +26,7 @@
 }
 
 /// The number of consecutive failed starts from which a VM gets no new copies.
-const UNFIT: u16 = 2;
+const UNFIT_FAILED_STARTS: u16 = 2;
 const COPIES_PER_SERVICE: usize = 10;
 const TARGET_UTILISATION: f64 = 0.6;
 
@@ -35,12 +35,12 @@
 }
 
 fn advance_vms(state: &State, steps: &mut Vec<Step>) {
-    for (vm, spec) in state.vms().filter(|(_, spec)| spec.lost_since.is_none()) {
-        match spec.phase {
+    for (vm, vm_state) in state.vms().filter(|(_, vm_state)| vm_state.lost_since.is_none()) {
+        match vm_state.phase {
             Phase::Drained => steps.push(step(Operation::Reboot { vm })),
-            Phase::Rebooting if spec.maintained_at.is_some_and(|at| at >= spec.since) => {
+            Phase::Rebooting if vm_state.maintained_at.is_some_and(|at| at >= vm_state.since) => {
                 steps.push(step(Operation::Admit { vm }));
-                let copies = spec.copies.iter().map(|copy| copy.service);
+                let copies = vm_state.copies.iter().map(|copy| copy.service);
                 steps.extend(copies.map(|service| step(Operation::Start { vm, service })));
             }
             _ => {}
@@ -54,15 +54,15 @@
     let Some(order) = &state.wave else { return Vec::new() };
     let vms = || state.vms().filter(|(id, _)| scenario.fleet.vm(*id).home == pool);
     let is_in_progress = |vm: &&corianderfork_policy::state::Vm| {
-        let back = vm.maintained_at.is_some_and(|at| at >= order.started_at);
-        let is_warming = back && vm.copies.iter().any(|copy| !copy.warm);
+        let is_back = vm.maintained_at.is_some_and(|at| at >= order.started_at);
+        let is_warming = is_back && vm.copies.iter().any(|copy| !copy.warm);
         vm.phase != Phase::Serving || is_warming || vm.lost_since.is_some()
     };
-    let under_way = vms().map(|(_, vm)| vm).filter(is_in_progress).count();
+    let in_progress = vms().map(|(_, vm)| vm).filter(is_in_progress).count();
     let pending = vms().filter(|(_, vm)| {
         order.is_pending(vm) && vm.phase == Phase::Serving && vm.lost_since.is_none()
     });
-    pending.map(|(id, _)| id).take(max.saturating_sub(under_way)).collect()
+    pending.map(|(id, _)| id).take(max.saturating_sub(in_progress)).collect()
 }
 
 fn drain(vm: VmId) -> Step {
@@ -73,18 +73,18 @@
     fn decide(&mut self, scenario: &Scenario, state: &State, _: &[f64], _: Time) -> Vec<Step> {
         let mut steps = Vec::new();
         advance_vms(state, &mut steps);
-        let mut load = vec![0; state.vms().len()];
+        let mut copies_on_vm = vec![0; state.vms().len()];
         let mut assigned = vec![Vec::new(); scenario.fleet.services().len()];
         for (id, vm) in state.vms() {
-            load[id.index()] = vm.copies.len();
+            copies_on_vm[id.index()] = vm.copies.len();
             for copy in &vm.copies {
                 assigned[copy.service.index()].push((id, vm.lost_since.is_some() || copy.failing));
             }
         }
         for (service, spec) in scenario.fleet.services().take(schedulable_services(scenario)) {
             let assigned = &assigned[service.index()];
-            for &(vm, is_lost) in assigned {
-                if is_lost {
+            for &(vm, is_down) in assigned {
+                if is_down {
                     steps.push(step(Operation::Stop { vm, service }));
                 }
             }
@@ -96,12 +96,12 @@
                 state.pool == spec.pool
                     && state.phase == Phase::Serving
                     && state.lost_since.is_none()
-                    && state.failed_starts < UNFIT
+                    && state.failed_starts < UNFIT_FAILED_STARTS
                     && state.copies.iter().all(|copy| copy.service != service && !copy.failing)
             };
             let vms = scenario.fleet.vm_ids().filter(fits);
-            if let Some(vm) = vms.min_by_key(|vm| (load[vm.index()], *vm)) {
-                load[vm.index()] += 1;
+            if let Some(vm) = vms.min_by_key(|vm| (copies_on_vm[vm.index()], *vm)) {
+                copies_on_vm[vm.index()] += 1;
                 steps.push(step(Operation::Start { vm, service }));
             }
         }
@@ -125,11 +125,14 @@
                 next_wave_vms(scenario, state, pool, tenth)
             })
             .collect();
-        let usable = |(id, vm): (VmId, &corianderfork_policy::state::Vm)| {
-            let good = vm.phase == Phase::Serving && vm.lost_since.is_none();
-            (good && vm.failed_starts < UNFIT && !drain_candidates.contains(&id)).then_some(id)
+        let usable_vm = |(id, vm): (VmId, &corianderfork_policy::state::Vm)| {
+            let is_healthy = vm.phase == Phase::Serving && vm.lost_since.is_none();
+            (is_healthy
+                && vm.failed_starts < UNFIT_FAILED_STARTS
+                && !drain_candidates.contains(&id))
+            .then_some(id)
         };
-        let vms: Vec<VmId> = state.vms().filter_map(usable).collect();
+        let vms: Vec<VmId> = state.vms().filter_map(usable_vm).collect();
         let desired = |(service, load): (usize, &f64)| {
             let spec = scenario.fleet.service(ServiceId::from_index(service));
             let copies = (load / f64::from(spec.slots) / TARGET_UTILISATION).ceil() as u32;
@@ -143,8 +146,8 @@
             self.key = key;
         }
         self.apply_packing(scenario, state, &mut steps);
-        let empty = |vm: &&VmId| state.vm(**vm).copies.is_empty();
-        steps.extend(drain_candidates.iter().filter(empty).map(|vm| drain(*vm)));
+        let is_empty = |vm: &&VmId| state.vm(**vm).copies.is_empty();
+        steps.extend(drain_candidates.iter().filter(is_empty).map(|vm| drain(*vm)));
         steps
     }
 }
@@ -156,8 +159,8 @@
         let mut assigned = vec![Vec::new(); scenario.fleet.services().len()];
         for (id, vm) in state.vms() {
             for copy in &vm.copies {
-                let able = copy.warm && vm.phase == Phase::Serving && vm.lost_since.is_none();
-                assigned[copy.service.index()].push((id, able));
+                let is_ready = copy.warm && vm.phase == Phase::Serving && vm.lost_since.is_none();
+                assigned[copy.service.index()].push((id, is_ready));
             }
         }
         for (service, spec) in scenario.fleet.services().take(schedulable_services(scenario)) {
@@ -167,7 +170,7 @@
             let range = (service, VmId::from_index(0))..=(service, VmId::from_index(1 << 30));
             for &(_, vm) in self.packed.range(range) {
                 match assigned.iter().find(|(id, _)| *id == vm) {
-                    Some((_, able)) => complete &= able,
+                    Some((_, is_ready)) => complete &= is_ready,
                     None => {
                         complete = false;
                         if licences > 0 {
@@ -177,12 +180,12 @@
                     }
                 }
             }
-            let full = assigned.len() >= spec.licences as usize;
+            let all_licences_used = assigned.len() >= spec.licences as usize;
             let mut extra =
                 assigned.iter().filter(|(vm, _)| !self.packed.contains(&(service, *vm)));
             if complete {
                 steps.extend(extra.map(|&(vm, _)| step(Operation::Stop { vm, service })));
-            } else if full && let Some(&(vm, _)) = extra.next() {
+            } else if all_licences_used && let Some(&(vm, _)) = extra.next() {
                 steps.push(step(Operation::Stop { vm, service }));
             }
         }
--- a/crates/policy/benches/policy/scenario.rs
+++ b/crates/policy/benches/policy/scenario.rs
@@ -73,29 +73,29 @@
     copy: Size,
 }
 
-fn named(text: &str) -> Name {
+fn parse_name(text: &str) -> Name {
     Name::new(text).expect("the names here are well formed")
 }
 
-fn name(what: &str, index: usize) -> Name {
-    named(&format!("{what}-{index}"))
+fn indexed_name(what: &str, index: usize) -> Name {
+    parse_name(&format!("{what}-{index}"))
 }
 
 fn fleet(sizes: &Sizes, weights: Weights) -> Fleet {
     let mut fleet = Fleet::default();
     fleet.weights = weights;
     let pools: Vec<_> =
-        (0..sizes.pools).map(|i| fleet.add_pool(Pool::new(name("pool", i)))).collect();
+        (0..sizes.pools).map(|i| fleet.add_pool(Pool::new(indexed_name("pool", i)))).collect();
     for dc in 0..sizes.data_centres {
-        let region = named("region");
-        let id = fleet.add_data_centre(DataCentre::new(name("dc", dc), region));
+        let region = parse_name("region");
+        let id = fleet.add_data_centre(DataCentre::new(indexed_name("dc", dc), region));
         for rack in 0..sizes.racks {
             let number = dc * sizes.racks + rack;
-            let rack = fleet.add_rack(Rack::new(name("rack", number), id));
+            let rack = fleet.add_rack(Rack::new(indexed_name("rack", number), id));
             for vm in 0..4 {
                 // Two pools share each rack.
                 let pool = pools[(2 * number + vm / 2) % sizes.pools];
-                fleet.add_vm(Vm::new(name("vm", 4 * number + vm), rack, sizes.vm, pool));
+                fleet.add_vm(Vm::new(indexed_name("vm", 4 * number + vm), rack, sizes.vm, pool));
             }
         }
     }
@@ -108,17 +108,18 @@
         let mut budget = Budget::new(min_copies, 10);
         budget.outlasts = outlasts;
         let pool = pools[index % sizes.pools];
-        let mut service = Service::new(name("service", index), pool, sizes.copy, budget, 10);
+        let mut service =
+            Service::new(indexed_name("service", index), pool, sizes.copy, budget, 10);
         service.class = class;
         let quota = Size { milli_cores: 1_000_000, memory_mib: 4_000_000, accelerators: 0 };
-        service.team = Some(fleet.add_team(Team::new(name("team", index), quota)));
+        service.team = Some(fleet.add_team(Team::new(indexed_name("team", index), quota)));
         fleet.add_service(service);
     }
     // Two services that can never run: one is larger than any VM, and every start
     // of the other fails.
     for (what, factor) in [("huge", 100), ("broken", 1)] {
         let size = Size { milli_cores: sizes.copy.milli_cores * factor, ..sizes.copy };
-        let job = Service::new(named(what), pools[0], size, Budget::new(1, 2), 2);
+        let job = Service::new(parse_name(what), pools[0], size, Budget::new(1, 2), 2);
         fleet.add_service(job);
     }
     fleet
--- a/crates/policy/benches/policy/simulator.rs
+++ b/crates/policy/benches/policy/simulator.rs
@@ -121,21 +121,22 @@
     fn is_down(&self, vm: VmId, minute: u64) -> bool {
         let fleet = &self.scenario.fleet;
         self.scenario.outages.iter().any(|outage| {
-            let hit = match outage.part {
+            let is_hit = match outage.part {
                 Part::Vm(index) => vm.index() == index,
                 Part::Rack(index) => fleet.vm(vm).rack.index() == index,
                 Part::DataCentre(index) => fleet.data_centre_of(vm).index() == index,
             };
-            hit && (outage.at..outage.at + outage.minutes).contains(&minute)
+            is_hit && (outage.at..outage.at + outage.minutes).contains(&minute)
         })
     }
 
+    /// Whether every start on `vm` fails now.
     fn is_vm_failing(&self, vm: VmId) -> bool {
-        let back = |at| self.state.vm(vm).maintained_at.is_some_and(|then| then > time(at));
+        let is_back = |at| self.state.vm(vm).maintained_at.is_some_and(|then| then > time(at));
         self.scenario.failing_vms.iter().any(|bad| {
             bad.vm == vm.index()
                 && (bad.at..bad.at + bad.minutes).contains(&self.now)
-                && (!bad.after_reboot || back(bad.at))
+                && (!bad.after_reboot || is_back(bad.at))
         })
     }
 
@@ -275,8 +276,8 @@
                 (vm.phase, vm.since) = (Phase::Rebooting, now);
             }
             Operation::SwitchPool { to, .. } => {
-                let clean = vm.phase == Phase::Drained && vm.copies.is_empty();
-                self.measures.violations += u64::from(!clean);
+                let is_valid = vm.phase == Phase::Drained && vm.copies.is_empty();
+                self.measures.violations += u64::from(!is_valid);
                 self.measures.moves += 1;
                 (vm.phase, vm.pool, vm.since) = (Phase::Switching, to, now);
             }
@@ -292,14 +293,14 @@
         let fleet = &self.scenario.fleet;
         let mut all_counts = vec![CopyCounts::default(); fleet.services().len()];
         for (id, vm) in self.state.vms() {
-            let up = vm.phase == Phase::Serving
+            let is_up = vm.phase == Phase::Serving
                 && !self.is_down(id, self.now)
                 && !self.is_vm_failing(id);
             let speed = self.speed(id);
             for copy in &vm.copies {
                 let counts = &mut all_counts[copy.service.index()];
                 counts.assigned += 1;
-                if up && copy.warm && !copy.failing {
+                if is_up && copy.warm && !copy.failing {
                     counts.ready += 1;
                     counts.slots += f64::from(fleet.service(copy.service).slots) * speed;
                 }
--- a/crates/policy/src/history.rs
+++ b/crates/policy/src/history.rs
@@ -8,7 +8,7 @@
 /// Milliseconds per minute. The greatest load of each minute is kept.
 const MINUTE: u64 = 60_000;
 /// The number of minutes from which level, trend and noise are computed.
-const RECENT: usize = 6;
+const RECENT_MINUTES: usize = 6;
 /// The weight of one minute in the moving average of the noise.
 const NOISE_WEIGHT: f64 = 0.1;
 /// The number of standard deviations of the noise added to the level.
@@ -80,7 +80,7 @@
 
     fn push_recent(&mut self, minute: u64, load: f64) {
         self.recent.push_back((minute, load));
-        if self.recent.len() > RECENT {
+        if self.recent.len() > RECENT_MINUTES {
             self.recent.pop_front();
         }
     }
--- a/crates/policy/src/sizing.rs
+++ b/crates/policy/src/sizing.rs
@@ -91,14 +91,15 @@
 /// let mut fleet = Fleet::default();
 /// let pool = fleet.add_pool(Pool::new(Name::new("registry")?));
 /// let name = Name::new("lookup")?;
-/// let transfer =
+/// let lookup =
 ///     fleet.add_service(Service::new(name, pool, Size::default(), Budget::new(1, 10), 10));
 ///
 /// let now = Time::from_millis(600_000);
 /// let mut sizer = Sizer::new(&fleet, now);
 /// // 20 requests in flight need three copies of eight slots.
-/// sizer.record_load(now, &fleet, transfer, Load { at: now, in_flight_milli: 20_000, ..Load::default() });
-/// assert_eq!(sizer.demand(&fleet, transfer, &Config::default(), now).now, 3);
+/// let load = Load { at: now, in_flight_milli: 20_000, ..Load::default() };
+/// sizer.record_load(now, &fleet, lookup, load);
+/// assert_eq!(sizer.demand(&fleet, lookup, &Config::default(), now).now, 3);
 /// # Ok::<(), corianderfork_model::name::Error>(())
 /// ```
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,9 +1,9 @@
 //! A snapshot of the fleet, the input of a decision.
 //!
 //! The controller fills a [`State`] from the records in the platform's store,
-//! from the platform's task list, which lags, and from the reports of the
-//! proxies. Times are relative to the Unix epoch, because the state is continued
-//! by another process after a failover.
+//! from the platform's lists, which lag behind, and from the reports of the
+//! proxies. Times are relative to the Unix epoch, because another process
+//! continues with the state after a failover.
 
 use corianderfork_model::arena::Id;
 use corianderfork_model::place::{DataCentreId, PoolId, RackId, VmId};
--- a/crates/policy/src/target.rs
+++ b/crates/policy/src/target.rs
@@ -13,7 +13,8 @@
 pub(crate) struct Target {
     /// The number of copies to run.
     pub(crate) desired: u32,
-    /// The number of copies that the load requires.
+    /// The number of copies that must be able to serve: what the load requires,
+    /// within the limits of budget and licences.
     pub(crate) required: u32,
     /// The failure that `required` copies have to survive.
     pub(crate) level: Outlasts,
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -128,10 +128,10 @@
 
     fn count_domains(&self, pool: PoolId) -> [u32; 3] {
         [Outlasts::Vm, Outlasts::Rack, Outlasts::DataCentre].map(|level| {
-            let here = |&vm: &VmId| {
+            let is_present = |&vm: &VmId| {
                 !matches!(self.vm_statuses[vm.index()], VmStatus::Lost | VmStatus::OutOfService)
             };
-            let vms = self.pool_vms[pool.index()].iter().copied().filter(here);
+            let vms = self.pool_vms[pool.index()].iter().copied().filter(is_present);
             let mut domains: Vec<usize> = vms.map(|vm| domain(self.fleet, level, vm)).collect();
             domains.sort_unstable();
             domains.dedup();
@@ -155,9 +155,9 @@
     /// budget names or, while such a failure lasts, the next smaller one.
     pub(crate) fn failure_level(&self, service: ServiceId) -> Outlasts {
         let spec = self.fleet.service(service);
-        let named = spec.budget.outlasts;
-        let failed = self.failed_levels[spec.pool.index()].contains(&named);
-        if failed || self.has_recent_losses(service) { next_smaller(named) } else { named }
+        let covered = spec.budget.outlasts;
+        let has_failed = self.failed_levels[spec.pool.index()].contains(&covered);
+        if has_failed || self.has_recent_losses(service) { next_smaller(covered) } else { covered }
     }
 
     /// Whether `service` has copies on lost VMs that are not replaced yet,
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -220,7 +220,11 @@
                 refused_milli: wide_numbers[3],
             };
             driver.state.sizer.record_load(at(wide_numbers[4]), &driver.fleet, service, load);
-            let usage = Usage { at: at(wide_numbers[0]), milli_cores: numbers[6], memory_mib: numbers[7] };
+            let usage = Usage {
+                at: at(wide_numbers[0]),
+                milli_cores: numbers[6],
+                memory_mib: numbers[7],
+            };
             driver.state.sizer.record_usage(at(wide_numbers[4]), service, usage);
         }
         driver.directive.pace = pace;
--- a/crates/policy/tests/wave.rs
+++ b/crates/policy/tests/wave.rs
@@ -199,7 +199,7 @@
     driver.directive.refuse_moves = true;
     let service = driver.fleet.service_ids().next().unwrap();
     let blocked = plan(&driver, &order);
-    let is_for_service = |remedy: &Remedy| matches!(remedy, Remedy::Copies { service: blocking, missing } if *blocking == service && *missing > 0);
+    let is_for_service = |remedy: &Remedy| matches!(remedy, Remedy::Copies { service: s, missing } if *s == service && *missing > 0);
     assert!(blocked.remedies.iter().any(is_for_service), "{blocked:?}");
 }
 
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -115,8 +115,8 @@
                 nodes.iter().fold(Truth::True, |truth, node| truth.and(node.truth(situation)))
             }
             Self::Or(nodes) => {
-                let is_false = |node: &Self| node.truth(situation).not();
-                nodes.iter().fold(Truth::True, |truth, node| truth.and(is_false(node))).not()
+                let negated = |node: &Self| node.truth(situation).not();
+                nodes.iter().fold(Truth::True, |truth, node| truth.and(negated(node))).not()
             }
             Self::Not(node) => node.truth(situation).not(),
             Self::Term(term) => term.truth(situation),
--- a/crates/rules/tests/list.rs
+++ b/crates/rules/tests/list.rs
@@ -132,7 +132,8 @@
         list in any_list(),
         situations in prop::collection::vec(situation(), 64),
     ) {
-        let unreachable_rules: Vec<_> = unreachable(&list).iter().map(|finding| finding.rule).collect();
+        let unreachable_rules: Vec<_> =
+            unreachable(&list).iter().map(|finding| finding.rule).collect();
         for situation in &situations {
             prop_assert!(!unreachable_rules.contains(&list.decide(situation).rule()));
         }
