--- a/crates/controller/src/directory.rs
+++ b/crates/controller/src/directory.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use corianderfork_coord::member::{Config, Heard, Known, Peer, Table};
+use corianderfork_coord::member::{Config, Identity, Peer, Sighting, Table};
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::record::{Member, Role};
 use corianderfork_wire::peer;
@@ -68,7 +68,7 @@
         expiry: Duration,
     ) -> Result<Self, corianderfork_model::name::Error> {
         let id = Name::new(&format!("{}-{}", me.role, me.name))?;
-        let table = Table::new(config, Known::new(id, me.incarnation));
+        let table = Table::new(config, Identity::new(id, me.incarnation));
         Ok(Self { me, table, entries: BTreeMap::new(), expiry })
     }
 
@@ -97,9 +97,9 @@
         let mut known = Vec::new();
         for member in members {
             let Some(id) = self.upsert(now, member, true) else { continue };
-            known.push(Known::new(id, member.incarnation));
+            known.push(Identity::new(id, member.incarnation));
         }
-        self.table.on_store(sent, revision, known);
+        self.table.on_list(sent, revision, known);
         self.prune(now);
     }
 
@@ -108,7 +108,7 @@
         let mut known = Vec::new();
         for member in members {
             let Some(id) = member_id(member.role, &member.name) else { continue };
-            known.push(Known::new(id, member.incarnation));
+            known.push(Identity::new(id, member.incarnation));
             let _ = self.upsert(now, member, false);
         }
         self.table.on_snapshot(now, known);
@@ -135,7 +135,7 @@
         let age = Duration::from_millis(seen.age_ms);
         let incarnation = known.incarnation;
         let id = known.name.clone();
-        self.table.on_heard(now, [Heard { member: known, age }]);
+        self.table.on_sightings(now, [Sighting { member: known, age }]);
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if entry.member.incarnation != incarnation {
             return;
@@ -162,9 +162,9 @@
         });
     }
 
-    fn known_member(&mut self, now: Time, member: &Member) -> Option<Known> {
+    fn known_member(&mut self, now: Time, member: &Member) -> Option<Identity> {
         let id = self.upsert(now, member, false)?;
-        Some(Known::new(id, member.incarnation))
+        Some(Identity::new(id, member.incarnation))
     }
 
     fn upsert(&mut self, now: Time, member: &Member, listed: bool) -> Option<Name> {
@@ -216,25 +216,26 @@
 
     /// Returns each proxy with the time since which its incarnation has been
     /// known.
-    pub fn proxies_since(&self) -> impl Iterator<Item = (Known, Time)> {
+    pub fn proxies_since(&self) -> impl Iterator<Item = (Identity, Time)> {
         let proxies = self.entries.iter().filter(|(_, entry)| entry.member.role == Role::Proxy);
-        proxies.map(|(id, entry)| (Known::new(id.clone(), entry.member.incarnation), entry.since))
+        proxies
+            .map(|(id, entry)| (Identity::new(id.clone(), entry.member.incarnation), entry.since))
     }
 
     /// Returns the members that confirmed the drain `epoch` of `vm`.
-    pub fn acked(&self, vm: &Name, epoch: u64) -> Vec<Known> {
+    pub fn acked(&self, vm: &Name, epoch: u64) -> Vec<Identity> {
         let acked = |(id, entry): (&Name, &Entry)| {
             let acked = entry.acks.get(vm) == Some(&epoch);
-            acked.then(|| Known::new(id.clone(), entry.member.incarnation))
+            acked.then(|| Identity::new(id.clone(), entry.member.incarnation))
         };
         self.entries.iter().filter_map(acked).collect()
     }
 
     /// Returns the reports of the proxies that are no older than `limit`.
-    pub fn reports(&self, now: Time, limit: Duration) -> impl Iterator<Item = (Known, &Report)> {
+    pub fn reports(&self, now: Time, limit: Duration) -> impl Iterator<Item = (Identity, &Report)> {
         self.entries.iter().filter_map(move |(id, entry)| {
             let report = entry.report.as_ref().filter(|report| now - report.received <= limit)?;
-            let proxy = Known::new(id.clone(), entry.member.incarnation);
+            let proxy = Identity::new(id.clone(), entry.member.incarnation);
             (entry.member.role == Role::Proxy).then_some((proxy, report))
         })
     }
@@ -258,7 +259,7 @@
             config_revision,
             ..peer::Seen::default()
         };
-        let others = self.table.heard(now).into_iter().filter_map(|heard| {
+        let others = self.table.sightings(now).into_iter().filter_map(|heard| {
             let entry = self.entries.get(&heard.member.name)?;
             Some(peer::Seen {
                 member: Some(encode_member(&entry.member)),
--- a/crates/coord/src/claim/batch.rs
+++ b/crates/coord/src/claim/batch.rs
@@ -5,15 +5,15 @@
 
 use corianderfork_model::Time;
 
-use super::book::{Book, judge};
 use super::id::{Attempt, Id};
-use super::message::{Action, Ask, Verdict};
+use super::index::{Book, judge};
+use super::message::{Action, Request, Verdict};
 use super::segment::State;
 
 /// An ask whose reply depends on a write.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
-    pub(super) ask: Ask,
+    pub(super) ask: Request,
     pub(super) since: Time,
 }
 
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -12,7 +12,7 @@
 
 use corianderfork_model::service::Class;
 use corianderfork_model::{Name, Time};
-use corianderfork_routing::outcome::{Attempt, Refusal, Why};
+use corianderfork_routing::outcome::{Attempt, Reason, Refusal};
 use corianderfork_routing::report::Report;
 use corianderfork_routing::router::{self, RunnerKey, Ticket};
 use corianderfork_routing::view;
@@ -106,7 +106,7 @@
             let mut inner = self.lock();
             if inner.queue.waiting(request.service) == 0 {
                 match inner.pick(now, request.service, request.exclude) {
-                    Err(refusal) if refusal.why == Why::Busy => {}
+                    Err(refusal) if refusal.reason == Reason::Busy => {}
                     result => return result,
                 }
             }
@@ -158,7 +158,7 @@
     pub fn record_request(&self, service: &Name) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.router.offered(now, service);
+        inner.router.count_request(now, service);
         inner.retry_budget(service).first_try(now);
     }
 
@@ -190,7 +190,7 @@
     pub fn set_runners(&self, record: view::Vm) -> bool {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let is_new = inner.router.set_runners(now, record);
+        let is_new = inner.router.apply_record(now, record);
         inner.grant_free_slots(now);
         is_new
     }
@@ -214,19 +214,19 @@
     /// Adds a proxy to the known members.
     pub fn add_proxy(&self, member: &Name) {
         let now = self.clock.now();
-        self.lock().router.meet_member(now, member);
+        self.lock().router.add_member(now, member);
     }
 
     /// Removes a proxy from the known members.
     pub fn remove_proxy(&self, member: &Name) {
-        self.lock().router.forget_member(member);
+        self.lock().router.remove_member(member);
     }
 
     /// Applies the report of a peer.
     pub fn apply_peer_report(&self, member: &Name, report: &Report) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.router.peer_load(now, member, report);
+        inner.router.apply_report(now, member, report);
         inner.grant_free_slots(now);
     }
 
@@ -235,7 +235,7 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         Loads {
-            report: inner.router.load(now),
+            report: inner.router.report(now),
             in_flight: inner.in_flight.clone(),
             waiting: inner.waiting_by_service(),
             leaving: inner.leaving.keys().cloned().collect(),
@@ -249,5 +249,5 @@
 }
 
 fn wait_ended() -> Refusal {
-    Refusal { retry_after: RETRY_AFTER, why: Why::Hopeless }
+    Refusal { retry_after: RETRY_AFTER, reason: Reason::DeadlineTooSoon }
 }
