--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -44,7 +44,7 @@
 use crate::record::State;
 use crate::task;
 use crate::worker::{self, Worker};
-use departed::Over;
+use departed::EndedInstances;
 use entry::Entry;
 
 slotmap::new_key_type! {
@@ -122,20 +122,20 @@
     jobs: SlotMap<JobKey, Entry>,
     by_job: HashMap<JobId, JobKey>,
     /// All jobs that were accepted before this are known.
-    known: Time,
+    jobs_known_until: Time,
     /// Jobs with something to write, oldest first.
     dirty: BTreeSet<(Time, JobId)>,
-    starts: u64,
+    start_count: u64,
     deposed: bool,
     /// When this owner first planned.
-    begun: Option<Time>,
-    roster_written: BTreeSet<worker::Location>,
+    first_planned: Option<Time>,
+    written_roster: BTreeSet<worker::Location>,
     notes: Vec<Note>,
-    over: Over,
+    departed: EndedInstances,
     /// What tasks wait for that not every worker has, as of the last plan.
-    sought: BTreeSet<Feature>,
+    requested_features: BTreeSet<Feature>,
     /// On which worker room is kept for a lasting task.
-    kept: BTreeMap<task::Name, worker::Key>,
+    reservations: BTreeMap<task::Name, worker::Key>,
     /// Tracked runs of tasks that are suspected of a crash.
     suspects: BTreeMap<task::Name, crash::Suspect>,
 }
@@ -165,16 +165,16 @@
             by_id: HashMap::new(),
             jobs: SlotMap::with_key(),
             by_job: HashMap::new(),
-            known: Time::ZERO,
+            jobs_known_until: Time::ZERO,
             dirty: BTreeSet::new(),
-            starts: 0,
+            start_count: 0,
             deposed: false,
-            begun: None,
-            roster_written: BTreeSet::new(),
+            first_planned: None,
+            written_roster: BTreeSet::new(),
             notes: Vec::new(),
-            over: Over::default(),
-            sought: BTreeSet::new(),
-            kept: BTreeMap::new(),
+            departed: EndedInstances::default(),
+            requested_features: BTreeSet::new(),
+            reservations: BTreeMap::new(),
             suspects: BTreeMap::new(),
         }
     }
@@ -203,14 +203,17 @@
     /// Whether a job is over, and it isn't known whether that is written yet: it may
     /// be, with the answer lost or late.
     pub fn is_ending(&self, id: JobId) -> bool {
-        self.entry(id).is_some_and(|entry| entry.state.is_final() && entry.written < entry.version)
+        self.entry(id)
+            .is_some_and(|entry| entry.state.is_final() && entry.written_version < entry.version)
     }
 
     /// Whether a task is known to be done.
     pub fn is_done(&self, name: task::Name) -> bool {
         let Some(entry) = self.entry(name.job) else { return false };
         let task = entry.task(name);
-        task.map_or(entry.state == State::Completed, |task| matches!(task.at, entry::At::Done))
+        task.map_or(entry.state == State::Completed, |task| {
+            matches!(task.state, entry::TaskState::Done)
+        })
     }
 
     /// How many jobs of `queue` have no started task.
@@ -255,8 +258,8 @@
     }
 
     fn next_run(&mut self) -> u64 {
-        self.starts += 1;
-        (self.config.fence << RUN_BITS) + self.starts
+        self.start_count += 1;
+        (self.config.fence << RUN_BITS) + self.start_count
     }
 
     /// Whether a predecessor's run may still be alive where this owner can't
--- a/crates/jobs/src/pool/advice.rs
+++ b/crates/jobs/src/pool/advice.rs
@@ -15,7 +15,7 @@
 
 use super::Pool;
 use super::entry::name;
-use super::ranking::Turn;
+use super::ranking::StepKey;
 use crate::job::{Room, Step};
 use crate::task;
 use crate::worker::{self, Worker};
@@ -23,11 +23,11 @@
 /// Workers named in one question. The service takes a time for each, and one
 /// good worker with room is all that a task needs; but one question more costs
 /// as much as a hundred workers more.
-const WORKERS: usize = 40;
+const MAX_WORKERS: usize = 40;
 /// How long before its end a ticket is no longer used: the order is on its way
 /// to the worker for a few milliseconds, and is sent again once without an
 /// answer.
-const MARGIN: Duration = Duration::from_millis(500);
+const TICKET_MARGIN: Duration = Duration::from_millis(500);
 
 /// A question to the service that decides which workers may run a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,12 +54,12 @@
 
 /// What is known of one step.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Known {
+pub(super) struct StepAdvice {
     tickets: HashMap<worker::Key, Ticket>,
-    asked: HashSet<worker::Key>,
-    is_asking: bool,
+    queried: HashSet<worker::Key>,
+    is_query_pending: bool,
     /// Whether a worker is sought for one of its tasks that still runs.
-    is_wanted: bool,
+    is_wanted_early: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -68,35 +68,35 @@
     until: Time,
 }
 
-impl Known {
-    fn holds(&self, now: Time, key: worker::Key) -> bool {
-        self.tickets.get(&key).is_some_and(|ticket| now + MARGIN < ticket.until)
+impl StepAdvice {
+    fn has_valid_ticket(&self, now: Time, key: worker::Key) -> bool {
+        self.tickets.get(&key).is_some_and(|ticket| now + TICKET_MARGIN < ticket.until)
     }
 
     /// Whether a question is under way.
-    pub fn is_asking(&self) -> bool {
-        self.is_asking
+    pub fn is_query_pending(&self) -> bool {
+        self.is_query_pending
     }
 
     /// Whether it is of use to ask about a worker: nothing is known of it, or
     /// it is good and its ticket is over.
-    fn is_open(&self, now: Time, key: worker::Key) -> bool {
-        !self.is_bad(key) && !self.holds(now, key)
+    fn is_worth_querying(&self, now: Time, key: worker::Key) -> bool {
+        !self.is_refused(key) && !self.has_valid_ticket(now, key)
     }
 
     /// Whether anything was told of it.
-    pub fn is_told(&self) -> bool {
-        !self.asked.is_empty()
+    pub fn has_response(&self) -> bool {
+        !self.queried.is_empty()
     }
 
     /// Whether a worker is known to be among those that may run the step.
-    pub fn is_good(&self, key: worker::Key) -> bool {
+    pub fn is_allowed(&self, key: worker::Key) -> bool {
         self.tickets.contains_key(&key)
     }
 
     /// Whether a worker is known not to be among those that may run the step.
-    pub fn is_bad(&self, key: worker::Key) -> bool {
-        self.asked.contains(&key) && !self.tickets.contains_key(&key)
+    pub fn is_refused(&self, key: worker::Key) -> bool {
+        self.queried.contains(&key) && !self.tickets.contains_key(&key)
     }
 }
 
@@ -107,52 +107,52 @@
         if most == 0 || !self.queues.values().any(|queue| queue.advice.is_some()) {
             return Vec::new();
         }
-        let mut turns = self.turns(now);
-        turns.extend(self.sought());
-        turns.extend(self.coming());
+        let mut step_keys = self.ranked_steps(now);
+        step_keys.extend(self.steps_to_evacuate());
+        step_keys.extend(self.upcoming_steps());
         let mut questions = Vec::new();
-        for turn in turns {
+        for step_key in step_keys {
             if questions.len() >= most {
                 break;
             }
-            questions.extend(self.question(now, turn));
+            questions.extend(self.advice_query(now, step_key));
         }
         questions
     }
 
     /// Steps whose lasting tasks are to leave their worker.
-    fn sought(&self) -> Vec<Turn> {
-        self.steps_where(|known, _| known.is_wanted)
+    fn steps_to_evacuate(&self) -> Vec<StepKey> {
+        self.steps_where(|known, _| known.is_wanted_early)
     }
 
     /// Steps whose turn comes once what runs has ended: asked ahead, their tasks
     /// don't wait for the answer.
-    fn coming(&self) -> Vec<Turn> {
-        self.steps_where(|known, is_next| known.asked.is_empty() && is_next)
+    fn upcoming_steps(&self) -> Vec<StepKey> {
+        self.steps_where(|known, is_next| known.queried.is_empty() && is_next)
     }
 
-    fn steps_where(&self, is_meant: impl Fn(&Known, bool) -> bool) -> Vec<Turn> {
-        let mut turns = Vec::new();
+    fn steps_where(&self, is_meant: impl Fn(&StepAdvice, bool) -> bool) -> Vec<StepKey> {
+        let mut step_keys = Vec::new();
         for (job, entry) in self.jobs.iter().filter(|(_, entry)| !entry.state.is_final()) {
             for (occurrence, row) in &entry.occurrences {
                 for (step, state) in row.steps.iter().enumerate() {
                     let is_next = entry.steps.get(step).is_some_and(|step| row.is_next(step));
                     if is_meant(&state.advice, is_next) {
-                        turns.push(Turn { job, occurrence: *occurrence, step });
+                        step_keys.push(StepKey { job, occurrence: *occurrence, step });
                     }
                 }
             }
         }
-        turns
+        step_keys
     }
 
-    fn question(&mut self, now: Time, turn: Turn) -> Option<Query> {
-        let workers = self.worth_asking(now, turn)?;
-        let entry = self.jobs.get_mut(turn.job)?;
-        let task = name(entry.id, turn.occurrence, turn.step, 0);
+    fn advice_query(&mut self, now: Time, step_key: StepKey) -> Option<Query> {
+        let workers = self.workers_to_query(now, step_key)?;
+        let entry = self.jobs.get_mut(step_key.job)?;
+        let task = name(entry.id, step_key.occurrence, step_key.step, 0);
         let known = entry.advice_mut(task)?;
-        known.is_asking = true;
-        known.is_wanted = false;
+        known.is_query_pending = true;
+        known.is_wanted_early = false;
         let why = format!("about {} workers", workers.len());
         self.note("advice asked", Some(task), None, why);
         let id = |key: worker::Key| Some((key, self.workers.get(key)?.id.clone()));
@@ -164,34 +164,35 @@
     ///
     /// Nothing is asked while a worker that may run the step has room: the next
     /// plan uses it. A gang needs several, so that one is not enough.
-    fn worth_asking(&self, now: Time, turn: Turn) -> Option<Vec<worker::Key>> {
-        let entry = self.jobs.get(turn.job)?;
+    fn workers_to_query(&self, now: Time, step_key: StepKey) -> Option<Vec<worker::Key>> {
+        let entry = self.jobs.get(step_key.job)?;
         self.queue(&entry.queue).advice?;
-        let step = entry.steps.get(turn.step)?;
-        let known = &entry.occurrences.get(&turn.occurrence)?.steps.get(turn.step)?.advice;
-        if known.is_asking {
+        let step = entry.steps.get(step_key.step)?;
+        let known = &entry.occurrences.get(&step_key.occurrence)?.steps.get(step_key.step)?.advice;
+        if known.is_query_pending {
             return None;
         }
-        let is_first = known.asked.is_empty();
+        let is_first = known.queried.is_empty();
         let room = step.room();
-        let task = name(entry.id, turn.occurrence, turn.step, 0);
+        let task = name(entry.id, step_key.occurrence, step_key.step, 0);
         let has_room = |worker: &Worker| {
             worker.room.fits(&worker.occupied(|kept| kept.is_sibling(&task)), &room)
         };
-        let fit = || self.workers.iter().filter(|(_, worker)| suits(worker, now, step));
-        let is_served = fit().any(|(key, worker)| known.holds(now, key) && has_room(worker));
+        let fit = || self.workers.iter().filter(|(_, worker)| is_suitable(worker, now, step));
+        let is_served =
+            fit().any(|(key, worker)| known.has_valid_ticket(now, key) && has_room(worker));
         if is_served && !step.gang {
             return None;
         }
         let is_of_use = |key: worker::Key, worker: &Worker| {
-            known.is_open(now, key) && (is_first || has_room(worker))
+            known.is_worth_querying(now, key) && (is_first || has_room(worker))
         };
         let mut keys: Vec<(Reverse<u64>, worker::Key)> = fit()
             .filter(|(key, worker)| is_of_use(*key, worker))
-            .map(|(key, worker)| (Reverse(free(worker)), key))
+            .map(|(key, worker)| (Reverse(free_cpu(worker)), key))
             .collect();
         keys.sort();
-        keys.truncate(WORKERS);
+        keys.truncate(MAX_WORKERS);
         (!keys.is_empty()).then(|| keys.into_iter().map(|(_, key)| key).collect())
     }
 
@@ -202,10 +203,10 @@
         else {
             return;
         };
-        known.is_asking = false;
+        known.is_query_pending = false;
         let Advice::Received { allowed, ttl } = advice else { return };
         for (key, id) in &question.workers {
-            known.asked.insert(*key);
+            known.queried.insert(*key);
             let ticket = allowed.iter().find(|(allowed, _)| allowed == id);
             if let Some((_, text)) = ticket {
                 let ticket = Ticket { text: Rc::from(text.as_str()), until: now + *ttl };
@@ -217,10 +218,15 @@
     }
 
     /// Whether a worker may be given a task, as far as advice goes.
-    pub(super) fn is_advised(&self, now: Time, task: task::Name, key: worker::Key) -> bool {
+    pub(super) fn is_allowed_by_advice(
+        &self,
+        now: Time,
+        task: task::Name,
+        key: worker::Key,
+    ) -> bool {
         let Some(entry) = self.entry(task.job) else { return false };
         let is_free = self.queues.get(&entry.queue).is_none_or(|queue| queue.advice.is_none());
-        is_free || entry.advice(task).is_some_and(|known| known.holds(now, key))
+        is_free || entry.advice(task).is_some_and(|known| known.has_valid_ticket(now, key))
     }
 
     /// The ticket that a start there carries.
@@ -230,43 +236,43 @@
     }
 
     /// A worker refused a ticket: it is asked for anew.
-    pub(super) fn drop_ticket(&mut self, task: task::Name, key: worker::Key) {
+    pub(super) fn discard_ticket(&mut self, task: task::Name, key: worker::Key) {
         if let Some(known) = self.entry_mut(task.job).and_then(|entry| entry.advice_mut(task)) {
             known.tickets.remove(&key);
-            known.asked.remove(&key);
+            known.queried.remove(&key);
         }
     }
 
     /// Notes that a worker is sought for a task that still runs elsewhere.
-    pub(super) fn seek_advice(&mut self, task: task::Name) {
+    pub(super) fn want_advice(&mut self, task: task::Name) {
         if let Some(known) = self.entry_mut(task.job).and_then(|entry| entry.advice_mut(task)) {
-            known.is_wanted = true;
+            known.is_wanted_early = true;
         }
     }
 }
 
 /// Whether a worker may carry a task of a step once it has room.
-pub(super) fn suits(worker: &Worker, now: Time, step: &Step) -> bool {
-    worker.is_usable(now) && could(worker, step)
+pub(super) fn is_suitable(worker: &Worker, now: Time, step: &Step) -> bool {
+    worker.is_usable(now) && meets_requirements(worker, step)
 }
 
 /// Whether a worker has the size and the label that a task of a step needs.
-pub(super) fn could(worker: &Worker, step: &Step) -> bool {
+pub(super) fn meets_requirements(worker: &Worker, step: &Step) -> bool {
     let is_large_enough = worker.room.fits(&Room::default(), &step.room());
     is_large_enough && step.label.as_ref().is_none_or(|label| worker.has_label(label))
 }
 
-fn free(worker: &Worker) -> u64 {
+fn free_cpu(worker: &Worker) -> u64 {
     worker.room.cpu.saturating_sub(worker.used.cpu)
 }
 
 impl super::entry::Entry {
-    pub(super) fn advice(&self, task: task::Name) -> Option<&Known> {
+    pub(super) fn advice(&self, task: task::Name) -> Option<&StepAdvice> {
         let row = self.occurrences.get(&task.occurrence)?;
         row.steps.get(task.step as usize).map(|state| &state.advice)
     }
 
-    fn advice_mut(&mut self, task: task::Name) -> Option<&mut Known> {
+    fn advice_mut(&mut self, task: task::Name) -> Option<&mut StepAdvice> {
         let row = self.occurrences.get_mut(&task.occurrence)?;
         row.steps.get_mut(task.step as usize).map(|state| &mut state.advice)
     }
--- a/crates/jobs/src/pool/batch.rs
+++ b/crates/jobs/src/pool/batch.rs
@@ -13,7 +13,7 @@
 /// until then, and a look that waits for ends returns at once as long as one is
 /// listed: a longer pause costs looks (a hundredfold on busy workers, counted in
 /// the worker histogram), a shorter one writes.
-pub(super) const LINGER: Duration = Duration::from_millis(120);
+pub(super) const WRITE_DELAY: Duration = Duration::from_millis(120);
 
 /// A job's row of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
         let due: Vec<JobId> =
             self.dirty.iter().take_while(|(at, _)| *at <= now).map(|(_, id)| *id).collect();
         if due.is_empty() {
-            self.forget_old(now, most, &mut batch);
+            self.delete_old(now, most, &mut batch);
             return batch;
         }
         // Once a write is due, what could wait goes with it for nothing.
@@ -74,10 +74,10 @@
         self.dirty.is_empty()
     }
 
-    fn forget_old(&mut self, now: Time, most: usize, batch: &mut Batch) {
+    fn delete_old(&mut self, now: Time, most: usize, batch: &mut Batch) {
         let remember = self.config.remember;
         let is_old = |ended: Option<Time>| ended.is_some_and(|at| now - at > remember);
-        let old = self.jobs.values().filter(|e| is_old(e.ended) && e.written == e.version);
+        let old = self.jobs.values().filter(|e| is_old(e.ended) && e.written_version == e.version);
         batch.deletions = old.map(|entry| entry.id).take(most / 2).collect();
         // A write for one or two is not worth its price.
         if batch.deletions.len() < most / 4 {
@@ -88,7 +88,7 @@
     /// Takes in that a batch was written.
     pub fn confirm_batch(&mut self, batch: &Batch) {
         for row in &batch.updates {
-            self.row_written(row);
+            self.confirm_update(row);
         }
         for id in &batch.deletions {
             if let Some(key) = self.by_job.remove(id) {
@@ -97,14 +97,14 @@
         }
         let keys: Vec<worker::Key> = self.workers.keys().collect();
         for key in keys {
-            self.advance_seen(key);
+            self.advance_ack(key);
         }
     }
 
-    fn row_written(&mut self, row: &Update) {
+    fn confirm_update(&mut self, row: &Update) {
         let Some(entry) = self.entry_mut(row.id) else { return };
-        entry.written = entry.written.max(row.version);
-        if entry.written == entry.version {
+        entry.written_version = entry.written_version.max(row.version);
+        if entry.written_version == entry.version {
             self.dirty.retain(|(_, id)| *id != row.id);
         }
     }
--- a/crates/jobs/src/pool/crash.rs
+++ b/crates/jobs/src/pool/crash.rs
@@ -11,7 +11,7 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::entry::{Phase, Place};
+use super::entry::{Phase, Placement};
 use crate::record::State;
 use crate::task;
 use crate::worker;
@@ -60,7 +60,7 @@
                 self.fail_suspect(now, name);
             } else {
                 // Written at once, so that a successor knows of the crash.
-                self.touch(now, name.job, true);
+                self.mark_dirty(now, name.job, true);
             }
         }
     }
@@ -97,11 +97,11 @@
         let Some(worker) = self.workers.get(key) else { return Vec::new() };
         let heard = worker.last_heard();
         let mut runs = Vec::new();
-        for name in worker.hosted.keys() {
+        for name in worker.allocations.keys() {
             let Some(entry) = self.entry(name.job).filter(|entry| !entry.state.is_final()) else {
                 continue;
             };
-            let place = entry.place(*name).filter(|place| place.worker == key);
+            let place = entry.placement(*name).filter(|place| place.worker == key);
             if let Some(place) = place.filter(|place| place.running_for(heard) < age) {
                 runs.push((self.crash_counted_task(*name), place.run));
             }
@@ -141,7 +141,7 @@
         }
         self.suspects.insert(name, Suspect { worker: key, run, is_starting: true });
         self.set_starting_run(name, Some(run));
-        self.touch(now, name.job, true);
+        self.mark_dirty(now, name.job, true);
     }
 
     /// Removes a counted crash whose run was found on its worker, or ended there.
@@ -171,7 +171,7 @@
             }
             if suspect.is_starting {
                 self.set_starting_run(name, None);
-                self.touch(now, name.job, false);
+                self.mark_dirty(now, name.job, false);
             }
             match age {
                 Some(age) if age < MAX_SUSPECT_AGE => {
@@ -189,7 +189,7 @@
     /// How long a suspect had been running when its worker last answered; `None` if it is
     /// no longer on that worker.
     fn suspect_age(&self, name: task::Name, suspect: &Suspect) -> Option<Duration> {
-        let place = self.entry(name.job)?.place(name)?;
+        let place = self.entry(name.job)?.placement(name)?;
         let heard = self.workers.get(suspect.worker)?.last_heard();
         let is_same_run = place.worker == suspect.worker && place.run == suspect.run;
         is_same_run.then(|| place.running_for(heard))
@@ -199,7 +199,7 @@
         let counted = self.crash_counted_task(name);
         if let Some(task) = self.entry_mut(name.job).and_then(|entry| entry.task_mut(counted)) {
             task.crashed.clear();
-            self.touch(now, name.job, false);
+            self.mark_dirty(now, name.job, false);
         }
     }
 
@@ -230,7 +230,7 @@
     }
 }
 
-impl Place {
+impl Placement {
     /// How long the run had been running when its worker last answered; zero if it isn't
     /// known to be running.
     fn running_for(&self, last_heard: Option<Time>) -> Duration {
--- a/crates/jobs/src/pool/departed.rs
+++ b/crates/jobs/src/pool/departed.rs
@@ -8,11 +8,11 @@
 use crate::worker::Registration;
 
 /// Lives that are remembered.
-const MOST: usize = 512;
+const MAX_INSTANCES: usize = 512;
 /// How long after its end a life's entry may still change: a heartbeat of before
 /// may be told late. A worker writes one each second and a half, so that one that
 /// lives is believed again within some five seconds.
-const LATE: Duration = Duration::from_millis(3_000);
+const LATE_UPDATE: Duration = Duration::from_millis(3_000);
 
 /// Lives that are over, oldest first.
 ///
@@ -26,47 +26,47 @@
 /// lives. One whose entry changes later than any heartbeat of before is believed
 /// again: if it is over all the same, a look in vain is all that this costs.
 #[derive(Debug, Default)]
-pub(super) struct Over {
-    lives: VecDeque<Life>,
+pub(super) struct EndedInstances {
+    instances: VecDeque<EndedInstance>,
 }
 
 #[derive(Debug)]
-struct Life {
+struct EndedInstance {
     id: String,
     since: Time,
     /// The newest entry of it that was told within [`LATE`].
     revision: u64,
 }
 
-impl Over {
+impl EndedInstances {
     /// Takes a life to be over.
-    pub fn end(&mut self, now: Time, id: String) {
-        self.lives.push_back(Life { id, since: now, revision: 0 });
-        if self.lives.len() > MOST {
-            self.lives.pop_front();
+    pub fn add(&mut self, now: Time, id: String) {
+        self.instances.push_back(EndedInstance { id, since: now, revision: 0 });
+        if self.instances.len() > MAX_INSTANCES {
+            self.instances.pop_front();
         }
     }
 
     /// Whether an entry is of a life that is over, as far as that is known.
-    pub fn holds(&mut self, now: Time, entry: &Registration) -> bool {
-        let Some(at) = self.lives.iter().position(|life| life.id == entry.id) else {
+    pub fn is_ended(&mut self, now: Time, entry: &Registration) -> bool {
+        let Some(at) = self.instances.iter().position(|instance| instance.id == entry.id) else {
             return false;
         };
-        let life = &mut self.lives[at];
-        if now - life.since < LATE {
-            life.revision = life.revision.max(entry.revision);
+        let instance = &mut self.instances[at];
+        if now - instance.since < LATE_UPDATE {
+            instance.revision = instance.revision.max(entry.revision);
             return true;
         }
-        if entry.revision <= life.revision {
+        if entry.revision <= instance.revision {
             return true;
         }
-        if life.revision == 0 {
+        if instance.revision == 0 {
             // The first that is told of it since: what it may have been before
             // isn't known, so the next change counts.
-            life.revision = entry.revision;
+            instance.revision = entry.revision;
             return true;
         }
-        self.lives.remove(at);
+        self.instances.remove(at);
         false
     }
 }
--- a/crates/jobs/src/pool/explain.rs
+++ b/crates/jobs/src/pool/explain.rs
@@ -4,8 +4,8 @@
 use serde::Serialize;
 
 use super::Pool;
-use super::advice::suits;
-use super::entry::{At, Entry, Occurrence, StepState, name};
+use super::advice::is_suitable;
+use super::entry::{Entry, Occurrence, StepState, TaskState, name};
 use crate::feature::Feature;
 use crate::id::JobId;
 use crate::job::{Room, Step};
@@ -54,12 +54,18 @@
         let entry = self.entry(id)?;
         let mut steps = Vec::new();
         for (occurrence, row) in &entry.occurrences {
-            for (step, state) in row.steps.iter().enumerate().filter(|(_, state)| state.left > 0) {
+            for (step, state) in
+                row.steps.iter().enumerate().filter(|(_, state)| state.unfinished > 0)
+            {
                 steps.push(self.part(now, entry, (*occurrence, row), (step, state)));
             }
         }
         let is_over = entry.state.is_final();
-        let to_come = if is_over { 0 } else { entry.times.saturating_sub(entry.begun) };
+        let to_come = if is_over {
+            0
+        } else {
+            entry.occurrence_count.saturating_sub(entry.begun_occurrences)
+        };
         Some(Explained {
             queue: entry.queue.clone(),
             priority: self.queue(&entry.queue).priority,
@@ -76,7 +82,8 @@
         (occurrence, row): (u32, &Occurrence),
         (step, state): (usize, &StepState),
     ) -> Part {
-        let placed = state.tasks.iter().filter(|task| matches!(task.at, At::On(_))).count();
+        let placed =
+            state.tasks.iter().filter(|task| matches!(task.state, TaskState::Placed(_))).count();
         let why = if state.waiting == 0 {
             String::new()
         } else {
@@ -88,8 +95,8 @@
             step: task.step,
             waiting: state.waiting,
             placed: u32::try_from(placed).unwrap_or(u32::MAX),
-            left: state.left,
-            in_time_for_ms: millis(entry.due(row) - now),
+            left: state.unfinished,
+            in_time_for_ms: millis(entry.deadline(row) - now),
             why,
         }
     }
@@ -111,11 +118,11 @@
                 .to_owned();
         }
         let fit: Vec<&Worker> =
-            self.workers.values().filter(|worker| suits(worker, now, step)).collect();
+            self.workers.values().filter(|worker| is_suitable(worker, now, step)).collect();
         if fit.is_empty() {
             return self.why_none_fits(now, step);
         }
-        if row.steps.get(index).is_some_and(|state| state.advice.is_asking()) {
+        if row.steps.get(index).is_some_and(|state| state.advice.is_query_pending()) {
             return "advice on which workers may run it was asked and not told yet".to_owned();
         }
         let task = name(entry.id, occurrence, index, 0);
@@ -144,12 +151,12 @@
     /// What kept room has to do with a step's waiting.
     fn why_kept(&self, task: task::Name, fit: &[&Worker]) -> String {
         let own: Vec<&str> = self
-            .kept
+            .reservations
             .iter()
             .filter(|(kept, _)| kept.is_sibling(&task))
             .filter_map(|(_, key)| Some(self.workers.get(*key)?.id.as_str()))
             .collect();
-        let others = fit.iter().filter(|w| w.kept.keys().any(|kept| !kept.is_sibling(&task)));
+        let others = fit.iter().filter(|w| w.reserved.keys().any(|kept| !kept.is_sibling(&task)));
         match (own.is_empty(), others.count()) {
             (false, _) => format!("; room is kept for it on {}", own.join(", ")),
             (true, 0) => String::new(),
--- a/crates/jobs/src/pool/gang.rs
+++ b/crates/jobs/src/pool/gang.rs
@@ -5,9 +5,9 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::entry::{At, name};
+use super::entry::{TaskState, name};
 use super::order::Order;
-use super::ranking::Turn;
+use super::ranking::StepKey;
 use crate::job::Step;
 use crate::task;
 use crate::worker;
@@ -17,16 +17,19 @@
     pub(super) fn place_gang(
         &mut self,
         now: Time,
-        turn: Turn,
+        step_key: StepKey,
         step: &Step,
         orders: &mut Vec<Order>,
     ) {
-        let Some(entry) = self.jobs.get(turn.job) else { return };
+        let Some(entry) = self.jobs.get(step_key.job) else { return };
         let id = entry.id;
-        let names: Vec<task::Name> =
-            (0..step.count as usize).map(|i| name(id, turn.occurrence, turn.step, i)).collect();
+        let names: Vec<task::Name> = (0..step.count as usize)
+            .map(|i| name(id, step_key.occurrence, step_key.step, i))
+            .collect();
         let is_ready = |name: &task::Name| {
-            entry.task(*name).is_some_and(|t| matches!(t.at, At::Waiting) && now >= t.not_before)
+            entry
+                .task(*name)
+                .is_some_and(|t| matches!(t.state, TaskState::Waiting) && now >= t.not_before)
         };
         if !names.iter().all(is_ready) {
             return;
@@ -35,15 +38,15 @@
             return;
         }
         let racks = if step.same_rack { self.racks() } else { Vec::new() };
-        let may_spread = !step.same_rack || !self.is_patient(now, names[0], step);
+        let may_spread = !step.same_rack || !self.may_wait_for_rack(now, names[0], step);
         let seats = racks
             .iter()
-            .find_map(|rack| self.seat_gang(now, &names, step, Some(rack)))
-            .or_else(|| self.seat_gang(now, &names, step, None).filter(|_| may_spread));
+            .find_map(|rack| self.find_gang_workers(now, &names, step, Some(rack)))
+            .or_else(|| self.find_gang_workers(now, &names, step, None).filter(|_| may_spread));
         let Some(seats) = seats else { return };
         let run = self.next_run();
         // All members go on from the same progress.
-        let saved = entry_saved(self, &names);
+        let saved = saved_by_gang(self, &names);
         for (name, key) in names.iter().zip(seats) {
             if let Some(task) = self.entry_mut(id).and_then(|entry| entry.task_mut(*name)) {
                 task.saved = saved.clone();
@@ -61,7 +64,7 @@
     }
 
     /// Places for all of a gang, found by taking their room on trial.
-    fn seat_gang(
+    fn find_gang_workers(
         &mut self,
         now: Time,
         names: &[task::Name],
@@ -72,7 +75,7 @@
         for name in names {
             let Some(key) = self.choose(now, *name, step, rack) else { break };
             if let Some(worker) = self.workers.get_mut(key) {
-                worker.host(*name, 0, step.room());
+                worker.allocate(*name, 0, step.room());
             }
             seats.push(key);
         }
@@ -85,7 +88,7 @@
     }
 }
 
-fn entry_saved(pool: &Pool, names: &[task::Name]) -> Rc<str> {
+fn saved_by_gang(pool: &Pool, names: &[task::Name]) -> Rc<str> {
     let mut saved = names.iter().filter_map(|name| Some(&pool.entry(name.job)?.task(*name)?.saved));
     saved.rfind(|saved| !saved.is_empty()).cloned().unwrap_or_default()
 }
--- a/crates/jobs/src/pool/jobs.rs
+++ b/crates/jobs/src/pool/jobs.rs
@@ -4,7 +4,7 @@
 
 use corianderfork_model::Time;
 
-use super::entry::{At, Phase, new_entry};
+use super::entry::{Phase, TaskState, new_entry};
 use super::{JobKey, Pool};
 use crate::id::JobId;
 use crate::job::{Job, Step, chain_ms};
@@ -36,10 +36,10 @@
         let chain = chain_ms(&record.job.steps, |_, step| self.predict(&record.queue, step));
         entry.accepted = Time::from_millis(now.as_millis().saturating_sub(worker::millis(age)));
         let chain = Duration::from_millis(chain).mul_f64(queue.stretch.clamp(0.0, 100.0));
-        entry.allowed = chain + queue.slack;
-        entry.begun_at = now;
+        entry.time_allowed = chain + queue.slack;
+        entry.known_since = now;
         if entry.schedule.is_none() {
-            entry.begin_due(now, 0);
+            entry.begin_due_occurrences(now, 0);
         }
         if let Some(progress) = progress {
             entry.restore(progress);
@@ -56,7 +56,7 @@
         let key = self.jobs.insert(entry);
         self.by_job.insert(id, key);
         if !is_final {
-            self.check_finished(now, id, key);
+            self.complete_if_done(now, id, key);
         }
         self.adopt_orphans(now, id);
     }
@@ -95,12 +95,12 @@
     /// assert!(pool.may_lack_jobs(asked + Duration::from_millis(1)));
     /// ```
     pub fn set_jobs_known_until(&mut self, at: Time) {
-        self.known = self.known.max(at);
+        self.jobs_known_until = self.jobs_known_until.max(at);
     }
 
     /// Whether a job that was accepted before `at` may not have been told yet.
     pub fn may_lack_jobs(&self, at: Time) -> bool {
-        self.known < at
+        self.jobs_known_until < at
     }
 
     /// Takes in that a job ended under an owner before.
@@ -117,10 +117,13 @@
     }
 
     /// A job whose last end was written, but not that it is completed.
-    fn check_finished(&mut self, now: Time, id: JobId, key: JobKey) {
+    fn complete_if_done(&mut self, now: Time, id: JobId, key: JobKey) {
         let Some(entry) = self.jobs.get(key) else { return };
-        let is_done = entry.occurrences.values().all(|o| o.steps.iter().all(|s| s.left == 0));
-        if entry.begun == entry.times && is_done && entry.times > 0 {
+        let is_done = entry.occurrences.values().all(|o| o.steps.iter().all(|s| s.unfinished == 0));
+        if entry.begun_occurrences == entry.occurrence_count
+            && is_done
+            && entry.occurrence_count > 0
+        {
             self.end_job(now, id, State::Completed);
         }
     }
@@ -136,7 +139,7 @@
 
     /// Whether all that is known of a job is written.
     pub fn is_written(&self, id: JobId) -> bool {
-        self.entry(id).is_none_or(|entry| entry.written >= entry.version)
+        self.entry(id).is_none_or(|entry| entry.written_version >= entry.version)
     }
 
     pub(super) fn end_job(&mut self, now: Time, id: JobId, state: State) {
@@ -144,43 +147,43 @@
         entry.state = state;
         entry.ended = Some(now);
         let why = format!("{state:?}");
-        self.touch(now, id, true);
+        self.mark_dirty(now, id, true);
         let task = task::Name { job: id, occurrence: 0, step: 0, index: 0 };
         self.note("job ended", Some(task), None, why);
-        self.stop_all(now, id);
+        self.stop_runs(now, id);
     }
 
     /// Asks for the stop of all that runs of a job.
-    fn stop_all(&mut self, now: Time, id: JobId) {
+    fn stop_runs(&mut self, now: Time, id: JobId) {
         let Some(entry) = self.entry(id) else { return };
-        for name in entry.placed() {
-            self.ask_stop(now, name);
+        for name in entry.placed_tasks() {
+            self.request_stop(now, name);
         }
     }
 
-    pub(super) fn ask_stop(&mut self, now: Time, name: task::Name) {
+    pub(super) fn request_stop(&mut self, now: Time, name: task::Name) {
         let Some(task) = self.entry_mut(name.job).and_then(|entry| entry.task_mut(name)) else {
             return;
         };
-        if let At::On(place) = &mut task.at
+        if let TaskState::Placed(place) = &mut task.state
             && !matches!(place.phase, Phase::Stopping { .. })
         {
-            place.phase = Phase::Stopping { again: now, confirmed: None };
+            place.phase = Phase::Stopping { retry_at: now, confirmed: None };
         }
     }
 
     /// Notes that a job has something to write: at once for what callers wait
     /// for, else with what comes within [`super::batch::LINGER`].
-    pub(super) fn touch(&mut self, now: Time, id: JobId, urgent: bool) -> u64 {
+    pub(super) fn mark_dirty(&mut self, now: Time, id: JobId, urgent: bool) -> u64 {
         let Some(entry) = self.entry_mut(id) else { return 0 };
-        let is_clean = entry.version == entry.written;
+        let is_clean = entry.version == entry.written_version;
         entry.version += 1;
         let version = entry.version;
         if urgent {
             self.dirty.retain(|(_, dirty)| *dirty != id);
             self.dirty.insert((Time::ZERO, id));
         } else if is_clean || !self.dirty.iter().any(|(_, dirty)| *dirty == id) {
-            self.dirty.insert((now + super::batch::LINGER, id));
+            self.dirty.insert((now + super::batch::WRITE_DELAY, id));
         }
         version
     }
@@ -188,7 +191,7 @@
     /// Puts a task back that has no run any more.
     pub(super) fn requeue(&mut self, name: task::Name, not_before: Time) {
         let Some(entry) = self.entry_mut(name.job) else { return };
-        entry.put(name, At::Waiting);
+        entry.set_task_state(name, TaskState::Waiting);
         if let Some(task) = entry.task_mut(name) {
             task.not_before = not_before;
         }
@@ -204,7 +207,7 @@
             worker.orphans = others;
             let mine: Vec<task::Exit> = mine;
             for ended in mine {
-                self.take_end(now, key, &ended);
+                self.handle_exit(now, key, &ended);
             }
         }
     }
--- a/crates/jobs/src/pool/load.rs
+++ b/crates/jobs/src/pool/load.rs
@@ -14,11 +14,11 @@
 
 /// The shortest time within which what waits is to be done: a worker takes longer
 /// than this to come, and what has to begin sooner can't be helped by it.
-const SOONEST: Duration = Duration::from_millis(1_000);
+const MIN_HORIZON: Duration = Duration::from_millis(1_000);
 /// Within how long work is to be done that will be late whatever is done.
-const CATCH_UP: Duration = Duration::from_millis(3_000);
+const LATE_HORIZON: Duration = Duration::from_millis(3_000);
 /// A second: work over it is room.
-const ONCE: Duration = Duration::from_secs(1);
+const ONE_SECOND: Duration = Duration::from_secs(1);
 
 /// How busy a pool is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,59 +60,62 @@
         let mut load = Load::default();
         for worker in self.workers.values() {
             load.used.add(&worker.used);
-            if worker.is_able() && !worker.is_vacating(now) {
+            if worker.is_healthy() && !worker.is_vacating(now) {
                 load.workers += 1;
-                load.rooted += u32::from(self.is_rooted(worker));
+                load.rooted += u32::from(self.hosts_long_running(worker));
                 load.room.add(&worker.room);
             }
-            let is_surplus = worker.is_able() && worker.is_vacating(now) && worker.is_surplus;
+            let is_surplus = worker.is_healthy() && worker.is_vacating(now) && worker.is_surplus;
             load.surplus += u32::from(is_surplus);
         }
-        let (mut stock, mut widest) = (Stock::default(), Work::default());
+        let (mut workload, mut largest) = (Workload::default(), Work::default());
         for entry in self.jobs.values().filter(|entry| !entry.state.is_final()) {
             entry.add_waiting(&mut load.waiting);
-            let (barred, refused) = self.barred(now, entry);
-            load.unfit += entry.unfit(now) + barred;
+            let (unrunnable, refused) = self.unrunnable(now, entry);
+            load.unfit += entry.unplaced_tasks(now) + unrunnable;
             load.refused += refused;
             if entry.long_running {
                 load.lasting.add(&entry.room_left());
                 continue;
             }
             for row in entry.occurrences.values() {
-                self.add_stock(now, entry, row, &mut stock);
-                widest = widest.max(&entry.widest_gang(row));
+                self.add_workload(now, entry, row, &mut workload);
+                largest = largest.max(&entry.largest_gang(row));
             }
         }
         let flow = self.flow.rate(now);
         load.noise = self.flow.noise(now).to_room();
-        load.needed = stock.needed(&flow).max(&widest).to_room();
+        load.needed = workload.needed(&flow).max(&largest).to_room();
         load
     }
 
     /// Adds what runs and waits of an occurrence.
-    fn add_stock(&self, now: Time, entry: &Entry, row: &Occurrence, stock: &mut Stock) {
+    fn add_workload(&self, now: Time, entry: &Entry, row: &Occurrence, workload: &mut Workload) {
         let predict = |step: &Step| Duration::from_millis(self.predict(&entry.queue, step));
         let takes: Vec<Duration> = entry.steps.iter().map(predict).collect();
         let left = chain_ms(&entry.steps, |index, _| {
             if row.is_open(index) { worker::millis(takes[index]) } else { 0 }
         });
         let end = now + Duration::from_millis(left);
-        let within =
-            if end > entry.due(row) { CATCH_UP } else { (entry.due(row) - end).max(SOONEST) };
+        let within = if end > entry.deadline(row) {
+            LATE_HORIZON
+        } else {
+            (entry.deadline(row) - end).max(MIN_HORIZON)
+        };
         for (index, (step, state)) in entry.steps.iter().zip(&row.steps).enumerate() {
             if !row.is_ready(step) {
                 continue;
             }
             let room = step.room();
-            stock.room.add(&Work::of(&room.times(state.left), ONCE));
+            workload.room.add(&Work::of(&room.times(state.unfinished), ONE_SECOND));
             let waiting = Work::of(&room.times(state.waiting), takes[index]);
-            stock.backlog.add(&waiting.per(within));
+            workload.backlog.add(&waiting.per(within));
         }
     }
 
     /// Whether a worker is among those that [`Pool::load`] counts.
     pub fn is_counted(&self, id: &str) -> bool {
-        self.worker(id).is_some_and(|(_, worker)| worker.is_able())
+        self.worker(id).is_some_and(|(_, worker)| worker.is_healthy())
     }
 
     /// Steps of a job that none of the pool's workers may run: all lack a label,
@@ -120,62 +123,64 @@
     /// what lasts there. Another worker may; without one the job would wait for ever.
     /// And how many of them there are
     /// for the last of these reasons alone.
-    fn barred(&self, now: Time, entry: &Entry) -> (u32, u32) {
-        let (mut barred, mut refused) = (0, 0);
+    fn unrunnable(&self, now: Time, entry: &Entry) -> (u32, u32) {
+        let (mut unrunnable, mut refused) = (0, 0);
         let steps = entry.occurrences.values().flat_map(|row| entry.steps.iter().zip(&row.steps));
         for (step, state) in steps {
-            let is_stuck = state.stuck.is_some_and(|since| now - since > evacuate::BLOCKED);
-            if entry.long_running || state.waiting == 0 || !is_stuck {
+            let is_blocked =
+                state.waiting_since.is_some_and(|since| now - since > evacuate::BLOCKED_AFTER);
+            if entry.long_running || state.waiting == 0 || !is_blocked {
                 continue;
             }
-            let could =
-                |worker: &Worker| worker.is_kept_or_surplus(now) && advice::could(worker, step);
+            let could = |worker: &Worker| {
+                worker.is_usable_or_surplus(now) && advice::meets_requirements(worker, step)
+            };
             let may = |(key, worker): (worker::Key, &Worker)| {
-                let has_room = worker.room.fits(&self.lasting_on(worker), &step.room());
-                could(worker) && !state.advice.is_bad(key) && has_room
+                let has_room = worker.room.fits(&self.long_running_room(worker), &step.room());
+                could(worker) && !state.advice.is_refused(key) && has_room
             };
             if !self.workers.iter().any(may) {
-                barred += 1;
+                unrunnable += 1;
                 refused += u32::from(self.workers.values().any(could));
             }
         }
-        (barred, refused)
+        (unrunnable, refused)
     }
 
     /// What lasting tasks take there, and what is kept for some: it doesn't come free
     /// by itself.
-    pub(super) fn lasting_on(&self, worker: &Worker) -> Room {
+    pub(super) fn long_running_room(&self, worker: &Worker) -> Room {
         let is_lasting = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
             step.is_some_and(|step| step.long_running)
         };
         let mut room = Room::default();
-        let hosted = worker.hosted.iter().filter(|(name, _)| is_lasting(name));
-        hosted.for_each(|(_, hosted)| room.add(&hosted.room));
-        worker.kept.values().for_each(|kept| room.add(kept));
+        let allocations = worker.allocations.iter().filter(|(name, _)| is_lasting(name));
+        allocations.for_each(|(_, allocations)| room.add(&allocations.room));
+        worker.reserved.values().for_each(|kept| room.add(kept));
         room
     }
 
     /// Whether lasting tasks run there, or have room kept.
-    pub(crate) fn is_rooted(&self, worker: &Worker) -> bool {
+    pub(crate) fn hosts_long_running(&self, worker: &Worker) -> bool {
         let is_lasting = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
             step.is_some_and(|step| step.long_running)
         };
-        !worker.kept.is_empty() || worker.hosted.keys().any(is_lasting)
+        !worker.reserved.is_empty() || worker.allocations.keys().any(is_lasting)
     }
 }
 
 /// What runs and waits of work that ends by itself.
 #[derive(Default)]
-struct Stock {
+struct Workload {
     /// What all tasks take whose turn has come.
     room: Work,
     /// What is needed for what waits to be done while it is in time.
     backlog: Work,
 }
 
-impl Stock {
+impl Workload {
     /// The room that keeps up with `flow` and clears what waits; but no more than
     /// there are tasks for, unless the flow says that more come.
     fn needed(&self, flow: &Work) -> Work {
@@ -188,7 +193,7 @@
 impl Occurrence {
     /// Whether a step has tasks that aren't done.
     fn is_open(&self, step: usize) -> bool {
-        self.steps.get(step).is_some_and(|state| state.left > 0)
+        self.steps.get(step).is_some_and(|state| state.unfinished > 0)
     }
 }
 
@@ -208,15 +213,15 @@
     fn room_left(&self) -> Room {
         let mut room = Room::default();
         let steps = self.occurrences.values().flat_map(|row| self.steps.iter().zip(&row.steps));
-        steps.for_each(|(step, state)| room.add(&step.room().times(state.left)));
+        steps.for_each(|(step, state)| room.add(&step.room().times(state.unfinished)));
         room
     }
 
     /// What the widest gang takes whose turn has come: it starts as a whole.
-    fn widest_gang(&self, row: &Occurrence) -> Work {
+    fn largest_gang(&self, row: &Occurrence) -> Work {
         let gangs = self.steps.iter().zip(&row.steps).filter(|(step, _)| step.gang);
-        let ready = gangs.filter(|(step, state)| state.left > 0 && row.is_ready(step));
-        let room = |(step, _): (&Step, _)| Work::of(&step.room().times(step.count), ONCE);
+        let ready = gangs.filter(|(step, state)| state.unfinished > 0 && row.is_ready(step));
+        let room = |(step, _): (&Step, _)| Work::of(&step.room().times(step.count), ONE_SECOND);
         ready.map(room).fold(Work::default(), |most, room| most.max(&room))
     }
 }
--- a/crates/jobs/src/pool/order.rs
+++ b/crates/jobs/src/pool/order.rs
@@ -7,17 +7,17 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::entry::{At, Phase};
-use super::exits::AVOID;
+use super::entry::{Phase, TaskState};
+use super::exits::AVOID_TIME;
 use crate::job::Room;
 use crate::task;
 use crate::worker::{self, Worker};
 
 /// When an order without an answer is sent again: an answer takes a few
 /// milliseconds, and a repeated order is harmless.
-const AGAIN: Duration = Duration::from_millis(400);
+const RESEND_DELAY: Duration = Duration::from_millis(400);
 /// The pause after a worker said that it has no room.
-const NO_ROOM: Duration = Duration::from_millis(200);
+const NO_ROOM_DELAY: Duration = Duration::from_millis(200);
 
 /// An order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -87,33 +87,33 @@
     /// Takes in the answer to an order.
     pub fn handle_order_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
         match answer {
-            Answer::Fenced => return self.depose(order.worker),
+            Answer::Fenced => return self.set_deposed(order.worker),
             Answer::Gone => {
                 return self.remove_worker(now, order.worker, "another life of the worker answers");
             }
             Answer::Done(clock) => {
                 if let Some(worker) = self.workers.get_mut(order.worker) {
-                    worker.heard(now, *clock);
+                    worker.update_clock(now, *clock);
                 }
             }
             _ => {}
         }
         match order.action {
-            Action::Start { .. } => self.started(now, order, answer),
-            Action::Stop => self.stopped(now, order, answer),
-            Action::Pace(percent) => self.paced(order, percent, answer),
+            Action::Start { .. } => self.handle_start_answer(now, order, answer),
+            Action::Stop => self.handle_stop_answer(now, order, answer),
+            Action::Pace(percent) => self.handle_pace_answer(order, percent, answer),
         }
     }
 
-    fn started(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
-        let Some(place) = self.current(order) else { return };
+    fn handle_start_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
+        let Some(place) = self.current_placement(order) else { return };
         if !matches!(place.phase, Phase::Starting { .. }) {
             return;
         }
         match answer {
             Answer::Done(_) => {
                 place.phase = Phase::Running { confirmed: now };
-                place.moved = now;
+                place.progressed = now;
                 let Some(entry) = self.entry_mut(order.task.job) else { return };
                 if entry.state == crate::record::State::Queued {
                     entry.state = crate::record::State::Running;
@@ -122,33 +122,35 @@
             // Whether it runs is not known: the same order is sent again, to the
             // same worker, until an answer or a look tells, or its lease ends.
             Answer::Lost | Answer::Late => {
-                place.phase = Phase::Starting { again: now + AGAIN };
-                place.lost = true;
+                place.phase = Phase::Starting { retry_at: now + RESEND_DELAY };
+                place.is_start_unconfirmed = true;
             }
             // The run was there and has ended: the next look lists how. Taken
             // for a start that never ran, a task that is done would run again.
             Answer::Old => place.phase = Phase::Running { confirmed: now },
             // An earlier copy of this start may be carried out yet. The stop of
             // the run bars it; only then may the task go elsewhere.
-            Answer::Full | Answer::Ticket | Answer::Refused | Answer::Unhealthy if place.lost => {
-                place.phase = Phase::Stopping { again: now, confirmed: None };
+            Answer::Full | Answer::Ticket | Answer::Refused | Answer::Unhealthy
+                if place.is_start_unconfirmed =>
+            {
+                place.phase = Phase::Stopping { retry_at: now, confirmed: None };
             }
-            Answer::Full | Answer::Refused => self.unplace(now, order, NO_ROOM),
+            Answer::Full | Answer::Refused => self.undo_start(now, order, NO_ROOM_DELAY),
             Answer::Ticket => {
-                self.drop_ticket(order.task, order.worker);
-                self.unplace(now, order, Duration::ZERO);
+                self.discard_ticket(order.task, order.worker);
+                self.undo_start(now, order, Duration::ZERO);
             }
             _ => {
                 if let Some(worker) = self.workers.get_mut(order.worker) {
-                    worker.avoid_until = now + AVOID / 5;
+                    worker.avoid_until = now + AVOID_TIME / 5;
                 }
-                self.unplace(now, order, Duration::ZERO);
+                self.undo_start(now, order, Duration::ZERO);
             }
         }
     }
 
     /// Takes back a start that was certainly not carried out.
-    fn unplace(&mut self, now: Time, order: &Order, pause: Duration) {
+    fn undo_start(&mut self, now: Time, order: &Order, pause: Duration) {
         if let Some(worker) = self.workers.get_mut(order.worker) {
             worker.release(order.task, order.run);
         }
@@ -157,27 +159,27 @@
         self.note("start refused", Some(order.task), Some(order.worker), why);
     }
 
-    fn stopped(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
-        if let Some(place) = self.current(order)
-            && let Phase::Stopping { again, confirmed } = &mut place.phase
+    fn handle_stop_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
+        if let Some(place) = self.current_placement(order)
+            && let Phase::Stopping { retry_at, confirmed } = &mut place.phase
         {
-            *again = now + AGAIN;
+            *retry_at = now + RESEND_DELAY;
             if matches!(answer, Answer::Done(_)) {
                 confirmed.get_or_insert(now);
             }
         }
     }
 
-    fn paced(&mut self, order: &Order, percent: u32, answer: &Answer<u64>) {
-        if let Some(place) = self.current(order)
+    fn handle_pace_answer(&mut self, order: &Order, percent: u32, answer: &Answer<u64>) {
+        if let Some(place) = self.current_placement(order)
             && matches!(answer, Answer::Done(_))
         {
             place.pace = percent;
         }
     }
 
-    fn current(&mut self, order: &Order) -> Option<&mut super::entry::Place> {
-        let place = self.entry_mut(order.task.job)?.place_mut(order.task)?;
+    fn current_placement(&mut self, order: &Order) -> Option<&mut super::entry::Placement> {
+        let place = self.entry_mut(order.task.job)?.placement_mut(order.task)?;
         (place.run == order.run && place.worker == order.worker).then_some(place)
     }
 
@@ -202,27 +204,29 @@
     }
 
     /// Orders that have to be sent again, and stops that were asked for.
-    pub(super) fn pending_orders(&mut self, now: Time, orders: &mut Vec<Order>) {
+    pub(super) fn resend_orders(&mut self, now: Time, orders: &mut Vec<Order>) {
         let placed: Vec<task::Name> =
-            self.jobs.values().flat_map(super::entry::Entry::placed).collect();
+            self.jobs.values().flat_map(super::entry::Entry::placed_tasks).collect();
         for name in placed {
-            let Some(place) = self.entry(name.job).and_then(|entry| entry.place(name)) else {
+            let Some(place) = self.entry(name.job).and_then(|entry| entry.placement(name)) else {
                 continue;
             };
             let (key, run) = (place.worker, place.run);
             match place.phase {
                 // The room may have shrunk since the start was first sent, and the
                 // worker may not check it.
-                Phase::Starting { again } if now >= again && self.is_over_room(key) => {
-                    self.ask_stop(now, name);
+                Phase::Starting { retry_at } if now >= retry_at && self.is_overcommitted(key) => {
+                    self.request_stop(now, name);
                 }
-                Phase::Starting { again } if now >= again => self.start_again(now, name, orders),
-                Phase::Stopping { again, .. } if now >= again => {
+                Phase::Starting { retry_at } if now >= retry_at => {
+                    self.resend_start(now, name, orders)
+                }
+                Phase::Stopping { retry_at, .. } if now >= retry_at => {
                     if let Some(entry) = self.entry_mut(name.job)
-                        && let Some(place) = entry.place_mut(name)
-                        && let Phase::Stopping { again, .. } = &mut place.phase
+                        && let Some(place) = entry.placement_mut(name)
+                        && let Phase::Stopping { retry_at, .. } = &mut place.phase
                     {
-                        *again = now + AGAIN;
+                        *retry_at = now + RESEND_DELAY;
                     }
                     orders.extend(self.order(key, name, run, Action::Stop));
                 }
@@ -231,23 +235,23 @@
         }
     }
 
-    fn is_over_room(&self, key: worker::Key) -> bool {
+    fn is_overcommitted(&self, key: worker::Key) -> bool {
         let is_over = |worker: &Worker| !worker.room.fits(&worker.used, &Room::default());
         self.workers.get(key).is_some_and(is_over)
     }
 
-    fn start_again(&mut self, now: Time, name: task::Name, orders: &mut Vec<Order>) {
+    fn resend_start(&mut self, now: Time, name: task::Name, orders: &mut Vec<Order>) {
         let Some(entry) = self.entry_mut(name.job) else { return };
         let spec = entry.spec.clone();
         let Some(task) = entry.task_mut(name) else { return };
         let saved = task.saved.clone();
-        let At::On(place) = &mut task.at else { return };
-        place.phase = Phase::Starting { again: now + AGAIN };
+        let TaskState::Placed(place) = &mut task.state else { return };
+        place.phase = Phase::Starting { retry_at: now + RESEND_DELAY };
         let (key, run) = (place.worker, place.run);
         let lease = self.config.lease;
         let Some(worker) = self.workers.get_mut(key) else { return };
         // A worker that doesn't answer gets nothing more; see `next_poll`.
-        if worker.unanswered >= 2 {
+        if worker.unanswered_polls >= 2 {
             return;
         }
         let Some(deadline_ms) = worker.grant(now, lease) else { return };
--- a/crates/jobs/src/pool/pace.rs
+++ b/crates/jobs/src/pool/pace.rs
@@ -12,15 +12,15 @@
 
 /// Time between two changes of a worker's pace: the gauge covers half a second,
 /// and a new pace holds a tenth of a second after the order.
-const STEP: Duration = Duration::from_millis(700);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(700);
 /// How often an order that changes nothing is sent again.
-const AGAIN: Duration = Duration::from_millis(500);
+const RESEND_DELAY: Duration = Duration::from_millis(500);
 /// Above this share of the target, in percent, filling tasks are slowed.
-const SLOW_AT: u64 = 85;
+const SLOW_ABOVE: u64 = 85;
 /// Below this share of the target, in percent, they are sped up again.
-const FAST_AT: u64 = 60;
+const SPEED_UP_BELOW: u64 = 60;
 /// How much faster, in percent of full speed, at each step.
-const FASTER: u32 = 10;
+const SPEED_UP_STEP: u32 = 10;
 
 impl Pool {
     /// Slows filling tasks where a serving task nears its target, and speeds
@@ -36,16 +36,16 @@
         let Some(worker) = self.workers.get(key) else { return };
         let mut fills = Vec::new();
         let mut worst = None;
-        for name in worker.hosted.keys() {
+        for name in worker.allocations.keys() {
             let Some(entry) = self.entry(name.job) else { continue };
-            let (Some(step), Some(place)) = (entry.step(*name), entry.place(*name)) else {
+            let (Some(step), Some(place)) = (entry.step(*name), entry.placement(*name)) else {
                 continue;
             };
             if !matches!(place.phase, Phase::Running { .. }) || place.worker != key {
                 continue;
             }
             if step.backfill {
-                fills.push((*name, place.run, place.pace, place.pace_asked));
+                fills.push((*name, place.run, place.pace, place.pace_sent));
             } else if let Some(share) = (place.gauge * 100).checked_div(step.target_ms) {
                 worst = worst.max(Some(share));
             }
@@ -56,7 +56,7 @@
         let pace = self.next_pace(now, key, worst);
         fills.sort();
         for (name, run, has, asked) in fills {
-            if has != pace && now - asked >= AGAIN {
+            if has != pace && now - asked >= RESEND_DELAY {
                 self.order_pace(now, key, name, run, pace, orders);
             }
         }
@@ -68,18 +68,18 @@
             worker.pace = 100;
             return 100;
         };
-        if now - worker.paced < STEP {
+        if now - worker.pace_changed < CHANGE_INTERVAL {
             return worker.pace;
         }
         let pace = match share {
             share if share > 100 => worker.pace / 4,
-            share if share > SLOW_AT => worker.pace / 2,
-            share if share < FAST_AT => (worker.pace + FASTER).min(100),
+            share if share > SLOW_ABOVE => worker.pace / 2,
+            share if share < SPEED_UP_BELOW => (worker.pace + SPEED_UP_STEP).min(100),
             _ => worker.pace,
         };
         if pace != worker.pace {
             worker.pace = pace;
-            worker.paced = now;
+            worker.pace_changed = now;
         }
         pace
     }
@@ -93,8 +93,8 @@
         pace: u32,
         orders: &mut Vec<Order>,
     ) {
-        if let Some(place) = self.entry_mut(name.job).and_then(|entry| entry.place_mut(name)) {
-            place.pace_asked = now;
+        if let Some(place) = self.entry_mut(name.job).and_then(|entry| entry.placement_mut(name)) {
+            place.pace_sent = now;
         }
         orders.extend(self.order(key, name, run, Action::Pace(pace)));
         self.note("task paced", Some(name), Some(key), format!("to {pace}%"));
--- a/crates/jobs/src/pool/plan.rs
+++ b/crates/jobs/src/pool/plan.rs
@@ -6,44 +6,44 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::entry::{At, Phase, Place, StepState, name};
+use super::entry::{Phase, Placement, StepState, TaskState, name};
 use super::order::{Action, Order};
-use super::ranking::Turn;
+use super::ranking::StepKey;
 use crate::feature::Feature;
 use crate::job::{Room, Step};
 use crate::task;
 use crate::worker;
 
 /// How long an order may be on its way before it is sent again.
-const ANSWER: Duration = Duration::from_millis(1_000);
+const RESEND_DELAY: Duration = Duration::from_millis(1_000);
 /// The least pause before a stray of an unknown job is asked to stop, and the one
 /// between two such orders: the store may be about to tell of its job.
-const STRAY: Duration = Duration::from_millis(1_500);
+const STRAY_DELAY: Duration = Duration::from_millis(1_500);
 
 impl Pool {
     /// Decides what is to be ordered now. `wall_ms` is the time of day, by which
     /// occurrences are due.
     pub fn plan(&mut self, now: Time, wall_ms: u64) -> Vec<Order> {
         let mut orders = Vec::new();
-        self.lapse(now);
+        self.release_lapsed(now);
         self.begin_due(now, wall_ms);
         self.release_ended();
         self.stop_stalled(now);
-        self.review_kept(now);
+        self.review_reservations(now);
         self.review_suspects(now);
         self.evacuate(now);
-        self.pending_orders(now, &mut orders);
+        self.resend_orders(now, &mut orders);
         self.stop_strays(now, &mut orders);
         self.pace(now, &mut orders);
         self.place(now, &mut orders);
-        self.keep_room(now);
+        self.reserve_room(now);
         orders
     }
 
     fn begin_due(&mut self, now: Time, wall_ms: u64) {
         let scheduled = self.jobs.values_mut().filter(|entry| entry.schedule.is_some());
         for entry in scheduled.filter(|entry| !entry.state.is_final()) {
-            entry.begin_due(now, wall_ms);
+            entry.begin_due_occurrences(now, wall_ms);
         }
     }
 
@@ -51,7 +51,7 @@
     fn release_ended(&mut self) {
         let ended = self.jobs.values_mut().filter(|entry| entry.state.is_final());
         for entry in ended.filter(|entry| !entry.occurrences.is_empty()) {
-            if entry.placed().is_empty() {
+            if entry.placed_tasks().is_empty() {
                 entry.occurrences.clear();
                 entry.spec = "".into();
                 entry.steps = [].into();
@@ -61,14 +61,14 @@
 
     fn stop_strays(&mut self, now: Time, orders: &mut Vec<Order>) {
         let mut due = Vec::new();
-        let known = self.known;
+        let known = self.jobs_known_until;
         for (key, worker) in &mut self.workers {
             for (name, stray) in &mut worker.strays {
-                let is_settled = stray.is_sized || known >= stray.since;
-                let is_nobodys = is_settled && now - stray.since >= STRAY;
-                let is_certain = stray.is_over || is_nobodys;
-                if is_certain && stray.asked.is_none_or(|at| now - at >= STRAY) {
-                    stray.asked = Some(now);
+                let is_settled = stray.is_room_known || known >= stray.since;
+                let is_nobodys = is_settled && now - stray.since >= STRAY_DELAY;
+                let is_certain = stray.is_job_over || is_nobodys;
+                if is_certain && stray.stop_sent.is_none_or(|at| now - at >= STRAY_DELAY) {
+                    stray.stop_sent = Some(now);
                     due.push((key, *name, stray.run));
                 }
             }
@@ -80,62 +80,66 @@
     }
 
     fn place(&mut self, now: Time, orders: &mut Vec<Order>) {
-        if !self.is_surveyed() {
+        if !self.is_every_worker_polled() {
             return;
         }
         let mut room = self.largest_room(now);
-        let turns = self.turns(now);
-        self.sought = self.features_of(&turns);
-        for turn in turns {
-            let Some(step) = self.jobs.get(turn.job).and_then(|e| e.steps.get(turn.step)) else {
+        let step_keys = self.ranked_steps(now);
+        self.requested_features = self.features_of(&step_keys);
+        for step_key in step_keys {
+            let Some(step) = self.jobs.get(step_key.job).and_then(|e| e.steps.get(step_key.step))
+            else {
                 continue;
             };
             let is_too_large = room.cpu < step.room().cpu || room.memory_mb < step.room().memory_mb;
             let step = step.clone();
-            self.note_stuck(now, turn);
-            if is_too_large && !self.takes_stranded(now, &step) && !self.keeps_for(turn) {
+            self.mark_waiting(now, step_key);
+            if is_too_large && !self.may_use_stranded(now, &step) && !self.has_reservation(step_key)
+            {
                 continue;
             }
             let before = orders.len();
             if step.gang {
-                self.place_gang(now, turn, &step, orders);
+                self.place_gang(now, step_key, &step, orders);
             } else {
-                self.place_step(now, turn, &step, orders);
+                self.place_step(now, step_key, &step, orders);
             }
             if orders.len() > before {
-                self.note_started(turn);
+                self.clear_waiting(step_key);
                 room = self.largest_room(now);
             }
         }
     }
 
-    fn note_stuck(&mut self, now: Time, turn: Turn) {
-        if let Some(state) = self.step_state(turn) {
-            state.stuck.get_or_insert(now);
+    fn mark_waiting(&mut self, now: Time, step_key: StepKey) {
+        if let Some(state) = self.step_state(step_key) {
+            state.waiting_since.get_or_insert(now);
         }
     }
 
-    fn note_started(&mut self, turn: Turn) {
-        if let Some(state) = self.step_state(turn) {
-            state.stuck = None;
+    fn clear_waiting(&mut self, step_key: StepKey) {
+        if let Some(state) = self.step_state(step_key) {
+            state.waiting_since = None;
         }
     }
 
-    fn step_state(&mut self, turn: Turn) -> Option<&mut StepState> {
-        let row = self.jobs.get_mut(turn.job)?.occurrences.get_mut(&turn.occurrence)?;
-        row.steps.get_mut(turn.step)
+    fn step_state(&mut self, step_key: StepKey) -> Option<&mut StepState> {
+        let row = self.jobs.get_mut(step_key.job)?.occurrences.get_mut(&step_key.occurrence)?;
+        row.steps.get_mut(step_key.step)
     }
 
-    fn features_of(&self, turns: &[Turn]) -> BTreeSet<Feature> {
-        let step = |turn: &Turn| self.jobs.get(turn.job).and_then(|e| e.steps.get(turn.step));
-        turns.iter().filter_map(step).filter_map(Feature::of).collect()
+    fn features_of(&self, step_keys: &[StepKey]) -> BTreeSet<Feature> {
+        let step = |step_key: &StepKey| {
+            self.jobs.get(step_key.job).and_then(|e| e.steps.get(step_key.step))
+        };
+        step_keys.iter().filter_map(step).filter_map(Feature::of).collect()
     }
 
     /// Whether each listed worker was looked at once under this owner's fence,
     /// or could not be. A task started before that could be running on a worker
     /// where the owner before started it just now.
-    pub(super) fn is_surveyed(&self) -> bool {
-        self.workers.values().all(|worker| worker.tried || worker.missing_since.is_some())
+    pub(super) fn is_every_worker_polled(&self) -> bool {
+        self.workers.values().all(|worker| worker.is_polled || worker.missing_since.is_some())
     }
 
     /// The most that any one worker has left: a cheap test before all workers
@@ -152,18 +156,18 @@
     }
 
     /// Whether room is kept for tasks of a step.
-    fn keeps_for(&self, turn: Turn) -> bool {
-        let Some(entry) = self.jobs.get(turn.job) else { return false };
-        let task = name(entry.id, turn.occurrence, turn.step, 0);
-        self.kept.keys().any(|kept| kept.is_sibling(&task))
+    fn has_reservation(&self, step_key: StepKey) -> bool {
+        let Some(entry) = self.jobs.get(step_key.job) else { return false };
+        let task = name(entry.id, step_key.occurrence, step_key.step, 0);
+        self.reservations.keys().any(|kept| kept.is_sibling(&task))
     }
 
-    fn place_step(&mut self, now: Time, turn: Turn, step: &Step, orders: &mut Vec<Order>) {
+    fn place_step(&mut self, now: Time, step_key: StepKey, step: &Step, orders: &mut Vec<Order>) {
         for index in 0..step.count as usize {
-            let Some(entry) = self.jobs.get(turn.job) else { return };
-            let name = name(entry.id, turn.occurrence, turn.step, index);
+            let Some(entry) = self.jobs.get(step_key.job) else { return };
+            let name = name(entry.id, step_key.occurrence, step_key.step, index);
             let Some(task) = entry.task(name) else { return };
-            if !matches!(task.at, At::Waiting) || now < task.not_before {
+            if !matches!(task.state, TaskState::Waiting) || now < task.not_before {
                 continue;
             }
             if self.fail_at_crash_limit(now, name) {
@@ -171,7 +175,7 @@
             }
             let Some(key) = self.choose(now, name, step, None) else {
                 // A later one of the step may have room kept.
-                if self.keeps_for(turn) {
+                if self.has_reservation(step_key) {
                     continue;
                 }
                 return;
@@ -193,15 +197,15 @@
         let lease = self.config.lease;
         let Some(worker) = self.workers.get_mut(key) else { return };
         let Some(deadline_ms) = worker.grant(now, lease) else { return };
-        worker.host(name, run, step.room());
-        self.use_kept(name, key);
+        worker.allocate(name, run, step.room());
+        self.consume_reservation(name, key);
         let Some(worker) = self.workers.get(key) else { return };
         let why = format!("run {run}, {} of {} in use", worker.used.cpu, worker.room.cpu);
         let Some(entry) = self.entry_mut(name.job) else { return };
         let spec = entry.spec.clone();
         let saved = entry.task(name).map(|task| task.saved.clone()).unwrap_or_default();
-        let phase = Phase::Starting { again: now + ANSWER };
-        entry.put(name, At::On(Place::new(key, run, now, phase)));
+        let phase = Phase::Starting { retry_at: now + RESEND_DELAY };
+        entry.set_task_state(name, TaskState::Placed(Placement::new(key, run, now, phase)));
         self.track_suspect(now, name, key, run);
         let ticket = self.ticket(name, key);
         let action = Action::Start { spec, deadline_ms, saved, ticket };
--- a/crates/jobs/src/pool/poll.rs
+++ b/crates/jobs/src/pool/poll.rs
@@ -13,7 +13,7 @@
 
 /// How long a look waits for an end: it brings ends as they come, and a silent
 /// connection is noticed after this and the time of an answer.
-const WAIT: Duration = Duration::from_millis(1_000);
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
 
 /// What to ask a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,9 +54,9 @@
     pub fn next_poll(&mut self, now: Time, key: worker::Key) -> Option<Poll> {
         let lease = self.config.lease;
         let worker = self.workers.get_mut(key)?;
-        let is_known = worker.fenced && worker.unanswered < 2;
+        let is_known = worker.fenced && worker.unanswered_polls < 2;
         let deadline_ms = if is_known { worker.grant(now, lease) } else { None };
-        let wait = if is_known && worker.answers() { WAIT } else { Duration::ZERO };
+        let wait = if is_known && worker.is_responsive() { MAX_WAIT } else { Duration::ZERO };
         Some(Poll {
             worker: key,
             id: worker.id.clone(),
@@ -77,14 +77,14 @@
         answer: &Answer<Report>,
     ) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        worker.tried = true;
+        worker.is_polled = true;
         match answer {
-            Answer::Done(report) => self.take_report(now, sent, key, report),
-            Answer::Fenced => self.depose(key),
+            Answer::Done(report) => self.handle_report(now, sent, key, report),
+            Answer::Fenced => self.set_deposed(key),
             Answer::Gone => self.remove_worker(now, key, "another life of the worker answers"),
             _ => {
-                worker.unanswered += 1;
-                if worker.unanswered == 2 {
+                worker.unanswered_polls += 1;
+                if worker.unanswered_polls == 2 {
                     self.note(
                         "worker silent",
                         None,
@@ -96,22 +96,22 @@
         }
     }
 
-    pub(super) fn depose(&mut self, key: worker::Key) {
+    pub(super) fn set_deposed(&mut self, key: worker::Key) {
         if !self.deposed {
             self.note("deposed", None, Some(key), "the worker saw a higher fence".to_owned());
         }
         self.deposed = true;
     }
 
-    fn take_report(&mut self, now: Time, sent: Time, key: worker::Key, report: &Report) {
+    fn handle_report(&mut self, now: Time, sent: Time, key: worker::Key, report: &Report) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        if worker.unanswered >= 2 {
-            let why = format!("after {} looks without an answer", worker.unanswered);
+        if worker.unanswered_polls >= 2 {
+            let why = format!("after {} looks without an answer", worker.unanswered_polls);
             self.note("worker answers again", None, Some(key), why);
         }
         let Some(worker) = self.workers.get_mut(key) else { return };
-        worker.heard(now, report.clock_ms);
-        worker.unanswered = 0;
+        worker.update_clock(now, report.clock_ms);
+        worker.unanswered_polls = 0;
         if !worker.fenced {
             worker.fenced = true;
             // From here on the worker refuses predecessors: what they granted ends
@@ -120,14 +120,14 @@
             worker.inherited_until = worker.inherited_until.min(until);
         }
         for ended in &report.exits {
-            self.take_end_once(now, key, ended);
+            self.handle_listed_exit(now, key, ended);
         }
         for running in &report.running {
-            self.take_running(now, key, running);
+            self.handle_running(now, key, running);
         }
-        self.drop_absent(now, sent, key, report);
+        self.release_unlisted(now, sent, key, report);
         self.expire_orphans(now, key);
-        self.advance_seen(key);
+        self.advance_ack(key);
     }
 
     /// The workers that are known.
--- a/crates/jobs/src/pool/progress.rs
+++ b/crates/jobs/src/pool/progress.rs
@@ -1,12 +1,12 @@
 //! How far a job is, as it is written and read back.
 
-use super::entry::{At, Entry, Occurrence, name};
+use super::entry::{Entry, Occurrence, TaskState, name};
 use crate::id::JobId;
 use crate::record::Progress;
 use crate::task;
 
 /// Bits of one word of the tasks done.
-const WORD: u32 = 64;
+const WORD_BITS: u32 = 64;
 
 impl Entry {
     pub fn progress(&self) -> Progress {
@@ -19,9 +19,9 @@
         if self.state.is_final() {
             return progress;
         }
-        for occurrence in 0..self.begun {
+        for occurrence in 0..self.begun_occurrences {
             match self.occurrences.get(&occurrence) {
-                Some(row) => row.tell(occurrence, &mut progress),
+                Some(row) => row.add_to(occurrence, &mut progress),
                 None => drop(progress.done.insert(format!("{occurrence}"), Vec::new())),
             }
         }
@@ -60,31 +60,35 @@
     fn restore_done(&mut self, key: &str, bits: &[u64]) {
         let mut parts = key.split('.').map_while(|part| part.parse::<u32>().ok());
         let Some(occurrence) = parts.next() else { return };
-        while self.begun <= occurrence && self.begun < self.times {
+        while self.begun_occurrences <= occurrence && self.begun_occurrences < self.occurrence_count
+        {
             let is_scheduled = self.schedule.is_some();
-            self.begin(if is_scheduled { self.begun_at } else { self.accepted });
+            self.begin_occurrence(if is_scheduled { self.known_since } else { self.accepted });
         }
         let Some(step) = parts.next() else {
             self.occurrences.remove(&occurrence);
-            self.finished += 1;
+            self.finished_occurrences += 1;
             return;
         };
         for (word, value) in bits.iter().enumerate() {
-            for bit in (0..WORD).filter(|bit| value & (1 << bit) != 0) {
-                let index = word * WORD as usize + bit as usize;
-                self.put(name(self.id, occurrence, step as usize, index), At::Done);
+            for bit in (0..WORD_BITS).filter(|bit| value & (1 << bit) != 0) {
+                let index = word * WORD_BITS as usize + bit as usize;
+                self.set_task_state(
+                    name(self.id, occurrence, step as usize, index),
+                    TaskState::Done,
+                );
             }
         }
     }
 }
 
 impl Occurrence {
-    fn tell(&self, occurrence: u32, progress: &mut Progress) {
+    fn add_to(&self, occurrence: u32, progress: &mut Progress) {
         for (step, state) in self.steps.iter().enumerate() {
-            let mut bits = vec![0u64; state.tasks.len().div_ceil(WORD as usize)];
+            let mut bits = vec![0u64; state.tasks.len().div_ceil(WORD_BITS as usize)];
             for (index, task) in state.tasks.iter().enumerate() {
-                if matches!(task.at, At::Done) {
-                    bits[index / WORD as usize] |= 1 << (index % WORD as usize);
+                if matches!(task.state, TaskState::Done) {
+                    bits[index / WORD_BITS as usize] |= 1 << (index % WORD_BITS as usize);
                 }
                 let key = || format!("{occurrence}.{step}.{index}");
                 if !task.failed.is_empty() {
@@ -95,7 +99,7 @@
                 if !crashed.is_empty() {
                     progress.crashed.insert(key(), crashed);
                 }
-                if matches!(task.at, At::Waiting) && !task.saved.is_empty() {
+                if matches!(task.state, TaskState::Waiting) && !task.saved.is_empty() {
                     progress.saved.insert(key(), task.saved.to_string());
                 }
             }
--- a/crates/jobs/src/pool/ranking.rs
+++ b/crates/jobs/src/pool/ranking.rs
@@ -11,7 +11,7 @@
 /// How long before the last moment a late job is put before the others. Longer
 /// serves more of the late ones and fewer in time; between 0.5 s and 1.2 s the one
 /// outweighs the other by what the users pay for either.
-const LAST_CALL: Duration = Duration::from_millis(500);
+const CRITICAL_MARGIN: Duration = Duration::from_millis(500);
 
 /// How a job's time stands, first come first.
 ///
@@ -27,12 +27,12 @@
     /// It will be late.
     Late,
     /// Nothing is earned by it any more.
-    Over,
+    Expired,
 }
 
 /// A step whose turn has come.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Turn {
+pub(super) struct StepKey {
     pub job: JobKey,
     pub occurrence: u32,
     pub step: usize,
@@ -41,7 +41,7 @@
 impl Pool {
     /// Steps with tasks to start, in the order in which they get room: by the
     /// operators' priority, then by [`Urgency`], then what is due first.
-    pub(super) fn turns(&self, now: Time) -> Vec<Turn> {
+    pub(super) fn ranked_steps(&self, now: Time) -> Vec<StepKey> {
         let is_recovering = self.is_recovering(now);
         let mut ranked = Vec::new();
         for (job, entry) in &self.jobs {
@@ -53,13 +53,13 @@
                 let priority = self.queues.get(&entry.queue).map_or(u32::MAX, |q| q.priority);
                 for (number, row) in &entry.occurrences {
                     let urgency = self.urgency(now, entry, row);
-                    let rank = (priority, urgency, entry.due(row), entry.id, *number);
-                    ready_steps(job, entry, *number, row, |turn| ranked.push((rank, turn)));
+                    let rank = (priority, urgency, entry.deadline(row), entry.id, *number);
+                    ready_steps(job, entry, *number, row, |step_key| ranked.push((rank, step_key)));
                 }
             }
         }
-        ranked.sort_by_key(|(rank, turn)| (*rank, turn.step));
-        ranked.into_iter().map(|(_, turn)| turn).collect()
+        ranked.sort_by_key(|(rank, step_key)| (*rank, step_key.step));
+        ranked.into_iter().map(|(_, step_key)| step_key).collect()
     }
 
     fn urgency(&self, now: Time, entry: &Entry, row: &Occurrence) -> Urgency {
@@ -67,15 +67,15 @@
             return Urgency::Critical;
         }
         let left = chain_ms(&entry.steps, |index, step| {
-            let is_open = row.steps.get(index).is_some_and(|state| state.left > 0);
+            let is_open = row.steps.get(index).is_some_and(|state| state.unfinished > 0);
             if is_open { self.predict(&entry.queue, step) } else { 0 }
         });
         let end = now + Duration::from_millis(left);
-        if end <= entry.due(row) {
+        if end <= entry.deadline(row) {
             Urgency::InTime
-        } else if end > entry.over(row) {
-            Urgency::Over
-        } else if end + LAST_CALL > entry.over(row) {
+        } else if end > entry.expiry(row) {
+            Urgency::Expired
+        } else if end + CRITICAL_MARGIN > entry.expiry(row) {
             Urgency::Critical
         } else {
             Urgency::Late
@@ -88,12 +88,12 @@
     entry: &Entry,
     occurrence: u32,
     row: &Occurrence,
-    mut found: impl FnMut(Turn),
+    mut found: impl FnMut(StepKey),
 ) {
     for (step, state) in row.steps.iter().enumerate() {
         let is_ready = entry.steps.get(step).is_some_and(|step| row.is_ready(step));
         if state.waiting > 0 && is_ready {
-            found(Turn { job, occurrence, step });
+            found(StepKey { job, occurrence, step });
         }
     }
 }
--- a/crates/jobs/src/pool/reserve.rs
+++ b/crates/jobs/src/pool/reserve.rs
@@ -35,101 +35,101 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::advice::could;
-use super::entry::{At, Entry, Phase, StepState, name};
+use super::advice::meets_requirements;
+use super::entry::{Entry, Phase, StepState, TaskState, name};
 use crate::job::{Room, Step};
 use crate::task;
 use crate::worker::{self, Worker};
 
 /// How long a lasting task waits before room is kept for it: some tens of times
 /// what it takes to place one that fits somewhere.
-const WAIT: Duration = Duration::from_millis(300);
+const RESERVE_AFTER: Duration = Duration::from_millis(300);
 /// How long room is waited for at most, by what tasks are predicted to take. Where
 /// nothing ends for minutes, a worker would stand nearly empty for as long, beside
 /// small tasks that wait.
-const LONGEST: Duration = Duration::from_millis(4_000);
+const MAX_WAIT: Duration = Duration::from_millis(4_000);
 /// One worker in so many, and at least one, is kept from other work until a task
 /// has its room there.
-const SHARE: usize = 8;
+const WORKERS_PER_RESERVATION: usize = 8;
 
 impl Pool {
     /// Keeps room on a worker for a task that is to run there.
-    pub(super) fn keep(&mut self, name: task::Name, key: worker::Key, step: &Step, why: &str) {
+    pub(super) fn reserve(&mut self, name: task::Name, key: worker::Key, step: &Step, why: &str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        worker.kept.insert(name, step.room());
-        self.kept.insert(name, key);
+        worker.reserved.insert(name, step.room());
+        self.reservations.insert(name, key);
         self.note("room kept", Some(name), Some(key), why.to_owned());
     }
 
-    fn give_up(&mut self, name: task::Name, why: &str) {
-        let Some(key) = self.kept.remove(&name) else { return };
+    fn cancel_reservation(&mut self, name: task::Name, why: &str) {
+        let Some(key) = self.reservations.remove(&name) else { return };
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.kept.remove(&name);
+            worker.reserved.remove(&name);
         }
         self.note("kept room given up", Some(name), Some(key), why.to_owned());
     }
 
     /// Ends what was kept for a task that starts on a worker.
-    pub(super) fn use_kept(&mut self, name: task::Name, key: worker::Key) {
-        if self.kept.get(&name).is_some_and(|kept| *kept != key) {
-            return self.give_up(name, "it found room elsewhere");
+    pub(super) fn consume_reservation(&mut self, name: task::Name, key: worker::Key) {
+        if self.reservations.get(&name).is_some_and(|kept| *kept != key) {
+            return self.cancel_reservation(name, "it found room elsewhere");
         }
-        self.kept.remove(&name);
+        self.reservations.remove(&name);
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.kept.remove(&name);
+            worker.reserved.remove(&name);
         }
     }
 
     /// Gives up what is kept and of no use any more.
-    pub(super) fn review_kept(&mut self, now: Time) {
+    pub(super) fn review_reservations(&mut self, now: Time) {
         let over = |(name, key): (&task::Name, &worker::Key)| {
-            Some((*name, self.why_over(now, *name, *key)?))
+            Some((*name, self.cancel_reason(now, *name, *key)?))
         };
-        let over: Vec<(task::Name, &str)> = self.kept.iter().filter_map(over).collect();
+        let over: Vec<(task::Name, &str)> = self.reservations.iter().filter_map(over).collect();
         for (name, why) in over {
-            self.give_up(name, why);
+            self.cancel_reservation(name, why);
         }
     }
 
-    fn why_over(&self, now: Time, name: task::Name, key: worker::Key) -> Option<&'static str> {
+    fn cancel_reason(&self, now: Time, name: task::Name, key: worker::Key) -> Option<&'static str> {
         let open = self.entry(name.job).filter(|entry| !entry.state.is_final());
         let Some((entry, step)) = open.and_then(|entry| Some((entry, entry.step(name)?))) else {
             return Some("its job is over");
         };
-        if !entry.task(name).is_some_and(|task| is_without(&task.at)) {
+        if !entry.task(name).is_some_and(|task| lacks_worker(&task.state)) {
             return Some("it runs, or is done");
         }
         let Some(worker) = self.workers.get(key).filter(|worker| worker.is_usable(now)) else {
             return Some("the worker takes no work");
         };
-        let is_fit = self.may_keep(now, name, step, (key, worker))
-            && self.frees_in(now, name, step, worker).is_some();
+        let is_fit = self.may_host(now, name, step, (key, worker))
+            && self.room_free_in(now, name, step, worker).is_some();
         (!is_fit).then_some("the worker can't carry it")
     }
 
     /// Keeps room for lasting tasks that have waited for long, or were stopped
     /// and have nowhere to go, those first that have waited for longest.
-    pub(super) fn keep_room(&mut self, now: Time) {
-        let mut without = self.without_room(now);
+    pub(super) fn reserve_room(&mut self, now: Time) {
+        let mut without = self.tasks_without_room(now);
         without.sort();
         for (_, name) in without {
-            if self.is_emptying_enough(now) {
+            if self.is_at_reservation_limit(now) {
                 return;
             }
             let Some(step) = self.entry(name.job).and_then(|entry| entry.step(name)) else {
                 continue;
             };
             let step = step.clone();
-            if let Some((frees_in, key)) = self.soonest(now, name, &step) {
+            if let Some((frees_in, key)) = self.earliest_worker(now, name, &step) {
                 let why = format!("it is to come free within {frees_in} ms");
-                self.keep(name, key, &step, &why);
+                self.reserve(name, key, &step, &why);
             }
         }
     }
 
     /// Lasting tasks for which room is to be kept and isn't, and since when.
-    fn without_room(&self, now: Time) -> Vec<(Time, task::Name)> {
-        if !self.is_surveyed() {
+    fn tasks_without_room(&self, now: Time) -> Vec<(Time, task::Name)> {
+        if !self.is_every_worker_polled() {
             return Vec::new();
         }
         let is_recovering = self.is_recovering(now);
@@ -139,31 +139,40 @@
         };
         let mut found = Vec::new();
         for entry in self.jobs.values().filter(is_meant) {
-            entry.without_room(now, &mut found);
+            entry.tasks_without_room(now, &mut found);
         }
-        found.retain(|(_, name)| !self.kept.contains_key(name));
+        found.retain(|(_, name)| !self.reservations.contains_key(name));
         found
     }
 
     /// Whether as many workers are run empty for lasting tasks as may be at once.
-    fn is_emptying_enough(&self, now: Time) -> bool {
+    fn is_at_reservation_limit(&self, now: Time) -> bool {
         let usable = self.workers.values().filter(|worker| worker.is_usable(now)).count();
         let is_short = |(name, key): &(&task::Name, &worker::Key)| {
             let worker = self.workers.get(**key);
-            worker.is_some_and(|w| w.kept.get(name).is_some_and(|room| !w.holds(**name, room)))
+            worker.is_some_and(|w| {
+                w.reserved.get(name).is_some_and(|room| !w.has_room_for(**name, room))
+            })
         };
-        self.kept.iter().filter(is_short).count() >= (usable / SHARE).max(1)
+        self.reservations.iter().filter(is_short).count()
+            >= (usable / WORKERS_PER_RESERVATION).max(1)
     }
 
     /// The worker on which a task's room comes free soonest, and in how many
     /// milliseconds.
-    fn soonest(&self, now: Time, name: task::Name, step: &Step) -> Option<(u64, worker::Key)> {
-        let fit = self.workers.iter().filter(|at| self.may_keep(now, name, step, *at));
-        fit.filter_map(|(key, worker)| Some((self.frees_in(now, name, step, worker)?, key))).min()
+    fn earliest_worker(
+        &self,
+        now: Time,
+        name: task::Name,
+        step: &Step,
+    ) -> Option<(u64, worker::Key)> {
+        let fit = self.workers.iter().filter(|at| self.may_host(now, name, step, *at));
+        fit.filter_map(|(key, worker)| Some((self.room_free_in(now, name, step, worker)?, key)))
+            .min()
     }
 
     /// Whether a worker may carry a task once it has room.
-    pub(super) fn may_keep(
+    pub(super) fn may_host(
         &self,
         now: Time,
         name: task::Name,
@@ -172,20 +181,28 @@
     ) -> bool {
         let is_bad = self.entry(name.job).and_then(|entry| entry.advice(name));
         worker.is_usable(now)
-            && could(worker, step)
-            && !worker.hosted.contains_key(&name)
-            && !is_bad.is_some_and(|known| known.is_bad(key))
-            && (step.max_per_worker == 0 || worker.to_be_together(name) < step.max_per_worker)
+            && meets_requirements(worker, step)
+            && !worker.allocations.contains_key(&name)
+            && !is_bad.is_some_and(|known| known.is_refused(key))
+            && (step.max_per_worker == 0 || worker.expected_siblings(name) < step.max_per_worker)
     }
 
     /// In how many milliseconds a worker is predicted to have room for a task; none
     /// if what runs there doesn't end by itself or in time, or is kept for others.
-    fn frees_in(&self, now: Time, name: task::Name, step: &Step, worker: &Worker) -> Option<u64> {
+    fn room_free_in(
+        &self,
+        now: Time,
+        name: task::Name,
+        step: &Step,
+        worker: &Worker,
+    ) -> Option<u64> {
         let needed = step.room();
         let mut occupied = worker.occupied(|kept| *kept == name);
-        let ends = |(task, room): (&task::Name, &Room)| Some((self.ends_in(now, *task)?, *room));
-        let hosted = worker.hosted.iter().map(|(task, hosted)| (task, &hosted.room));
-        let mut ends: Vec<(u64, Room)> = hosted.filter_map(ends).collect();
+        let ends =
+            |(task, room): (&task::Name, &Room)| Some((self.remaining_ms(now, *task)?, *room));
+        let allocations =
+            worker.allocations.iter().map(|(task, allocations)| (task, &allocations.room));
+        let mut ends: Vec<(u64, Room)> = allocations.filter_map(ends).collect();
         ends.sort_by_key(|(ends, _)| *ends);
         let mut frees_in = 0;
         for (ends, room) in ends {
@@ -195,17 +212,17 @@
             occupied.sub(&room);
             frees_in = ends;
         }
-        let is_soon = Duration::from_millis(frees_in) <= LONGEST;
+        let is_soon = Duration::from_millis(frees_in) <= MAX_WAIT;
         (is_soon && worker.room.fits(&occupied, &needed)).then_some(frees_in)
     }
 
     /// In how many milliseconds a run is predicted to end; none if it lasts.
     /// What is being stopped, or is nobody's, ends in a moment.
-    fn ends_in(&self, now: Time, name: task::Name) -> Option<u64> {
+    fn remaining_ms(&self, now: Time, name: task::Name) -> Option<u64> {
         let Some(entry) = self.entry(name.job).filter(|entry| !entry.state.is_final()) else {
             return Some(0);
         };
-        let (Some(step), Some(place)) = (entry.step(name), entry.place(name)) else {
+        let (Some(step), Some(place)) = (entry.step(name), entry.placement(name)) else {
             return Some(0);
         };
         if matches!(place.phase, Phase::Stopping { .. }) {
@@ -220,41 +237,41 @@
 }
 
 impl Entry {
-    fn without_room(&self, now: Time, found: &mut Vec<(Time, task::Name)>) {
+    fn tasks_without_room(&self, now: Time, found: &mut Vec<(Time, task::Name)>) {
         for (occurrence, row) in &self.occurrences {
             let ready = self.steps.iter().zip(&row.steps).enumerate();
             let ready = ready.filter(|(_, (step, _))| step.long_running && !step.gang);
             for (index, (_, state)) in ready.filter(|(_, (step, _))| row.is_ready(step)) {
-                let since = without_since(now, self.begun_at, state);
+                let since = waiting_since_by_task(now, self.known_since, state);
                 found.extend(since.map(|(i, since)| (since, name(self.id, *occurrence, index, i))));
             }
         }
     }
 }
 
-fn without_since(
+fn waiting_since_by_task(
     now: Time,
     begun: Time,
     state: &StepState,
 ) -> impl Iterator<Item = (usize, Time)> + '_ {
     let since = move |(index, task): (usize, &super::entry::Task)| {
-        let since = match &task.at {
-            At::Waiting => task.not_before.max(begun),
-            At::On(place) => place.since,
-            At::Done => return None,
+        let since = match &task.state {
+            TaskState::Waiting => task.not_before.max(begun),
+            TaskState::Placed(place) => place.since,
+            TaskState::Done => return None,
         };
-        let is_due = !matches!(task.at, At::Waiting) || now - since > WAIT;
-        (is_without(&task.at) && is_due).then_some((index, since))
+        let is_due = !matches!(task.state, TaskState::Waiting) || now - since > RESERVE_AFTER;
+        (lacks_worker(&task.state) && is_due).then_some((index, since))
     };
     state.tasks.iter().enumerate().filter_map(since)
 }
 
 /// Whether a task has no worker, or is about to have none.
-fn is_without(at: &At) -> bool {
+fn lacks_worker(at: &TaskState) -> bool {
     match at {
-        At::Waiting => true,
-        At::On(place) => matches!(place.phase, Phase::Stopping { .. }),
-        At::Done => false,
+        TaskState::Waiting => true,
+        TaskState::Placed(place) => matches!(place.phase, Phase::Stopping { .. }),
+        TaskState::Done => false,
     }
 }
 
@@ -262,20 +279,20 @@
     /// What runs there and what is kept, but for what is kept for oneself.
     pub(super) fn occupied(&self, is_own: impl Fn(&task::Name) -> bool) -> Room {
         let mut occupied = self.used;
-        let others = self.kept.iter().filter(|(name, _)| !is_own(name));
+        let others = self.reserved.iter().filter(|(name, _)| !is_own(name));
         others.for_each(|(_, room)| occupied.add(room));
         occupied
     }
 
     /// Whether a task finds room beside what runs and what is kept for others.
-    pub(super) fn holds(&self, name: task::Name, needed: &Room) -> bool {
+    pub(super) fn has_room_for(&self, name: task::Name, needed: &Room) -> bool {
         self.room.fits(&self.occupied(|kept| *kept == name), needed)
     }
 
     /// Other tasks of the same step that run here or have room kept.
-    pub(super) fn to_be_together(&self, name: task::Name) -> u32 {
+    pub(super) fn expected_siblings(&self, name: task::Name) -> u32 {
         let is_sibling = |other: &&task::Name| **other != name && other.is_sibling(&name);
-        let kept = self.kept.keys().filter(is_sibling).count();
-        self.together(name).saturating_add(u32::try_from(kept).unwrap_or(u32::MAX))
+        let kept = self.reserved.keys().filter(is_sibling).count();
+        self.siblings(name).saturating_add(u32::try_from(kept).unwrap_or(u32::MAX))
     }
 }
--- a/crates/jobs/src/pool/runs.rs
+++ b/crates/jobs/src/pool/runs.rs
@@ -5,32 +5,32 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::entry::{At, Entry, Phase, Place};
+use super::entry::{Entry, Phase, Placement, TaskState};
 use super::poll::Report;
 use crate::record::State;
 use crate::task::{self, Run};
-use crate::worker::{self, Hosted, Stray};
+use crate::worker::{self, Allocation, Stray};
 
 impl Pool {
-    pub(super) fn take_running(&mut self, now: Time, key: worker::Key, running: &Run) {
+    pub(super) fn handle_running(&mut self, now: Time, key: worker::Key, running: &Run) {
         let name = running.task;
         let Some(entry) = self.entry_mut(name.job) else {
-            return self.take_stray(now, key, running);
+            return self.track_stray(now, key, running);
         };
         let is_final = entry.state.is_final();
         let Some(task) = entry.task_mut(name) else {
-            return self.take_stray(now, key, running);
+            return self.track_stray(now, key, running);
         };
-        match &mut task.at {
-            At::On(place) if place.worker == key && place.run == running.run => {
-                place.listed(now, running);
+        match &mut task.state {
+            TaskState::Placed(place) if place.worker == key && place.run == running.run => {
+                place.update(now, running);
                 if !running.saved.is_empty() && *task.saved != *running.saved {
                     task.saved = Rc::from(running.saved.as_str());
                 }
                 self.mark_running(name);
             }
-            At::Waiting if !is_final => self.adopt(now, key, running),
-            _ => self.take_stray(now, key, running),
+            TaskState::Waiting if !is_final => self.adopt(now, key, running),
+            _ => self.track_stray(now, key, running),
         }
     }
 
@@ -47,12 +47,12 @@
         self.remove_crash(name, running.run);
         let Some(entry) = self.entry_mut(name.job) else { return };
         let Some(room) = entry.step(name).map(super::super::job::Step::room) else { return };
-        let mut place = Place::new(key, running.run, now, Phase::Running { confirmed: now });
-        place.listed(now, running);
-        entry.put(name, At::On(place));
+        let mut place = Placement::new(key, running.run, now, Phase::Running { confirmed: now });
+        place.update(now, running);
+        entry.set_task_state(name, TaskState::Placed(place));
         if let Some(worker) = self.workers.get_mut(key) {
             worker.strays.remove(&name);
-            worker.host(name, running.run, room);
+            worker.allocate(name, running.run, room);
         }
         self.mark_running(name);
         self.track_suspect(now, name, key, running.run);
@@ -61,45 +61,56 @@
 
     /// A run that nobody asked for: its job is over, or not known yet. It takes
     /// room all the same.
-    fn take_stray(&mut self, now: Time, key: worker::Key, running: &Run) {
+    fn track_stray(&mut self, now: Time, key: worker::Key, running: &Run) {
         let step = self.entry(running.task.job).and_then(|entry| entry.step(running.task));
         let known = step.map(super::super::job::Step::room);
         let room = known.unwrap_or_default();
         let is_over = self.entry(running.task.job).is_some_and(|entry| entry.state.is_final());
         let Some(worker) = self.workers.get_mut(key) else { return };
-        let fresh =
-            Stray { run: running.run, since: now, asked: None, is_sized: known.is_some(), is_over };
+        let fresh = Stray {
+            run: running.run,
+            since: now,
+            stop_sent: None,
+            is_room_known: known.is_some(),
+            is_job_over: is_over,
+        };
         let stray = worker.strays.entry(running.task).or_insert(fresh);
         if stray.run != running.run {
             *stray = fresh;
         }
-        stray.is_over |= is_over;
-        let is_hosted = worker.hosted.get(&running.task).is_some_and(|h| h.run == running.run);
+        stray.is_job_over |= is_over;
+        let is_hosted = worker.allocations.get(&running.task).is_some_and(|h| h.run == running.run);
         if !is_hosted {
-            worker.host(running.task, running.run, room);
+            worker.allocate(running.task, running.run, room);
         }
     }
 
     /// Frees what the worker neither runs nor lists as ended, though it was
     /// confirmed before the look was sent: its end was forgotten, or its job is
     /// over.
-    pub(super) fn drop_absent(&mut self, now: Time, sent: Time, key: worker::Key, report: &Report) {
+    pub(super) fn release_unlisted(
+        &mut self,
+        now: Time,
+        sent: Time,
+        key: worker::Key,
+        report: &Report,
+    ) {
         let Some(worker) = self.workers.get(key) else { return };
         let is_listed = |name: &task::Name, run: u64| {
             report.running.iter().any(|r| r.task == *name && r.run == run)
         };
-        let absent: Vec<(task::Name, Hosted)> = worker
-            .hosted
+        let absent: Vec<(task::Name, Allocation)> = worker
+            .allocations
             .iter()
-            .filter(|(name, hosted)| !is_listed(name, hosted.run))
-            .map(|(name, hosted)| (*name, *hosted))
+            .filter(|(name, allocations)| !is_listed(name, allocations.run))
+            .map(|(name, allocations)| (*name, *allocations))
             .collect();
-        for (name, hosted) in absent {
-            self.drop_if_over(now, sent, key, name, hosted.run);
+        for (name, allocations) in absent {
+            self.release_if_ended(now, sent, key, name, allocations.run);
         }
     }
 
-    fn drop_if_over(
+    fn release_if_ended(
         &mut self,
         now: Time,
         sent: Time,
@@ -107,7 +118,7 @@
         name: task::Name,
         run: u64,
     ) {
-        let place = self.entry(name.job).and_then(|entry| entry.place(name));
+        let place = self.entry(name.job).and_then(|entry| entry.placement(name));
         let current = place.filter(|place| place.worker == key && place.run == run);
         let is_over = match current.map(|place| place.phase) {
             Some(Phase::Starting { .. }) => false,
@@ -131,44 +142,44 @@
 }
 
 impl Entry {
-    pub(super) fn place(&self, name: task::Name) -> Option<&Place> {
-        match &self.task(name)?.at {
-            At::On(place) => Some(place),
+    pub(super) fn placement(&self, name: task::Name) -> Option<&Placement> {
+        match &self.task(name)?.state {
+            TaskState::Placed(place) => Some(place),
             _ => None,
         }
     }
 
-    pub(super) fn place_mut(&mut self, name: task::Name) -> Option<&mut Place> {
-        match &mut self.task_mut(name)?.at {
-            At::On(place) => Some(place),
+    pub(super) fn placement_mut(&mut self, name: task::Name) -> Option<&mut Placement> {
+        match &mut self.task_mut(name)?.state {
+            TaskState::Placed(place) => Some(place),
             _ => None,
         }
     }
 }
 
-impl Place {
+impl Placement {
     pub(super) fn new(worker: worker::Key, run: u64, now: Time, phase: Phase) -> Self {
         Self {
             worker,
             run,
             since: now,
             phase,
-            lost: false,
+            is_start_unconfirmed: false,
             percent: 0,
-            moved: now,
+            progressed: now,
             pace: 100,
-            pace_asked: Time::ZERO,
+            pace_sent: Time::ZERO,
             gauge: 0,
         }
     }
 
-    fn listed(&mut self, now: Time, running: &Run) {
+    fn update(&mut self, now: Time, running: &Run) {
         if let Phase::Starting { .. } = self.phase {
             self.phase = Phase::Running { confirmed: now };
         }
         if running.percent != self.percent {
             self.percent = running.percent;
-            self.moved = now;
+            self.progressed = now;
         }
         self.gauge = running.gauge;
     }
--- a/crates/jobs/src/pool/shrink.rs
+++ b/crates/jobs/src/pool/shrink.rs
@@ -40,7 +40,7 @@
     pub fn shrink(&mut self, now: Time, keep: u32, time: Duration) -> Vec<String> {
         let mut candidates = self.candidates(now);
         candidates.sort_by_key(Candidate::rank);
-        let needed = self.needed(&candidates);
+        let needed = self.required_workers(&candidates);
         let stays = |one: &Candidate| !one.is_free || needed.contains(&one.key);
         candidates.sort_by_key(|one| !stays(one));
         let mut empty = Vec::new();
@@ -48,7 +48,7 @@
             let Some(worker) = self.workers.get_mut(one.key) else { continue };
             worker.is_surplus = rank >= keep as usize && !stays(one);
             worker.vacate_until = if worker.is_surplus { now + time } else { Time::ZERO };
-            if worker.is_surplus && worker.hosted.is_empty() && worker.strays.is_empty() {
+            if worker.is_surplus && worker.allocations.is_empty() && worker.strays.is_empty() {
                 empty.push(worker.id.clone());
             }
         }
@@ -56,10 +56,10 @@
     }
 
     fn candidates(&self, now: Time) -> Vec<Candidate> {
-        let able = self.workers.iter().filter(|(_, worker)| worker.is_kept_or_surplus(now));
+        let able = self.workers.iter().filter(|(_, worker)| worker.is_usable_or_surplus(now));
         let candidate = |(key, worker): (worker::Key, &Worker)| Candidate {
             key,
-            is_free: !self.is_rooted(worker),
+            is_free: !self.hosts_long_running(worker),
             is_surplus: worker.is_surplus,
             used: worker.used.cpu,
         };
@@ -72,16 +72,16 @@
     /// workers have. While it waits for its turn, or for room, these stand idle and
     /// look like those to let go. Without this the step waits beside workers that
     /// may not run it: one sees `task waits` for it, and `advice told` with none.
-    fn needed(&self, candidates: &[Candidate]) -> HashSet<worker::Key> {
+    fn required_workers(&self, candidates: &[Candidate]) -> HashSet<worker::Key> {
         let least = self.least_room(candidates);
         let mut needed: HashSet<worker::Key> = HashSet::new();
         for entry in self.jobs.values().filter(|entry| !entry.state.is_final()) {
             for row in entry.occurrences.values() {
                 let open =
-                    entry.steps.iter().zip(&row.steps).filter(|(s, state)| is_open(s, state));
+                    entry.steps.iter().zip(&row.steps).filter(|(s, state)| needs_worker(s, state));
                 for (step, state) in open.filter(|(s, state)| is_selective(s, state, &least)) {
                     let stays = |one: &&Candidate| !one.is_free || needed.contains(&one.key);
-                    let found = self.keeper(candidates, step, state, stays);
+                    let found = self.worker_to_keep(candidates, step, state, stays);
                     needed.extend(found.map(|one| one.key));
                 }
             }
@@ -92,7 +92,7 @@
     /// The worker that is to stay for a step; none if one that `stays` may run it, or
     /// none may. One that is known to be allowed to, or one of which nothing is known
     /// where none is.
-    fn keeper<'a>(
+    fn worker_to_keep<'a>(
         &self,
         candidates: &'a [Candidate],
         step: &Step,
@@ -100,8 +100,8 @@
         stays: impl Fn(&&Candidate) -> bool,
     ) -> Option<&'a Candidate> {
         let could = |one: &&Candidate| self.could_run(one, step);
-        let is_good = |one: &&Candidate| state.advice.is_good(one.key) && could(one);
-        let is_open = |one: &&Candidate| !state.advice.is_bad(one.key) && could(one);
+        let is_good = |one: &&Candidate| state.advice.is_allowed(one.key) && could(one);
+        let is_open = |one: &&Candidate| !state.advice.is_refused(one.key) && could(one);
         if candidates.iter().any(|one| is_good(&one)) {
             let is_held = candidates.iter().any(|one| stays(&one) && is_good(&one));
             return candidates.iter().find(is_good).filter(|_| !is_held);
@@ -114,7 +114,8 @@
     fn could_run(&self, one: &Candidate, step: &Step) -> bool {
         let worker = self.workers.get(one.key);
         worker.is_some_and(|worker| {
-            advice::could(worker, step) && worker.room.fits(&self.lasting_on(worker), &step.room())
+            advice::meets_requirements(worker, step)
+                && worker.room.fits(&self.long_running_room(worker), &step.room())
         })
     }
 
@@ -133,19 +134,19 @@
 /// Whether a step still needs a worker. What lasts stays where all of it runs: these
 /// workers aren't let go, and where it fills them they would not be taken for ones that
 /// can run it.
-fn is_open(step: &Step, state: &StepState) -> bool {
-    if step.long_running { state.waiting > 0 } else { state.left > 0 }
+fn needs_worker(step: &Step, state: &StepState) -> bool {
+    if step.long_running { state.waiting > 0 } else { state.unfinished > 0 }
 }
 
 /// Whether some workers may not run a step, as far as can be told at once.
 fn is_selective(step: &Step, state: &StepState, least: &Room) -> bool {
     let is_large = !least.fits(&Room::default(), &step.room());
-    is_large || Feature::of(step).is_some() || state.advice.is_told()
+    is_large || Feature::of(step).is_some() || state.advice.has_response()
 }
 
 impl Worker {
     /// Whether it takes work, or would if its pool had not too many workers.
-    pub(super) fn is_kept_or_surplus(&self, now: Time) -> bool {
-        self.is_able() && (!self.is_vacating(now) || self.is_surplus)
+    pub(super) fn is_usable_or_surplus(&self, now: Time) -> bool {
+        self.is_healthy() && (!self.is_vacating(now) || self.is_surplus)
     }
 }
--- a/crates/jobs/src/pool/workers.rs
+++ b/crates/jobs/src/pool/workers.rs
@@ -40,11 +40,11 @@
     fn set_worker(&mut self, now: Time, entry: &Registration) {
         let seat = Location { id: entry.id.clone(), address: entry.address };
         let known = self.by_id.get(&entry.id).copied();
-        if known.is_none() && self.over.holds(now, entry) {
+        if known.is_none() && self.departed.is_ended(now, entry) {
             return;
         }
         let key = known.unwrap_or_else(|| self.add_worker(seat.clone(), now));
-        let is_rostered = self.roster_written.contains(&seat);
+        let is_rostered = self.written_roster.contains(&seat);
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.rostered = is_rostered;
         worker.labels.clone_from(&entry.labels);
@@ -71,7 +71,7 @@
                 self.add_worker(seat.clone(), until);
             }
         }
-        self.roster_written = seats.into_iter().collect();
+        self.written_roster = seats.into_iter().collect();
     }
 
     /// Hears from a predecessor until when its grants on a worker hold at most.
@@ -95,8 +95,8 @@
     /// to name none would be taken for the word that what its predecessor granted is
     /// over. Tasks of a worker that can't be reached would run a second time.
     pub fn granted_leases(&self, now: Time) -> Option<BTreeMap<String, u64>> {
-        self.begun?;
-        let left = |worker: &Worker| worker::millis(worker.lapses() - now);
+        self.first_planned?;
+        let left = |worker: &Worker| worker::millis(worker.leases_end() - now);
         Some(self.workers.values().map(|worker| (worker.id.clone(), left(worker))).collect())
     }
 
@@ -119,18 +119,18 @@
             self.count_crash(now, key);
         }
         let Some(worker) = self.workers.get(key) else { return };
-        let names = worker.hosted.keys().copied().collect();
+        let names = worker.allocations.keys().copied().collect();
         // Must precede the removal, or the "task lost" notes lack the worker's ID.
-        self.free_tasks(now, key, names, why);
+        self.requeue_tasks(now, key, names, why);
         let Some(worker) = self.workers.remove(key) else { return };
         self.by_id.remove(&worker.id);
-        self.over.end(now, worker.id);
+        self.departed.add(now, worker.id);
     }
 
-    fn free_tasks(&mut self, now: Time, key: worker::Key, names: Vec<task::Name>, why: &str) {
+    fn requeue_tasks(&mut self, now: Time, key: worker::Key, names: Vec<task::Name>, why: &str) {
         for name in names {
             let Some(entry) = self.entry(name.job) else { continue };
-            let Some(place) = entry.place(name).filter(|place| place.worker == key) else {
+            let Some(place) = entry.placement(name).filter(|place| place.worker == key) else {
                 continue;
             };
             let elapsed_ms = worker::millis(now - place.since);
@@ -141,8 +141,8 @@
     }
 
     /// Frees what ran on workers that were silent for longer than any lease.
-    pub(super) fn lapse(&mut self, now: Time) {
-        let is_over = |worker: &Worker| worker.unanswered > 0 && now >= worker.lapses();
+    pub(super) fn release_lapsed(&mut self, now: Time) {
+        let is_over = |worker: &Worker| worker.unanswered_polls > 0 && now >= worker.leases_end();
         let over: Vec<worker::Key> =
             self.workers.iter().filter(|(_, w)| is_over(w)).map(|(key, _)| key).collect();
         for key in over {
@@ -151,11 +151,11 @@
                 self.remove_worker(now, key, "silent past its lease and not listed");
                 continue;
             }
-            let names: Vec<task::Name> = worker.hosted.keys().copied().collect();
-            worker.hosted.clear();
+            let names: Vec<task::Name> = worker.allocations.keys().copied().collect();
+            worker.allocations.clear();
             worker.strays.clear();
             worker.used = crate::job::Room::default();
-            self.free_tasks(now, key, names, "silent past its lease");
+            self.requeue_tasks(now, key, names, "silent past its lease");
         }
     }
 
@@ -170,19 +170,19 @@
     /// hear nothing, and wait for as long as they could have been granted.
     pub fn roster_update(&self) -> Option<Vec<Location>> {
         let seats: BTreeSet<Location> = self.workers.values().map(Worker::location).collect();
-        (seats != self.roster_written).then(|| seats.into_iter().collect())
+        (seats != self.written_roster).then(|| seats.into_iter().collect())
     }
 
     /// The seats that the store knows of.
     pub fn written_roster(&self) -> Vec<Location> {
-        self.roster_written.iter().cloned().collect()
+        self.written_roster.iter().cloned().collect()
     }
 
     /// Takes in that a roster was written.
     pub fn confirm_roster(&mut self, seats: Vec<Location>) {
-        self.roster_written = seats.into_iter().collect();
+        self.written_roster = seats.into_iter().collect();
         for worker in self.workers.values_mut() {
-            worker.rostered = self.roster_written.contains(&worker.location());
+            worker.rostered = self.written_roster.contains(&worker.location());
         }
     }
 
@@ -193,20 +193,20 @@
     /// started there, and is to be asked for again.
     pub fn vacate(&mut self, now: Time, id: &str, time: Duration) -> Option<bool> {
         let key = *self.by_id.get(id)?;
-        let awaited = self.awaited(now, key);
+        let task_moving_to = self.task_moving_to(now, key);
         let worker = self.workers.get_mut(key)?;
         let was_vacating = worker.is_vacating(now);
-        if let Some(task) = awaited.filter(|_| !was_vacating) {
+        if let Some(task) = task_moving_to.filter(|_| !was_vacating) {
             let why = "a task is about to start there and finds no other place".to_owned();
             self.note("worker not vacated yet", Some(task), Some(key), why);
             return Some(false);
         }
         if !was_vacating || worker.is_surplus {
-            worker.vacated = now;
+            worker.vacating_since = now;
         }
         worker.vacate_until = now + time;
         worker.is_surplus = false;
-        let is_empty = worker.fenced && worker.answers() && worker.hosted.is_empty();
+        let is_empty = worker.fenced && worker.is_responsive() && worker.allocations.is_empty();
         if !was_vacating {
             self.note("worker vacates", None, Some(key), "the fleet's planner asked".to_owned());
         }
@@ -218,18 +218,18 @@
     /// It starts as soon as its stop elsewhere has ended. Were the worker emptied
     /// within that moment, the task would have been stopped for nothing, and wait
     /// until another worker comes.
-    fn awaited(&self, now: Time, key: worker::Key) -> Option<task::Name> {
+    fn task_moving_to(&self, now: Time, key: worker::Key) -> Option<task::Name> {
         let worker = self.workers.get(key)?;
-        worker.kept.iter().find_map(|(name, room)| {
+        worker.reserved.iter().find_map(|(name, room)| {
             let step = self.entry(name.job)?.step(*name)?;
             let is_elsewhere = |(other, worker): (worker::Key, &Worker)| {
                 other != key
-                    && self.may_keep(now, *name, step, (other, worker))
-                    && worker.holds(*name, room)
-                    && self.is_advised(now, *name, other)
+                    && self.may_host(now, *name, step, (other, worker))
+                    && worker.has_room_for(*name, room)
+                    && self.is_allowed_by_advice(now, *name, other)
             };
             let has_place = self.workers.iter().any(is_elsewhere);
-            (worker.holds(*name, room) && !has_place).then_some(*name)
+            (worker.has_room_for(*name, room) && !has_place).then_some(*name)
         })
     }
 }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -36,7 +36,7 @@
 
 /// How long a worker that is to be maintained waits for room elsewhere: longer
 /// than it takes to move another one into the pool.
-pub(crate) const STRANDED: Duration = Duration::from_millis(4_000);
+pub(crate) const STRANDED_AFTER: Duration = Duration::from_millis(4_000);
 
 /// What the list of workers says of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
 
 /// A run that takes room on the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Hosted {
+pub(crate) struct Allocation {
     pub run: u64,
     pub room: Room,
 }
@@ -88,11 +88,11 @@
     pub run: u64,
     pub since: Time,
     /// When it was last asked to stop.
-    pub asked: Option<Time>,
+    pub stop_sent: Option<Time>,
     /// Whether its step, and so what it takes, is known.
-    pub is_sized: bool,
+    pub is_room_known: bool,
     /// Whether its job is known to be over.
-    pub is_over: bool,
+    pub is_job_over: bool,
 }
 
 /// One worker.
@@ -110,39 +110,39 @@
     /// Whether it has answered under the owner's fence.
     pub(crate) fenced: bool,
     /// Whether a look at it has been tried.
-    pub(crate) tried: bool,
+    pub(crate) is_polled: bool,
     /// Whether the store's roster names it.
     pub(crate) rostered: bool,
     /// Looks in a row that it didn't answer.
-    pub(crate) unanswered: u32,
+    pub(crate) unanswered_polls: u32,
     /// Its clock, and when it was heard.
     clock: Option<(u64, Time)>,
     /// Until when, on its clock, anything may run there.
-    granted_ms: u64,
+    granted_until_ms: u64,
     /// Until when, at the latest, a predecessor's grants hold.
     pub(crate) inherited_until: Time,
     /// The last end that was taken in.
-    pub(crate) taken: u64,
+    pub(crate) last_exit: u64,
     /// The last end that it may forget.
     pub(crate) acked: u64,
     pub(crate) pending: BTreeMap<u64, Pending>,
     pub(crate) orphans: Vec<task::Exit>,
-    pub(crate) hosted: HashMap<task::Name, Hosted>,
+    pub(crate) allocations: HashMap<task::Name, Allocation>,
     pub(crate) strays: HashMap<task::Name, Stray>,
     /// Room that is kept for tasks which are to come.
-    pub(crate) kept: BTreeMap<task::Name, Room>,
+    pub(crate) reserved: BTreeMap<task::Name, Room>,
     pub(crate) vacate_until: Time,
     /// When it was first asked to be emptied for maintenance.
-    pub(crate) vacated: Time,
+    pub(crate) vacating_since: Time,
     /// Whether it is vacated for want of work, and not for maintenance.
     pub(crate) is_surplus: bool,
     pub(crate) avoid_until: Time,
     /// Failed ends in a row, of different jobs.
-    pub(crate) failures: u32,
-    pub(crate) failed_job: Option<JobId>,
+    pub(crate) failures_in_row: u32,
+    pub(crate) last_failed_job: Option<JobId>,
     /// The share that filling tasks here are let work at, and since when.
     pub(crate) pace: u32,
-    pub(crate) paced: Time,
+    pub(crate) pace_changed: Time,
 }
 
 impl Worker {
@@ -157,27 +157,27 @@
             draining: false,
             missing_since: None,
             fenced: false,
-            tried: false,
+            is_polled: false,
             rostered: false,
-            unanswered: 0,
+            unanswered_polls: 0,
             clock: None,
-            granted_ms: 0,
+            granted_until_ms: 0,
             inherited_until,
-            taken: 0,
+            last_exit: 0,
             acked: 0,
             pending: BTreeMap::new(),
             orphans: Vec::new(),
-            hosted: HashMap::new(),
+            allocations: HashMap::new(),
             strays: HashMap::new(),
-            kept: BTreeMap::new(),
+            reserved: BTreeMap::new(),
             vacate_until: Time::ZERO,
-            vacated: Time::ZERO,
+            vacating_since: Time::ZERO,
             is_surplus: false,
             avoid_until: Time::ZERO,
-            failures: 0,
-            failed_job: None,
+            failures_in_row: 0,
+            last_failed_job: None,
             pace: 100,
-            paced: Time::ZERO,
+            pace_changed: Time::ZERO,
         }
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Learns the worker's clock from an answer.
-    pub(crate) fn heard(&mut self, now: Time, clock_ms: u64) {
+    pub(crate) fn update_clock(&mut self, now: Time, clock_ms: u64) {
         // Answers overtake each other; only a later clock is news.
         if self.clock.is_none_or(|(known, _)| clock_ms >= known) {
             self.clock = Some((clock_ms, now));
@@ -204,7 +204,7 @@
     pub(crate) fn grant(&mut self, now: Time, length: Duration) -> Option<u64> {
         let (clock, at) = self.clock?;
         let deadline = clock + millis(now - at) + millis(length);
-        self.granted_ms = self.granted_ms.max(deadline);
+        self.granted_until_ms = self.granted_until_ms.max(deadline);
         Some(deadline)
     }
 
@@ -212,21 +212,21 @@
     ///
     /// The worker's clock may be slow: it shows at least what was heard and 98%
     /// of the time since.
-    pub(crate) fn lapses(&self) -> Time {
+    pub(crate) fn leases_end(&self) -> Time {
         let Some((clock, at)) = self.clock else { return self.inherited_until };
-        let left = self.granted_ms.saturating_sub(clock);
+        let left = self.granted_until_ms.saturating_sub(clock);
         let stretched = left * 100 / u64::from(100 - CLOCK_SLOW_PERCENT) + 1;
         (at + Duration::from_millis(stretched)).max(self.inherited_until)
     }
 
     /// Whether it has answered lately.
-    pub(crate) fn answers(&self) -> bool {
-        self.unanswered == 0
+    pub(crate) fn is_responsive(&self) -> bool {
+        self.unanswered_polls == 0
     }
 
     /// Counts a run's room. Fits or not: what runs runs.
-    pub(crate) fn host(&mut self, task: task::Name, run: u64, room: Room) {
-        if let Some(old) = self.hosted.insert(task, Hosted { run, room }) {
+    pub(crate) fn allocate(&mut self, task: task::Name, run: u64, room: Room) {
+        if let Some(old) = self.allocations.insert(task, Allocation { run, room }) {
             self.used.sub(&old.room);
         }
         self.used.add(&room);
@@ -234,8 +234,8 @@
 
     /// Frees a run's room; another run of the task keeps its own.
     pub(crate) fn release(&mut self, task: task::Name, run: u64) {
-        if self.hosted.get(&task).is_some_and(|hosted| hosted.run == run)
-            && let Some(old) = self.hosted.remove(&task)
+        if self.allocations.get(&task).is_some_and(|allocations| allocations.run == run)
+            && let Some(old) = self.allocations.remove(&task)
         {
             self.used.sub(&old.room);
         }
@@ -250,29 +250,29 @@
     }
 
     /// Whether it is one that takes work, as far as it is up to it.
-    pub(crate) fn is_able(&self) -> bool {
+    pub(crate) fn is_healthy(&self) -> bool {
         self.fenced
             && self.rostered
-            && self.answers()
+            && self.is_responsive()
             && !self.draining
             && self.missing_since.is_none()
     }
 
     /// Whether new work may go there.
     pub(crate) fn is_usable(&self, now: Time) -> bool {
-        self.is_sound(now) && !self.is_vacating(now)
+        self.accepts_runs(now) && !self.is_vacating(now)
     }
 
     /// Whether it is to be maintained and could not be emptied for a while.
     pub(crate) fn is_stranded(&self, now: Time) -> bool {
         let is_due = self.is_vacating(now) && !self.is_surplus;
-        self.is_sound(now) && is_due && now - self.vacated > STRANDED
+        self.accepts_runs(now) && is_due && now - self.vacating_since > STRANDED_AFTER
     }
 
-    fn is_sound(&self, now: Time) -> bool {
+    fn accepts_runs(&self, now: Time) -> bool {
         // Beside a run of unknown size nothing is certain to fit.
-        let is_sized = self.strays.values().all(|stray| stray.is_sized);
-        self.is_able() && now >= self.avoid_until && is_sized
+        let is_room_known = self.strays.values().all(|stray| stray.is_room_known);
+        self.is_healthy() && now >= self.avoid_until && is_room_known
     }
 }
 
