--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -1,4 +1,4 @@
-//! The work of one pool of workers.
+//! The state and the decisions of the owner of one pool of workers.
 
 mod advice;
 mod batch;
@@ -52,27 +52,27 @@
     pub struct JobKey;
 }
 
-/// Bits of a run's number that count starts; the owner's fence stands above
-/// them, so that a successor's numbers are higher without a write a start.
+/// Number of low bits of a run number that count starts. The owner's fence is stored above
+/// them, so the run numbers of a successor are higher and starts need no write to the store.
 const RUN_BITS: u32 = 20;
 
-/// How a pool is run.
+/// Settings of a pool.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The owner's fence: the revision at which it became the owner.
     pub(crate) fence: u64,
-    /// How long a lease on a worker is.
+    /// Length of a lease on a worker.
     pub(crate) lease: Duration,
     /// How long a finished job's state is told.
     pub(crate) remember: Duration,
-    /// Until when grants of a predecessor may hold that can't be asked.
+    /// When the leases end at the latest that predecessors granted and can't be asked about.
     pub(crate) inherited_until: Time,
     /// How many times as long a task takes away from the rack of its data.
     pub(crate) remote_factor: f64,
 }
 
 impl Config {
-    /// An owner with `fence`, whose predecessors' grants all end by
+    /// Returns the settings of an owner with `fence`, whose predecessors' leases all end by
     /// `inherited_until`.
     pub fn new(fence: u64, inherited_until: Time) -> Self {
         Self {
@@ -92,8 +92,8 @@
         self
     }
 
-    /// Sets how long a lease on a worker is: longer ones ride out a longer
-    /// silence of ours, shorter ones free the tasks of a lost worker sooner.
+    /// Sets the length of a lease on a worker. Longer leases survive longer interruptions of
+    /// the owner; shorter ones free the tasks of a lost worker sooner.
     #[must_use]
     pub fn lease(mut self, lease: Duration) -> Self {
         self.lease = lease;
@@ -108,53 +108,53 @@
     }
 }
 
-/// What an owner knows of its pool, and what it decides.
+/// The state of a pool, as its owner knows it, and the decisions based on it.
 #[derive(Debug)]
 pub struct Pool {
     config: Config,
     queues: HashMap<String, Queue>,
-    /// How long tasks take, by queue.
+    /// Estimates of task durations, by queue.
     estimates: HashMap<String, Estimate>,
-    /// How much work comes in.
+    /// The rate at which work arrives.
     flow: Flow,
     workers: SlotMap<worker::Key, Worker>,
     by_id: HashMap<String, worker::Key>,
     jobs: SlotMap<JobKey, Entry>,
     by_job: HashMap<JobId, JobKey>,
-    /// All jobs that were accepted before this are known.
+    /// Every job that was accepted before this time is known.
     jobs_known_until: Time,
-    /// Jobs with something to write, oldest first.
+    /// Jobs with unwritten changes, by the time at which the write is due.
     dirty: BTreeSet<(Time, JobId)>,
     start_count: u64,
     deposed: bool,
-    /// When this owner first planned.
+    /// When this owner first planned evacuations.
     first_planned: Option<Time>,
     written_roster: BTreeSet<worker::Location>,
     notes: Vec<Note>,
     departed: EndedInstances,
-    /// What tasks wait for that not every worker has, as of the last plan.
+    /// Features that waiting tasks need and that not every worker has, as of the last plan.
     requested_features: BTreeSet<Feature>,
-    /// On which worker room is kept for a lasting task.
+    /// The worker on which room is reserved for a long-running task.
     reservations: BTreeMap<task::Name, worker::Key>,
     /// Tracked runs of tasks that are suspected of a crash.
     suspects: BTreeMap<task::Name, crash::Suspect>,
 }
 
-/// Something worth a line in the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// What was decided or learned.
+    /// The name of the event.
     pub event: &'static str,
-    /// The job or task, if it is about one.
+    /// The task concerned, if any. A job is named by its first task.
     pub task: Option<task::Name>,
-    /// The worker, if it is about one.
+    /// The ID of the worker concerned, if any.
     pub worker: Option<String>,
-    /// What decided it.
+    /// The reason or details.
     pub why: String,
 }
 
 impl Pool {
-    /// A pool of which nothing is known.
+    /// Returns a pool without workers and jobs.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Applies what the configuration says of queues.
+    /// Sets the configuration of the queues.
     pub fn set_queues(&mut self, queues: HashMap<String, Queue>) {
         self.queues = queues;
     }
@@ -189,25 +189,26 @@
         self.config.fence
     }
 
-    /// Whether a worker said that another owner has taken over.
+    /// Returns whether a worker has reported an owner with a higher fence.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Where a job stands, as it may be told: an end only once it is written.
+    /// Returns the state of a job. A job that has ended is reported as running until its end is
+    /// written.
     pub fn state(&self, id: JobId) -> Option<State> {
         let state = self.entry(id)?.state;
         Some(if self.is_ending(id) { State::Running } else { state })
     }
 
-    /// Whether a job is over, and it isn't known whether that is written yet: it may
-    /// be, with the answer lost or late.
+    /// Returns whether a job has ended and its end is not known to be written. It may be
+    /// written already, if the answer of the store was lost or is late.
     pub fn is_ending(&self, id: JobId) -> bool {
         self.entry(id)
             .is_some_and(|entry| entry.state.is_final() && entry.written_version < entry.version)
     }
 
-    /// Whether a task is known to be done.
+    /// Returns whether a task is known to be done.
     pub fn is_done(&self, name: task::Name) -> bool {
         let Some(entry) = self.entry(name.job) else { return false };
         let task = entry.task(name);
@@ -216,13 +217,13 @@
         })
     }
 
-    /// How many jobs of `queue` have no started task.
+    /// Returns the number of jobs of `queue` without a started task.
     pub fn queued_jobs(&self, queue: &str) -> usize {
         let is_queued = |entry: &&Entry| entry.queue == queue && entry.state == State::Queued;
         self.jobs.values().filter(is_queued).count()
     }
 
-    /// What happened since the last call, for the log.
+    /// Returns and clears the events since the last call.
     pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
@@ -251,7 +252,7 @@
         self.queues.get(name).cloned().unwrap_or_default()
     }
 
-    /// How long a task of a step will take.
+    /// Returns the predicted duration of a task of a step, in milliseconds.
     fn predict(&self, queue: &str, step: &crate::job::Step) -> u64 {
         let estimate = self.estimates.get(queue);
         estimate.map_or(step.estimate_ms, |estimate| estimate.predict(step.estimate_ms))
@@ -262,8 +263,9 @@
         (self.config.fence << RUN_BITS) + self.start_count
     }
 
-    /// Whether a predecessor's run may still be alive where this owner can't
-    /// look. Tasks that a predecessor may have started wait until then.
+    /// Returns whether a run that a predecessor started may still be alive on a worker that
+    /// this owner can't reach. Until then, tasks that a predecessor may have started are not
+    /// started.
     pub fn is_recovering(&self, now: Time) -> bool {
         self.workers.values().any(|worker| !worker.fenced && now < worker.inherited_until)
     }
--- a/crates/jobs/src/pool/advice.rs
+++ b/crates/jobs/src/pool/advice.rs
@@ -134,11 +134,12 @@
     fn steps_where(&self, is_meant: impl Fn(&StepAdvice, bool) -> bool) -> Vec<StepKey> {
         let mut step_keys = Vec::new();
         for (job, entry) in self.jobs.iter().filter(|(_, entry)| !entry.state.is_final()) {
-            for (occurrence, row) in &entry.occurrences {
-                for (step, state) in row.steps.iter().enumerate() {
-                    let is_next = entry.steps.get(step).is_some_and(|step| row.is_next(step));
+            for (number, occurrence) in &entry.occurrences {
+                for (step, state) in occurrence.steps.iter().enumerate() {
+                    let is_next =
+                        entry.steps.get(step).is_some_and(|step| occurrence.is_next(step));
                     if is_meant(&state.advice, is_next) {
-                        step_keys.push(StepKey { job, occurrence: *occurrence, step });
+                        step_keys.push(StepKey { job, occurrence: *number, step });
                     }
                 }
             }
@@ -268,12 +269,12 @@
 
 impl super::entry::Entry {
     pub(super) fn advice(&self, task: task::Name) -> Option<&StepAdvice> {
-        let row = self.occurrences.get(&task.occurrence)?;
-        row.steps.get(task.step as usize).map(|state| &state.advice)
+        let occurrence = self.occurrences.get(&task.occurrence)?;
+        occurrence.steps.get(task.step as usize).map(|state| &state.advice)
     }
 
     fn advice_mut(&mut self, task: task::Name) -> Option<&mut StepAdvice> {
-        let row = self.occurrences.get_mut(&task.occurrence)?;
-        row.steps.get_mut(task.step as usize).map(|state| &mut state.advice)
+        let occurrence = self.occurrences.get_mut(&task.occurrence)?;
+        occurrence.steps.get_mut(task.step as usize).map(|state| &mut state.advice)
     }
 }
--- a/crates/jobs/src/pool/batch.rs
+++ b/crates/jobs/src/pool/batch.rs
@@ -1,4 +1,4 @@
-//! What has to be written, in batches.
+//! Batches of changes to write to the store.
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 use crate::record::Progress;
 use crate::worker;
 
-/// How long an end that nobody waits for may stay unwritten. A worker lists it
-/// until then, and a look that waits for ends returns at once as long as one is
-/// listed: a longer pause costs looks (a hundredfold on busy workers, counted in
-/// the worker histogram), a shorter one writes.
+/// How long an end that no caller waits for may stay unwritten. A worker lists an end until it
+/// is written, and a poll that waits for ends returns at once while one is listed. A longer
+/// delay costs polls (a hundredfold on busy workers, counted in the worker histogram), a
+/// shorter one costs writes.
 pub(super) const WRITE_DELAY: Duration = Duration::from_millis(120);
 
-/// A job's row of a batch.
+/// A changed job in a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
     /// The job.
     pub id: JobId,
-    /// How far it is.
+    /// The progress to write.
     pub progress: Progress,
     version: u64,
 }
 
-/// Changes to be written all or nothing.
+/// Changes to write in one transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// How far jobs are. The record of one that ended goes in the same write.
+    /// Progress of jobs. The record of a job that has ended is removed in the same transaction.
     pub updates: Vec<Update>,
-    /// Jobs to be forgotten.
+    /// Jobs whose progress is deleted.
     pub deletions: Vec<JobId>,
 }
 
 impl Batch {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.updates.is_empty() && self.deletions.is_empty()
     }
 }
 
 impl Pool {
-    /// What is to be written now, at most `most` keys. `wall_ms` is the time of
-    /// day, kept with ends.
-    pub fn next_batch(&mut self, now: Time, wall_ms: u64, most: usize) -> Batch {
+    /// Returns the changes to write now, at most `max_keys` keys. `wall_ms` is the time of day,
+    /// which is stored as the end of jobs.
+    pub fn next_batch(&mut self, now: Time, wall_ms: u64, max_keys: usize) -> Batch {
         let mut batch = Batch::default();
         let mut keys = 0;
         let due: Vec<JobId> =
             self.dirty.iter().take_while(|(at, _)| *at <= now).map(|(_, id)| *id).collect();
         if due.is_empty() {
-            self.delete_old(now, most, &mut batch);
+            self.delete_old(now, max_keys, &mut batch);
             return batch;
         }
-        // Once a write is due, what could wait goes with it for nothing.
+        // Once one write is due, later ones are included at no extra cost.
         let all: Vec<JobId> = self.dirty.iter().map(|(_, id)| *id).collect();
         for id in all {
             let Some(entry) = self.entry_mut(id) else { continue };
@@ -61,7 +61,7 @@
                 entry.ended_ms = wall_ms;
             }
             keys += if entry.state.is_final() { 2 } else { 1 };
-            if keys > most {
+            if keys > max_keys {
                 break;
             }
             batch.updates.push(Update { id, progress: entry.progress(), version: entry.version });
@@ -69,26 +69,26 @@
         batch
     }
 
-    /// Whether nothing is left to write.
+    /// Returns whether all changes are written.
     pub fn is_all_written(&self) -> bool {
         self.dirty.is_empty()
     }
 
-    fn delete_old(&mut self, now: Time, most: usize, batch: &mut Batch) {
+    fn delete_old(&mut self, now: Time, max_keys: usize, batch: &mut Batch) {
         let remember = self.config.remember;
         let is_old = |ended: Option<Time>| ended.is_some_and(|at| now - at > remember);
         let old = self.jobs.values().filter(|e| is_old(e.ended) && e.written_version == e.version);
-        batch.deletions = old.map(|entry| entry.id).take(most / 2).collect();
-        // A write for one or two is not worth its price.
-        if batch.deletions.len() < most / 4 {
+        batch.deletions = old.map(|entry| entry.id).take(max_keys / 2).collect();
+        // A transaction for a few deletions isn't worth its cost.
+        if batch.deletions.len() < max_keys / 4 {
             batch.deletions.clear();
         }
     }
 
-    /// Takes in that a batch was written.
+    /// Records that a batch was written.
     pub fn confirm_batch(&mut self, batch: &Batch) {
-        for row in &batch.updates {
-            self.confirm_update(row);
+        for update in &batch.updates {
+            self.confirm_update(update);
         }
         for id in &batch.deletions {
             if let Some(key) = self.by_job.remove(id) {
@@ -101,11 +101,11 @@
         }
     }
 
-    fn confirm_update(&mut self, row: &Update) {
-        let Some(entry) = self.entry_mut(row.id) else { return };
-        entry.written_version = entry.written_version.max(row.version);
+    fn confirm_update(&mut self, update: &Update) {
+        let Some(entry) = self.entry_mut(update.id) else { return };
+        entry.written_version = entry.written_version.max(update.version);
         if entry.written_version == entry.version {
-            self.dirty.retain(|(_, id)| *id != row.id);
+            self.dirty.retain(|(_, id)| *id != update.id);
         }
     }
 }
--- a/crates/jobs/src/pool/choose.rs
+++ b/crates/jobs/src/pool/choose.rs
@@ -84,8 +84,8 @@
     /// no longer than it has to.
     pub(super) fn may_wait_for_rack(&self, now: Time, name: task::Name, step: &Step) -> bool {
         let Some(entry) = self.entry(name.job) else { return false };
-        let row = entry.occurrences.get(&name.occurrence);
-        let state = row.and_then(|row| row.steps.get(name.step as usize));
+        let occurrence = entry.occurrences.get(&name.occurrence);
+        let state = occurrence.and_then(|occurrence| occurrence.steps.get(name.step as usize));
         let since = state.and_then(|state| state.waiting_since).unwrap_or(now);
         let takes = Duration::from_millis(self.predict(&entry.queue, step));
         let saved = takes.mul_f64(self.config.remote_factor - 1.0);
--- a/crates/jobs/src/pool/crash.rs
+++ b/crates/jobs/src/pool/crash.rs
@@ -101,9 +101,11 @@
             let Some(entry) = self.entry(name.job).filter(|entry| !entry.state.is_final()) else {
                 continue;
             };
-            let place = entry.placement(*name).filter(|place| place.worker == key);
-            if let Some(place) = place.filter(|place| place.running_for(heard) < age) {
-                runs.push((self.crash_counted_task(*name), place.run));
+            let placement = entry.placement(*name).filter(|placement| placement.worker == key);
+            if let Some(placement) =
+                placement.filter(|placement| placement.running_for(heard) < age)
+            {
+                runs.push((self.crash_counted_task(*name), placement.run));
             }
         }
         runs.sort_unstable();
@@ -189,10 +191,10 @@
     /// How long a suspect had been running when its worker last answered; `None` if it is
     /// no longer on that worker.
     fn suspect_age(&self, name: task::Name, suspect: &Suspect) -> Option<Duration> {
-        let place = self.entry(name.job)?.placement(name)?;
+        let placement = self.entry(name.job)?.placement(name)?;
         let heard = self.workers.get(suspect.worker)?.last_heard();
-        let is_same_run = place.worker == suspect.worker && place.run == suspect.run;
-        is_same_run.then(|| place.running_for(heard))
+        let is_same_run = placement.worker == suspect.worker && placement.run == suspect.run;
+        is_same_run.then(|| placement.running_for(heard))
     }
 
     fn clear_crashes(&mut self, now: Time, name: task::Name) {
--- a/crates/jobs/src/pool/departed.rs
+++ b/crates/jobs/src/pool/departed.rs
@@ -1,4 +1,4 @@
-//! Lives of workers that are taken to be over.
+//! Worker instances that are considered ended.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,24 +7,23 @@
 
 use crate::worker::Registration;
 
-/// Lives that are remembered.
+/// Maximum number of remembered instances.
 const MAX_INSTANCES: usize = 512;
-/// How long after its end a life's entry may still change: a heartbeat of before
-/// may be told late. A worker writes one each second and a half, so that one that
-/// lives is believed again within some five seconds.
+/// How long after the end of an instance its entry may still change, since an earlier heartbeat
+/// may be reported late. A worker sends one every 1.5 s, so an instance that is alive is
+/// accepted again within about 5 s.
 const LATE_UPDATE: Duration = Duration::from_millis(3_000);
 
-/// Lives that are over, oldest first.
+/// Worker instances that have ended, oldest first. The list of workers lags and includes an
+/// instance for seconds after its end. If it were added again, it would be polled in vain and
+/// written into the roster.
 ///
-/// The list of workers lags and names a life for seconds after its end. Taken
-/// for a worker, it would be asked in vain and written into the roster.
-///
-/// That a life is over is not certain: one that is silent past its lease and not
-/// listed may be cut off, and the answer to an order for a VM that was carried out
-/// before may be taken for the end of the life that came after. Kept for good, such
-/// a worker would stand idle, beside jobs that wait, for as long as its pool's owner
-/// lives. One whose entry changes later than any heartbeat of before is believed
-/// again: if it is over all the same, a look in vain is all that this costs.
+/// An instance may be alive although it is recorded here: one that is silent past its lease and
+/// not listed may be partitioned, and an answer that confirms an earlier order for a VM may be
+/// mistaken for the end of a later instance. If such a worker were excluded for good, it would
+/// idle while jobs wait, until the pool gets a new owner. An instance whose entry changes later
+/// than any earlier heartbeat could explain is therefore accepted again. If it has ended after
+/// all, the only cost is a failed poll.
 #[derive(Debug, Default)]
 pub(super) struct EndedInstances {
     instances: VecDeque<EndedInstance>,
@@ -34,12 +33,12 @@
 struct EndedInstance {
     id: String,
     since: Time,
-    /// The newest entry of it that was told within [`LATE`].
+    /// The highest revision of its entry that was seen within [`LATE_UPDATE`] of its end.
     revision: u64,
 }
 
 impl EndedInstances {
-    /// Takes a life to be over.
+    /// Records the end of an instance.
     pub fn add(&mut self, now: Time, id: String) {
         self.instances.push_back(EndedInstance { id, since: now, revision: 0 });
         if self.instances.len() > MAX_INSTANCES {
@@ -47,7 +46,8 @@
         }
     }
 
-    /// Whether an entry is of a life that is over, as far as that is known.
+    /// Returns whether an entry belongs to an instance that is considered ended. An instance
+    /// whose entry has changed since is forgotten.
     pub fn is_ended(&mut self, now: Time, entry: &Registration) -> bool {
         let Some(at) = self.instances.iter().position(|instance| instance.id == entry.id) else {
             return false;
@@ -61,8 +61,8 @@
             return true;
         }
         if instance.revision == 0 {
-            // The first that is told of it since: what it may have been before
-            // isn't known, so the next change counts.
+            // This is the first entry since the end. Earlier revisions are unknown, so only the
+            // next change counts.
             instance.revision = entry.revision;
             return true;
         }
--- a/crates/jobs/src/pool/entry.rs
+++ b/crates/jobs/src/pool/entry.rs
@@ -216,7 +216,7 @@
             matches!(task.state, TaskState::Waiting)
                 && now - task.not_before.max(self.known_since) > UNPLACED_AFTER
         };
-        let steps = self.occurrences.values().flat_map(|row| &row.steps);
+        let steps = self.occurrences.values().flat_map(|occurrence| &occurrence.steps);
         let unfit = steps.flat_map(|state| &state.tasks).filter(is_unfit).count();
         u32::try_from(unfit).unwrap_or(u32::MAX)
     }
@@ -224,11 +224,11 @@
     /// Names of the tasks that are on a worker.
     pub fn placed_tasks(&self) -> Vec<task::Name> {
         let mut names = Vec::new();
-        for (occurrence, row) in &self.occurrences {
-            for (step, state) in row.steps.iter().enumerate() {
+        for (number, occurrence) in &self.occurrences {
+            for (step, state) in occurrence.steps.iter().enumerate() {
                 for (index, task) in state.tasks.iter().enumerate() {
                     if matches!(task.state, TaskState::Placed(_)) {
-                        names.push(name(self.id, *occurrence, step, index));
+                        names.push(name(self.id, *number, step, index));
                     }
                 }
             }
--- a/crates/jobs/src/pool/evacuate.rs
+++ b/crates/jobs/src/pool/evacuate.rs
@@ -1,4 +1,4 @@
-//! Tasks that have to go elsewhere: their worker leaves, or they don't move on.
+//! Tasks that have to leave their worker, because the worker leaves or they make no progress.
 
 use std::time::Duration;
 
@@ -12,35 +12,35 @@
 use crate::task;
 use crate::worker::{self, Worker};
 
-/// How long a task may show no progress before it counts as stalled, beside a
-/// fortieth of its estimate: looks come every second, and progress is told in
-/// whole percents.
+/// How long a task may show no progress until it counts as stalled, in addition to a fortieth
+/// of its estimate: workers are polled every second, and progress is reported in whole
+/// percents.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// How long a task that lasts may take to be at work.
+/// How long a long-running task may take to become ready.
 const STARTUP_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// How long after its begin an owner stops nothing that lasts: a stop takes up
-/// to 0.9 s where it takes longest, and the order its way.
+/// How long a new owner stops no long-running tasks. A stop by its predecessor takes up to 0.9
+/// s in the slowest case, plus the delivery of the order.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
-/// How long work that few workers can run waits before lasting tasks make room
-/// for it: longer than it takes to move such a worker into the pool.
+/// How long a step that few workers can run waits until long-running tasks are moved out of its
+/// way. This is longer than moving a suitable worker into the pool takes.
 pub(super) const BLOCKED_AFTER: Duration = Duration::from_millis(2_500);
-/// The percentage at which a task that lasts is at work.
+/// The percentage at which a long-running task is ready.
 const READY_PERCENT: u32 = 100;
 
 impl Pool {
-    /// Asks for the stop of tasks that stand still though their worker answers.
+    /// Stops tasks that make no progress although their worker responds.
     ///
-    /// A worker whose tasks all stand still answers looks like a sound one, and
-    /// would hold them until their callers gave up.
+    /// A worker whose tasks all stall looks healthy and would hold them until their callers
+    /// gave up.
     pub(super) fn stop_stalled(&mut self, now: Time) {
         let mut stalled = Vec::new();
         for entry in self.jobs.values().filter(|entry| !entry.state.is_final()) {
             for name in entry.placed_tasks() {
-                if let (Some(step), Some(place)) = (entry.step(name), entry.placement(name))
-                    && is_stalled(now, step, place)
-                    && self.workers.get(place.worker).is_some_and(worker::Worker::is_responsive)
+                if let (Some(step), Some(placement)) = (entry.step(name), entry.placement(name))
+                    && is_stalled(now, step, placement)
+                    && self.workers.get(placement.worker).is_some_and(worker::Worker::is_responsive)
                 {
-                    stalled.push((name, place.worker, place.percent));
+                    stalled.push((name, placement.worker, placement.percent));
                 }
             }
         }
@@ -49,16 +49,21 @@
             if let Some(worker) = self.workers.get_mut(key) {
                 worker.avoid_until = now + AVOID_TIME;
             }
-            self.note("task stalled", Some(name), Some(key), format!("stands at {percent}%"));
+            self.note(
+                "task stalled",
+                Some(name),
+                Some(key),
+                format!("no progress beyond {percent}%"),
+            );
         }
     }
 
-    /// Asks for the stop of lasting tasks on workers that leave, within what
-    /// their step may miss, where there is room for them elsewhere.
+    /// Stops long-running tasks on workers that are to leave, within the limit of unavailable
+    /// tasks of their step and where they have room elsewhere.
     ///
-    /// Not in the first moments of an owner: a stop that its predecessor ordered
-    /// may be under way, and the task is listed at work until it has ended. It
-    /// would stop one task more than may be away.
+    /// A new owner waits at first: a stop that its predecessor ordered may be under way, and
+    /// until it has ended the task is listed as ready. One task too many would become
+    /// unavailable.
     pub(super) fn evacuate(&mut self, now: Time) {
         let begun = *self.first_planned.get_or_insert(now);
         if now - begun < SETTLE_TIME {
@@ -73,11 +78,11 @@
         for key in leaving {
             let Some(worker) = self.workers.get(key) else { continue };
             let names = worker.allocations.keys().copied().collect();
-            self.evacuate_tasks(now, key, names, "its worker is to leave");
+            self.evacuate_tasks(now, key, names, "its worker is about to leave or be maintained");
         }
         if let Some(key) = self.worker_to_unblock(now) {
             let names = self.workers.get(key).map(|worker| self.movable(worker));
-            let why = "work waits that few workers can run";
+            let why = "its room is needed for a step that few workers can run";
             self.evacuate_tasks(now, key, names.unwrap_or_default(), why);
         }
     }
@@ -95,29 +100,32 @@
         }
     }
 
-    /// A worker that work needs which only few can run, and whose room lasting
-    /// tasks take that could run anywhere.
+    /// Returns a worker that a blocked step needs because few workers have the required
+    /// feature, and that has too little room only because of long-running tasks that could run
+    /// anywhere.
     ///
-    /// Lasting tasks are there first and stay for good: without this, work that
-    /// needs a label waits for ever beside workers that stand idle.
+    /// Without this, a step that needs a label would wait forever beside idle workers, because
+    /// long-running tasks never release their room.
     fn worker_to_unblock(&self, now: Time) -> Option<worker::Key> {
         let is_blocked = |state: &StepState| {
             state.waiting_since.is_some_and(|since| now - since > BLOCKED_AFTER)
         };
-        let waiting =
+        let blocked =
             self.jobs.values().filter(|entry| !entry.state.is_final()).find_map(|entry| {
-                let steps =
-                    entry.occurrences.values().flat_map(|row| entry.steps.iter().zip(&row.steps));
+                let steps = entry
+                    .occurrences
+                    .values()
+                    .flat_map(|occurrence| entry.steps.iter().zip(&occurrence.steps));
                 steps
                     .filter(|(_, state)| state.waiting > 0 && is_blocked(state))
                     .find_map(|(step, _)| Some((Feature::of(step)?, step.room())))
             });
-        let (feature, needed) = waiting?;
+        let (feature, needed) = blocked?;
         let has =
             |worker: &Worker| worker.is_usable(now) && feature.is_had(&worker.labels, &worker.room);
-        let having = self.workers.iter().filter(|(_, worker)| has(worker));
-        // The one that comes free by the fewest moves.
-        let movable = having.filter_map(|(key, worker)| {
+        let candidates = self.workers.iter().filter(|(_, worker)| has(worker));
+        // Prefers the worker that needs the fewest moves.
+        let movable = candidates.filter_map(|(key, worker)| {
             let lasting = self.movable(worker);
             let mut kept = worker.occupied(|_| false);
             lasting.iter().for_each(|name| kept.sub(&worker.allocations[name].room));
@@ -126,7 +134,7 @@
         movable.filter(|(count, _)| *count > 0).min().map(|(_, key)| key)
     }
 
-    /// Lasting tasks there that could run on any worker.
+    /// Returns the long-running tasks on a worker that could run on any worker.
     fn movable(&self, worker: &Worker) -> Vec<task::Name> {
         let is_movable = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
@@ -137,34 +145,36 @@
 
     fn evacuate_task(&mut self, now: Time, key: worker::Key, name: task::Name, why: &str) {
         let Some(entry) = self.entry(name.job) else { return };
-        let (Some(step), Some(place)) = (entry.step(name), entry.placement(name)) else { return };
-        let is_running = matches!(place.phase, Phase::Running { .. });
-        if place.worker != key
+        let (Some(step), Some(placement)) = (entry.step(name), entry.placement(name)) else {
+            return;
+        };
+        let is_running = matches!(placement.phase, Phase::Running { .. });
+        if placement.worker != key
             || !is_running
             || !step.long_running
             || !self.may_disrupt(entry, name, step)
         {
             return;
         }
-        let place = self.choose(now, name, step, None);
-        if place.is_none() && !self.may_wait_for_maintenance(now, key, name, step) {
+        let placement = self.choose(now, name, step, None);
+        if placement.is_none() && !self.may_wait_for_maintenance(now, key, name, step) {
             return self.want_advice(name);
         }
         let step = step.clone();
         self.request_stop(now, name);
-        if let Some(key) = place.filter(|_| !step.gang) {
-            self.reserve(name, key, &step, "it is stopped to move there");
+        if let Some(key) = placement.filter(|_| !step.gang) {
+            self.reserve(name, key, &step, "the task is being moved there");
         }
         self.note("task evacuated", Some(name), Some(key), why.to_owned());
     }
 
-    /// Whether a task that has nowhere to go may be away for as long as the
-    /// maintenance of its worker takes.
+    /// Returns whether a task without another place may be stopped for the duration of its
+    /// worker's maintenance.
     ///
-    /// A task that only this worker can run would keep it from its maintenance
-    /// for good, and from taking other work meanwhile. Where all of the step's
-    /// tasks there can't be away at once it stays: those that are left would
-    /// keep the worker, and the one that was stopped had no place at all.
+    /// A task that only this worker can run would otherwise delay the maintenance, and other
+    /// work on the worker, forever. If not all tasks of the step on this worker may be
+    /// unavailable at once, none is stopped: the remaining ones would still block the worker,
+    /// and the stopped one would have no place.
     fn may_wait_for_maintenance(
         &self,
         now: Time,
@@ -173,42 +183,43 @@
         step: &Step,
     ) -> bool {
         let Some(worker) = self.workers.get(key) else { return false };
-        let most = step.max_unavailable.unwrap_or(u32::MAX);
-        worker.is_stranded(now) && worker.siblings(name) <= most
+        let max_unavailable = step.max_unavailable.unwrap_or(u32::MAX);
+        worker.is_stranded(now) && worker.siblings(name) <= max_unavailable
     }
 
-    /// Whether a stop leaves enough of the step at work.
+    /// Returns whether a task may be stopped without exceeding the limit of unavailable tasks
+    /// of its step.
     ///
-    /// A task counts as away from the first look on that its worker doesn't
-    /// answer. What was last heard of it would have it at work for as long as
-    /// the worker's lease, and one task more than may be would be stopped.
+    /// A task counts as unavailable from the first unanswered poll of its worker on. Its last
+    /// known state would count it as ready until the worker's lease ends, and one task too many
+    /// would be stopped.
     fn may_disrupt(&self, entry: &Entry, name: task::Name, step: &Step) -> bool {
         let Some(may_miss) = step.max_unavailable else { return true };
-        let is_at_work = |place: &Placement| {
-            matches!(place.phase, Phase::Running { .. })
-                && place.percent == READY_PERCENT
-                && self.workers.get(place.worker).is_some_and(worker::Worker::is_responsive)
+        let is_ready = |placement: &Placement| {
+            matches!(placement.phase, Phase::Running { .. })
+                && placement.percent == READY_PERCENT
+                && self.workers.get(placement.worker).is_some_and(worker::Worker::is_responsive)
         };
         let Some(occurrence) = entry.occurrences.get(&name.occurrence) else { return true };
         let Some(state) = occurrence.steps.get(name.step as usize) else { return true };
         let others = state.tasks.iter().enumerate().filter(|(i, _)| *i != name.index as usize);
-        let away = others.filter(|(_, task)| match &task.state {
-            TaskState::Placed(place) => !is_at_work(place),
+        let unavailable = others.filter(|(_, task)| match &task.state {
+            TaskState::Placed(placement) => !is_ready(placement),
             _ => true,
         });
-        away.count() < may_miss as usize
+        unavailable.count() < may_miss as usize
     }
 }
 
-fn is_stalled(now: Time, step: &Step, place: &Placement) -> bool {
-    let Phase::Running { .. } = place.phase else { return false };
+fn is_stalled(now: Time, step: &Step, placement: &Placement) -> bool {
+    let Phase::Running { .. } = placement.phase else { return false };
     if step.gang || step.backfill {
         return false;
     }
     if step.long_running {
-        return place.percent < READY_PERCENT
-            && now - place.since > STARTUP_TIMEOUT
-            && now - place.progressed > STALL_TIMEOUT;
+        return placement.percent < READY_PERCENT
+            && now - placement.since > STARTUP_TIMEOUT
+            && now - placement.progressed > STALL_TIMEOUT;
     }
-    now - place.progressed > STALL_TIMEOUT + Duration::from_millis(step.estimate_ms / 40)
+    now - placement.progressed > STALL_TIMEOUT + Duration::from_millis(step.estimate_ms / 40)
 }
--- a/crates/jobs/src/pool/exits.rs
+++ b/crates/jobs/src/pool/exits.rs
@@ -65,12 +65,12 @@
         if !ended.saved.is_empty() {
             task.saved = Rc::from(ended.saved.as_str());
         }
-        let TaskState::Placed(place) = &task.state else { return None };
-        if place.worker != key || place.run != ended.run {
+        let TaskState::Placed(placement) = &task.state else { return None };
+        if placement.worker != key || placement.run != ended.run {
             return None;
         }
-        let since = place.since;
-        let why = format!("{:?} after {} ms", ended.outcome, worker::millis(now - place.since));
+        let since = placement.since;
+        let why = format!("{:?} after {} ms", ended.outcome, worker::millis(now - placement.since));
         entry.set_task_state(ended.task, TaskState::Waiting);
         if let Some(task) = entry.task_mut(ended.task) {
             task.not_before = now;
@@ -137,10 +137,10 @@
     /// and takes room until then: it is a stray from now on.
     fn mark_done(&mut self, now: Time, name: task::Name, is_member: bool) {
         let Some(entry) = self.entry_mut(name.job) else { return };
-        let place = entry.placement(name).map(|place| (place.worker, place.run));
+        let placement = entry.placement(name).map(|placement| (placement.worker, placement.run));
         entry.set_task_state(name, TaskState::Done);
         // Members of a gang end by themselves, together.
-        let Some((key, run)) = place.filter(|_| !is_member) else { return };
+        let Some((key, run)) = placement.filter(|_| !is_member) else { return };
         let Some(worker) = self.workers.get_mut(key) else { return };
         let stray =
             Stray { run, since: now, stop_sent: None, is_room_known: true, is_job_over: true };
--- a/crates/jobs/src/pool/explain.rs
+++ b/crates/jobs/src/pool/explain.rs
@@ -53,11 +53,11 @@
     pub fn explain(&self, now: Time, id: JobId) -> Option<Explained> {
         let entry = self.entry(id)?;
         let mut steps = Vec::new();
-        for (occurrence, row) in &entry.occurrences {
+        for (number, occurrence) in &entry.occurrences {
             for (step, state) in
-                row.steps.iter().enumerate().filter(|(_, state)| state.unfinished > 0)
+                occurrence.steps.iter().enumerate().filter(|(_, state)| state.unfinished > 0)
             {
-                steps.push(self.part(now, entry, (*occurrence, row), (step, state)));
+                steps.push(self.part(now, entry, (*number, occurrence), (step, state)));
             }
         }
         let is_over = entry.state.is_final();
@@ -79,7 +79,7 @@
         &self,
         now: Time,
         entry: &Entry,
-        (occurrence, row): (u32, &Occurrence),
+        (number, occurrence): (u32, &Occurrence),
         (step, state): (usize, &StepState),
     ) -> Part {
         let placed =
@@ -87,16 +87,16 @@
         let why = if state.waiting == 0 {
             String::new()
         } else {
-            self.why(now, entry, (occurrence, row), step)
+            self.why(now, entry, (number, occurrence), step)
         };
-        let task = name(entry.id, occurrence, step, 0);
+        let task = name(entry.id, number, step, 0);
         Part {
-            occurrence,
+            occurrence: number,
             step: task.step,
             waiting: state.waiting,
             placed: u32::try_from(placed).unwrap_or(u32::MAX),
             left: state.unfinished,
-            in_time_for_ms: millis(entry.deadline(row) - now),
+            in_time_for_ms: millis(entry.deadline(occurrence) - now),
             why,
         }
     }
@@ -106,11 +106,11 @@
         &self,
         now: Time,
         entry: &Entry,
-        (occurrence, row): (u32, &Occurrence),
+        (number, occurrence): (u32, &Occurrence),
         index: usize,
     ) -> String {
         let Some(step) = entry.steps.get(index) else { return String::new() };
-        if !row.is_ready(step) {
+        if !occurrence.is_ready(step) {
             return format!("runs after the steps {:?}, which are not all done", step.after);
         }
         if self.is_recovering(now) && entry.revision <= self.config.fence {
@@ -122,10 +122,10 @@
         if fit.is_empty() {
             return self.why_none_fits(now, step);
         }
-        if row.steps.get(index).is_some_and(|state| state.advice.is_query_pending()) {
+        if occurrence.steps.get(index).is_some_and(|state| state.advice.is_query_pending()) {
             return "advice on which workers may run it was asked and not told yet".to_owned();
         }
-        let task = name(entry.id, occurrence, index, 0);
+        let task = name(entry.id, number, index, 0);
         let occupied = |worker: &Worker| worker.occupied(|kept| kept.is_sibling(&task));
         let has_room = |worker: &&&Worker| worker.room.fits(&occupied(worker), &step.room());
         let with_room = fit.iter().filter(has_room).count();
--- a/crates/jobs/src/pool/jobs.rs
+++ b/crates/jobs/src/pool/jobs.rs
@@ -165,10 +165,10 @@
         let Some(task) = self.entry_mut(name.job).and_then(|entry| entry.task_mut(name)) else {
             return;
         };
-        if let TaskState::Placed(place) = &mut task.state
-            && !matches!(place.phase, Phase::Stopping { .. })
+        if let TaskState::Placed(placement) = &mut task.state
+            && !matches!(placement.phase, Phase::Stopping { .. })
         {
-            place.phase = Phase::Stopping { retry_at: now, confirmed: None };
+            placement.phase = Phase::Stopping { retry_at: now, confirmed: None };
         }
     }
 
--- a/crates/jobs/src/pool/load.rs
+++ b/crates/jobs/src/pool/load.rs
@@ -78,9 +78,9 @@
                 load.lasting.add(&entry.room_left());
                 continue;
             }
-            for row in entry.occurrences.values() {
-                self.add_workload(now, entry, row, &mut workload);
-                largest = largest.max(&entry.largest_gang(row));
+            for occurrence in entry.occurrences.values() {
+                self.add_workload(now, entry, occurrence, &mut workload);
+                largest = largest.max(&entry.largest_gang(occurrence));
             }
         }
         let flow = self.flow.rate(now);
@@ -90,20 +90,26 @@
     }
 
     /// Adds what runs and waits of an occurrence.
-    fn add_workload(&self, now: Time, entry: &Entry, row: &Occurrence, workload: &mut Workload) {
+    fn add_workload(
+        &self,
+        now: Time,
+        entry: &Entry,
+        occurrence: &Occurrence,
+        workload: &mut Workload,
+    ) {
         let predict = |step: &Step| Duration::from_millis(self.predict(&entry.queue, step));
         let takes: Vec<Duration> = entry.steps.iter().map(predict).collect();
         let left = chain_ms(&entry.steps, |index, _| {
-            if row.is_open(index) { worker::millis(takes[index]) } else { 0 }
+            if occurrence.is_open(index) { worker::millis(takes[index]) } else { 0 }
         });
         let end = now + Duration::from_millis(left);
-        let within = if end > entry.deadline(row) {
+        let within = if end > entry.deadline(occurrence) {
             LATE_HORIZON
         } else {
-            (entry.deadline(row) - end).max(MIN_HORIZON)
+            (entry.deadline(occurrence) - end).max(MIN_HORIZON)
         };
-        for (index, (step, state)) in entry.steps.iter().zip(&row.steps).enumerate() {
-            if !row.is_ready(step) {
+        for (index, (step, state)) in entry.steps.iter().zip(&occurrence.steps).enumerate() {
+            if !occurrence.is_ready(step) {
                 continue;
             }
             let room = step.room();
@@ -125,7 +131,10 @@
     /// for the last of these reasons alone.
     fn unrunnable(&self, now: Time, entry: &Entry) -> (u32, u32) {
         let (mut unrunnable, mut refused) = (0, 0);
-        let steps = entry.occurrences.values().flat_map(|row| entry.steps.iter().zip(&row.steps));
+        let steps = entry
+            .occurrences
+            .values()
+            .flat_map(|occurrence| entry.steps.iter().zip(&occurrence.steps));
         for (step, state) in steps {
             let is_blocked =
                 state.waiting_since.is_some_and(|since| now - since > evacuate::BLOCKED_AFTER);
@@ -155,8 +164,8 @@
             step.is_some_and(|step| step.long_running)
         };
         let mut room = Room::default();
-        let allocations = worker.allocations.iter().filter(|(name, _)| is_lasting(name));
-        allocations.for_each(|(_, allocations)| room.add(&allocations.room));
+        let long_running = worker.allocations.iter().filter(|(name, _)| is_lasting(name));
+        long_running.for_each(|(_, allocation)| room.add(&allocation.room));
         worker.reserved.values().for_each(|kept| room.add(kept));
         room
     }
@@ -200,9 +209,9 @@
 impl Entry {
     /// Adds what its tasks wait for whose turn has come.
     fn add_waiting(&self, waiting: &mut Room) {
-        for row in self.occurrences.values() {
-            for (step, state) in self.steps.iter().zip(&row.steps) {
-                if row.is_ready(step) {
+        for occurrence in self.occurrences.values() {
+            for (step, state) in self.steps.iter().zip(&occurrence.steps) {
+                if occurrence.is_ready(step) {
                     waiting.add(&step.room().times(state.waiting));
                 }
             }
@@ -212,15 +221,18 @@
     /// What all tasks take that aren't done.
     fn room_left(&self) -> Room {
         let mut room = Room::default();
-        let steps = self.occurrences.values().flat_map(|row| self.steps.iter().zip(&row.steps));
+        let steps = self
+            .occurrences
+            .values()
+            .flat_map(|occurrence| self.steps.iter().zip(&occurrence.steps));
         steps.for_each(|(step, state)| room.add(&step.room().times(state.unfinished)));
         room
     }
 
     /// What the widest gang takes whose turn has come: it starts as a whole.
-    fn largest_gang(&self, row: &Occurrence) -> Work {
-        let gangs = self.steps.iter().zip(&row.steps).filter(|(step, _)| step.gang);
-        let ready = gangs.filter(|(step, state)| state.unfinished > 0 && row.is_ready(step));
+    fn largest_gang(&self, occurrence: &Occurrence) -> Work {
+        let gangs = self.steps.iter().zip(&occurrence.steps).filter(|(step, _)| step.gang);
+        let ready = gangs.filter(|(step, state)| state.unfinished > 0 && occurrence.is_ready(step));
         let room = |(step, _): (&Step, _)| Work::of(&step.room().times(step.count), ONE_SECOND);
         ready.map(room).fold(Work::default(), |most, room| most.max(&room))
     }
--- a/crates/jobs/src/pool/order.rs
+++ b/crates/jobs/src/pool/order.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, and what their answers mean.
+//! Orders to workers, and the handling of their answers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,10 +13,10 @@
 use crate::task;
 use crate::worker::{self, Worker};
 
-/// When an order without an answer is sent again: an answer takes a few
-/// milliseconds, and a repeated order is harmless.
+/// Delay until an unanswered order is sent again. An answer takes a few milliseconds, and
+/// orders are idempotent.
 const RESEND_DELAY: Duration = Duration::from_millis(400);
-/// The pause after a worker said that it has no room.
+/// Delay until a task is started again after a worker refused it for lack of room.
 const NO_ROOM_DELAY: Duration = Duration::from_millis(200);
 
 /// An order to a worker.
@@ -24,67 +24,67 @@
 pub struct Order {
     /// The worker.
     pub worker: worker::Key,
-    /// One life of it.
+    /// The ID of the worker instance.
     pub id: String,
-    /// Where it answers.
+    /// The address of the worker.
     pub address: SocketAddr,
     /// The owner's fence.
     pub fence: u64,
     /// The task.
     pub task: task::Name,
-    /// The number of the start.
+    /// The number of the run.
     pub run: u64,
-    /// What to do with it.
+    /// The requested action.
     pub action: Action,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start the task, under a lease until `deadline_ms` on the worker's clock.
+    /// Start the task under a lease.
     Start {
-        /// What to run.
+        /// The job's spec.
         spec: Rc<str>,
-        /// The end of the lease.
+        /// The end of the lease, in milliseconds on the worker's clock.
         deadline_ms: u64,
-        /// Progress to go on from; empty to begin anew.
+        /// Saved progress to resume from; empty to start from the beginning.
         saved: Rc<str>,
-        /// What says that the worker may run it, where that is asked for.
+        /// The ticket that permits the worker to run the task, if the queue requires one.
         ticket: Option<Rc<str>>,
     },
-    /// Stop it.
+    /// Stop the task.
     Stop,
-    /// Let it work at this share of its speed, in percent.
+    /// Set the speed of a backfill task, in percent of full speed.
     Pace(u32),
 }
 
-/// A worker's answer to an order or a look.
+/// A worker's answer to an order or a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer<T> {
-    /// It is done, or was before.
+    /// The request was carried out, now or earlier.
     Done(T),
     /// Another owner has a higher fence; nothing was done.
     Fenced,
-    /// The run is not newer than one that ended or was stopped there.
+    /// The run is not newer than one that ended or was stopped on this worker.
     Old,
-    /// The lease had ended when the order came; nothing was done.
+    /// The lease had already expired; nothing was done.
     Late,
-    /// There is no room; nothing was done.
+    /// The worker lacks room; nothing was done.
     Full,
-    /// The ticket is missing, over, or for another life; nothing was done.
+    /// The ticket is missing, expired, or for another worker instance; nothing was done.
     Ticket,
-    /// It is refused as malformed.
+    /// The request was rejected as malformed.
     Refused,
     /// The worker is unhealthy; nothing was done.
     Unhealthy,
-    /// Another life of the worker answers; this one has ended.
+    /// The address belongs to another worker instance now; this one has ended.
     Gone,
-    /// No answer: it may have been done, or may still be.
+    /// No answer arrived: the request may have been carried out, or may still be.
     Lost,
 }
 
 impl Pool {
-    /// Takes in the answer to an order.
+    /// Handles the answer to an order.
     pub fn handle_order_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
         match answer {
             Answer::Fenced => return self.set_deposed(order.worker),
@@ -106,34 +106,34 @@
     }
 
     fn handle_start_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
-        let Some(place) = self.current_placement(order) else { return };
-        if !matches!(place.phase, Phase::Starting { .. }) {
+        let Some(placement) = self.current_placement(order) else { return };
+        if !matches!(placement.phase, Phase::Starting { .. }) {
             return;
         }
         match answer {
             Answer::Done(_) => {
-                place.phase = Phase::Running { confirmed: now };
-                place.progressed = now;
+                placement.phase = Phase::Running { confirmed: now };
+                placement.progressed = now;
                 let Some(entry) = self.entry_mut(order.task.job) else { return };
                 if entry.state == crate::record::State::Queued {
                     entry.state = crate::record::State::Running;
                 }
             }
-            // Whether it runs is not known: the same order is sent again, to the
-            // same worker, until an answer or a look tells, or its lease ends.
+            // It is not known whether the run started. The same order is sent to the same
+            // worker again until an answer or a poll settles it, or the lease ends.
             Answer::Lost | Answer::Late => {
-                place.phase = Phase::Starting { retry_at: now + RESEND_DELAY };
-                place.is_start_unconfirmed = true;
+                placement.phase = Phase::Starting { retry_at: now + RESEND_DELAY };
+                placement.is_start_unconfirmed = true;
             }
-            // The run was there and has ended: the next look lists how. Taken
-            // for a start that never ran, a task that is done would run again.
-            Answer::Old => place.phase = Phase::Running { confirmed: now },
-            // An earlier copy of this start may be carried out yet. The stop of
-            // the run bars it; only then may the task go elsewhere.
+            // The run has started and ended; the next poll lists its outcome. If it counted as
+            // never started, a task that is done would run again.
+            Answer::Old => placement.phase = Phase::Running { confirmed: now },
+            // An earlier copy of this order may still be carried out. Stopping the run prevents
+            // that; only then may the task start elsewhere.
             Answer::Full | Answer::Ticket | Answer::Refused | Answer::Unhealthy
-                if place.is_start_unconfirmed =>
+                if placement.is_start_unconfirmed =>
             {
-                place.phase = Phase::Stopping { retry_at: now, confirmed: None };
+                placement.phase = Phase::Stopping { retry_at: now, confirmed: None };
             }
             Answer::Full | Answer::Refused => self.undo_start(now, order, NO_ROOM_DELAY),
             Answer::Ticket => {
@@ -149,19 +149,19 @@
         }
     }
 
-    /// Takes back a start that was certainly not carried out.
+    /// Undoes a start that was certainly not carried out.
     fn undo_start(&mut self, now: Time, order: &Order, pause: Duration) {
         if let Some(worker) = self.workers.get_mut(order.worker) {
             worker.release(order.task, order.run);
         }
         self.requeue(order.task, now + pause);
-        let why = format!("run {} was refused", order.run);
+        let why = format!("the worker refused run {}", order.run);
         self.note("start refused", Some(order.task), Some(order.worker), why);
     }
 
     fn handle_stop_answer(&mut self, now: Time, order: &Order, answer: &Answer<u64>) {
-        if let Some(place) = self.current_placement(order)
-            && let Phase::Stopping { retry_at, confirmed } = &mut place.phase
+        if let Some(placement) = self.current_placement(order)
+            && let Phase::Stopping { retry_at, confirmed } = &mut placement.phase
         {
             *retry_at = now + RESEND_DELAY;
             if matches!(answer, Answer::Done(_)) {
@@ -171,16 +171,16 @@
     }
 
     fn handle_pace_answer(&mut self, order: &Order, percent: u32, answer: &Answer<u64>) {
-        if let Some(place) = self.current_placement(order)
+        if let Some(placement) = self.current_placement(order)
             && matches!(answer, Answer::Done(_))
         {
-            place.pace = percent;
+            placement.pace = percent;
         }
     }
 
     fn current_placement(&mut self, order: &Order) -> Option<&mut super::entry::Placement> {
-        let place = self.entry_mut(order.task.job)?.placement_mut(order.task)?;
-        (place.run == order.run && place.worker == order.worker).then_some(place)
+        let placement = self.entry_mut(order.task.job)?.placement_mut(order.task)?;
+        (placement.run == order.run && placement.worker == order.worker).then_some(placement)
     }
 
     pub(super) fn order(
@@ -203,17 +203,18 @@
         })
     }
 
-    /// Orders that have to be sent again, and stops that were asked for.
+    /// Sends unanswered starts and outstanding stops.
     pub(super) fn resend_orders(&mut self, now: Time, orders: &mut Vec<Order>) {
         let placed: Vec<task::Name> =
             self.jobs.values().flat_map(super::entry::Entry::placed_tasks).collect();
         for name in placed {
-            let Some(place) = self.entry(name.job).and_then(|entry| entry.placement(name)) else {
+            let Some(placement) = self.entry(name.job).and_then(|entry| entry.placement(name))
+            else {
                 continue;
             };
-            let (key, run) = (place.worker, place.run);
-            match place.phase {
-                // The room may have shrunk since the start was first sent, and the
+            let (key, run) = (placement.worker, placement.run);
+            match placement.phase {
+                // The worker's room may have shrunk since the start was first sent, and the
                 // worker may not check it.
                 Phase::Starting { retry_at } if now >= retry_at && self.is_overcommitted(key) => {
                     self.request_stop(now, name);
@@ -223,8 +224,8 @@
                 }
                 Phase::Stopping { retry_at, .. } if now >= retry_at => {
                     if let Some(entry) = self.entry_mut(name.job)
-                        && let Some(place) = entry.placement_mut(name)
-                        && let Phase::Stopping { retry_at, .. } = &mut place.phase
+                        && let Some(placement) = entry.placement_mut(name)
+                        && let Phase::Stopping { retry_at, .. } = &mut placement.phase
                     {
                         *retry_at = now + RESEND_DELAY;
                     }
@@ -245,12 +246,12 @@
         let spec = entry.spec.clone();
         let Some(task) = entry.task_mut(name) else { return };
         let saved = task.saved.clone();
-        let TaskState::Placed(place) = &mut task.state else { return };
-        place.phase = Phase::Starting { retry_at: now + RESEND_DELAY };
-        let (key, run) = (place.worker, place.run);
+        let TaskState::Placed(placement) = &mut task.state else { return };
+        placement.phase = Phase::Starting { retry_at: now + RESEND_DELAY };
+        let (key, run) = (placement.worker, placement.run);
         let lease = self.config.lease;
         let Some(worker) = self.workers.get_mut(key) else { return };
-        // A worker that doesn't answer gets nothing more; see `next_poll`.
+        // An unresponsive worker is granted no more leases; see `next_poll`.
         if worker.unanswered_polls >= 2 {
             return;
         }
--- a/crates/jobs/src/pool/pace.rs
+++ b/crates/jobs/src/pool/pace.rs
@@ -38,15 +38,15 @@
         let mut worst = None;
         for name in worker.allocations.keys() {
             let Some(entry) = self.entry(name.job) else { continue };
-            let (Some(step), Some(place)) = (entry.step(*name), entry.placement(*name)) else {
+            let (Some(step), Some(placement)) = (entry.step(*name), entry.placement(*name)) else {
                 continue;
             };
-            if !matches!(place.phase, Phase::Running { .. }) || place.worker != key {
+            if !matches!(placement.phase, Phase::Running { .. }) || placement.worker != key {
                 continue;
             }
             if step.backfill {
-                fills.push((*name, place.run, place.pace, place.pace_sent));
-            } else if let Some(share) = (place.gauge * 100).checked_div(step.target_ms) {
+                fills.push((*name, placement.run, placement.pace, placement.pace_sent));
+            } else if let Some(share) = (placement.gauge * 100).checked_div(step.target_ms) {
                 worst = worst.max(Some(share));
             }
         }
@@ -93,8 +93,10 @@
         pace: u32,
         orders: &mut Vec<Order>,
     ) {
-        if let Some(place) = self.entry_mut(name.job).and_then(|entry| entry.placement_mut(name)) {
-            place.pace_sent = now;
+        if let Some(placement) =
+            self.entry_mut(name.job).and_then(|entry| entry.placement_mut(name))
+        {
+            placement.pace_sent = now;
         }
         orders.extend(self.order(key, name, run, Action::Pace(pace)));
         self.note("task paced", Some(name), Some(key), format!("to {pace}%"));
--- a/crates/jobs/src/pool/plan.rs
+++ b/crates/jobs/src/pool/plan.rs
@@ -35,7 +35,7 @@
         self.resend_orders(now, &mut orders);
         self.stop_strays(now, &mut orders);
         self.pace(now, &mut orders);
-        self.place(now, &mut orders);
+        self.place_tasks(now, &mut orders);
         self.reserve_room(now);
         orders
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    fn place(&mut self, now: Time, orders: &mut Vec<Order>) {
+    fn place_tasks(&mut self, now: Time, orders: &mut Vec<Order>) {
         if !self.is_every_worker_polled() {
             return;
         }
@@ -124,8 +124,9 @@
     }
 
     fn step_state(&mut self, step_key: StepKey) -> Option<&mut StepState> {
-        let row = self.jobs.get_mut(step_key.job)?.occurrences.get_mut(&step_key.occurrence)?;
-        row.steps.get_mut(step_key.step)
+        let occurrence =
+            self.jobs.get_mut(step_key.job)?.occurrences.get_mut(&step_key.occurrence)?;
+        occurrence.steps.get_mut(step_key.step)
     }
 
     fn features_of(&self, step_keys: &[StepKey]) -> BTreeSet<Feature> {
--- a/crates/jobs/src/pool/progress.rs
+++ b/crates/jobs/src/pool/progress.rs
@@ -21,7 +21,7 @@
         }
         for occurrence in 0..self.begun_occurrences {
             match self.occurrences.get(&occurrence) {
-                Some(row) => row.add_to(occurrence, &mut progress),
+                Some(state) => state.add_to(occurrence, &mut progress),
                 None => drop(progress.done.insert(format!("{occurrence}"), Vec::new())),
             }
         }
--- a/crates/jobs/src/pool/ranking.rs
+++ b/crates/jobs/src/pool/ranking.rs
@@ -51,10 +51,12 @@
             let is_clear = !is_recovering || entry.revision > self.config.fence;
             if is_open && is_clear {
                 let priority = self.queues.get(&entry.queue).map_or(u32::MAX, |q| q.priority);
-                for (number, row) in &entry.occurrences {
-                    let urgency = self.urgency(now, entry, row);
-                    let rank = (priority, urgency, entry.deadline(row), entry.id, *number);
-                    ready_steps(job, entry, *number, row, |step_key| ranked.push((rank, step_key)));
+                for (number, occurrence) in &entry.occurrences {
+                    let urgency = self.urgency(now, entry, occurrence);
+                    let rank = (priority, urgency, entry.deadline(occurrence), entry.id, *number);
+                    ready_steps(job, entry, *number, occurrence, |step_key| {
+                        ranked.push((rank, step_key))
+                    });
                 }
             }
         }
@@ -62,20 +64,20 @@
         ranked.into_iter().map(|(_, step_key)| step_key).collect()
     }
 
-    fn urgency(&self, now: Time, entry: &Entry, row: &Occurrence) -> Urgency {
+    fn urgency(&self, now: Time, entry: &Entry, occurrence: &Occurrence) -> Urgency {
         if entry.long_running {
             return Urgency::Critical;
         }
         let left = chain_ms(&entry.steps, |index, step| {
-            let is_open = row.steps.get(index).is_some_and(|state| state.unfinished > 0);
+            let is_open = occurrence.steps.get(index).is_some_and(|state| state.unfinished > 0);
             if is_open { self.predict(&entry.queue, step) } else { 0 }
         });
         let end = now + Duration::from_millis(left);
-        if end <= entry.deadline(row) {
+        if end <= entry.deadline(occurrence) {
             Urgency::InTime
-        } else if end > entry.expiry(row) {
+        } else if end > entry.expiry(occurrence) {
             Urgency::Expired
-        } else if end + CRITICAL_MARGIN > entry.expiry(row) {
+        } else if end + CRITICAL_MARGIN > entry.expiry(occurrence) {
             Urgency::Critical
         } else {
             Urgency::Late
@@ -86,14 +88,14 @@
 fn ready_steps(
     job: JobKey,
     entry: &Entry,
-    occurrence: u32,
-    row: &Occurrence,
+    number: u32,
+    occurrence: &Occurrence,
     mut found: impl FnMut(StepKey),
 ) {
-    for (step, state) in row.steps.iter().enumerate() {
-        let is_ready = entry.steps.get(step).is_some_and(|step| row.is_ready(step));
+    for (step, state) in occurrence.steps.iter().enumerate() {
+        let is_ready = entry.steps.get(step).is_some_and(|step| occurrence.is_ready(step));
         if state.waiting > 0 && is_ready {
-            found(StepKey { job, occurrence, step });
+            found(StepKey { job, occurrence: number, step });
         }
     }
 }
--- a/crates/jobs/src/pool/reserve.rs
+++ b/crates/jobs/src/pool/reserve.rs
@@ -1,34 +1,31 @@
-//! Room that is kept for lasting tasks.
+//! Reservation of room for long-running tasks.
 //!
-//! A lasting task that takes most of a worker finds room only where several
-//! smaller tasks have ended. These end one by one, and though it is ranked first,
-//! each bit of room that comes free goes to smaller ones that wait behind it:
-//! for as long as there are any, it doesn't run. One sees it as a task that waits
-//! for seconds while tasks of lower rank are started. A task that is stopped to
-//! move loses the room that it was stopped for in the same way, within the
-//! moment that its stop takes.
+//! A long-running task that needs most of a worker finds room only after several smaller tasks
+//! there have ended. They end one by one, and although the long-running task ranks first,
+//! smaller tasks behind it take each piece of room that becomes free, so that it starves. The
+//! log then shows a task that waits for seconds while tasks of lower rank start. Likewise, a
+//! task that is stopped to be moved could lose its new place while the stop takes effect.
 //!
-//! So room is kept on one worker for it, and what is kept counts like what runs
-//! ([`Worker::occupied`]): nothing else is started there that would leave too
-//! little. It is kept
+//! Therefore room is reserved for the task on one worker. Reserved room counts as used
+//! ([`Worker::occupied`]): no other task may start that would leave too little. Room is
+//! reserved
 //!
-//! - from the moment on at which the task is stopped to move, where it has room;
-//! - on the worker where its room comes free soonest, by what its tasks are
-//!   predicted to take, once it has waited for [`WAIT`].
+//! - when the task is stopped to be moved, on the worker that has room for it;
+//! - once the task has waited for [`RESERVE_AFTER`], on the worker where enough room is
+//!   predicted to become free first.
 //!
-//! What that costs smaller tasks: of a move nothing but the moment that the stop
-//! takes, in which the room stands empty. Of a task that waits, what has come
-//! free of its room until all of it has: at most its room, for as long as the
-//! last task takes that has to end; with two that share it evenly, half of it for
-//! half of such a task on average. At most one worker in [`SHARE`] is run empty
-//! like this at a time, and one in any pool. Higher priorities wait too: what
-//! lasts is promised to run whatever its queue.
+//! Cost to smaller tasks: for a move, the room idles only while the stop takes effect. For a
+//! waiting task, the room that has already become free idles until there is enough: at most the
+//! task's room for as long as the longest task takes that has to end; if two tasks share it
+//! evenly, half of it for half the duration of such a task on average. At most one worker in
+//! [`WORKERS_PER_RESERVATION`] is drained like this at a time, and at least one in each pool.
+//! Tasks of higher priority wait too: long-running tasks are promised to run whatever their
+//! queue.
 //!
-//! Nothing is kept for a gang: it needs room on several workers at once, and as
-//! many would stand half empty until the last has it. Nor for what ends by
-//! itself, however wide its step: tasks of a step start one by one, by rank, and
-//! one that waits is late and not broken. What is kept is not written down: a
-//! successor keeps room anew, after the same wait.
+//! Gangs get no reservations: a gang needs room on several workers at once, and they would all
+//! stand half empty until the last one has room. Nor do steps that end by themselves, however
+//! many tasks they have: their tasks start one by one, by rank, and a waiting one is only late.
+//! Reservations are not written to the store; a successor makes new ones after the same wait.
 
 use std::time::Duration;
 
@@ -41,19 +38,17 @@
 use crate::task;
 use crate::worker::{self, Worker};
 
-/// How long a lasting task waits before room is kept for it: some tens of times
-/// what it takes to place one that fits somewhere.
+/// How long a long-running task waits until room is reserved: some tens of times as long as
+/// placing a task that fits somewhere takes.
 const RESERVE_AFTER: Duration = Duration::from_millis(300);
-/// How long room is waited for at most, by what tasks are predicted to take. Where
-/// nothing ends for minutes, a worker would stand nearly empty for as long, beside
-/// small tasks that wait.
+/// Maximum predicted time until reserved room becomes free. If nothing ended for minutes, a
+/// worker would stand nearly empty for that long while small tasks wait.
 const MAX_WAIT: Duration = Duration::from_millis(4_000);
-/// One worker in so many, and at least one, is kept from other work until a task
-/// has its room there.
+/// At most one in this many workers, and at least one, is drained for reservations.
 const WORKERS_PER_RESERVATION: usize = 8;
 
 impl Pool {
-    /// Keeps room on a worker for a task that is to run there.
+    /// Reserves room on a worker for a task.
     pub(super) fn reserve(&mut self, name: task::Name, key: worker::Key, step: &Step, why: &str) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.reserved.insert(name, step.room());
@@ -69,10 +64,10 @@
         self.note("kept room given up", Some(name), Some(key), why.to_owned());
     }
 
-    /// Ends what was kept for a task that starts on a worker.
+    /// Ends the reservation of a task that starts on a worker.
     pub(super) fn consume_reservation(&mut self, name: task::Name, key: worker::Key) {
-        if self.reservations.get(&name).is_some_and(|kept| *kept != key) {
-            return self.cancel_reservation(name, "it found room elsewhere");
+        if self.reservations.get(&name).is_some_and(|other| *other != key) {
+            return self.cancel_reservation(name, "the task started on another worker");
         }
         self.reservations.remove(&name);
         if let Some(worker) = self.workers.get_mut(key) {
@@ -80,13 +75,14 @@
         }
     }
 
-    /// Gives up what is kept and of no use any more.
+    /// Cancels reservations that are no longer useful.
     pub(super) fn review_reservations(&mut self, now: Time) {
-        let over = |(name, key): (&task::Name, &worker::Key)| {
+        let cancelled = |(name, key): (&task::Name, &worker::Key)| {
             Some((*name, self.cancel_reason(now, *name, *key)?))
         };
-        let over: Vec<(task::Name, &str)> = self.reservations.iter().filter_map(over).collect();
-        for (name, why) in over {
+        let cancelled: Vec<(task::Name, &str)> =
+            self.reservations.iter().filter_map(cancelled).collect();
+        for (name, why) in cancelled {
             self.cancel_reservation(name, why);
         }
     }
@@ -94,25 +90,25 @@
     fn cancel_reason(&self, now: Time, name: task::Name, key: worker::Key) -> Option<&'static str> {
         let open = self.entry(name.job).filter(|entry| !entry.state.is_final());
         let Some((entry, step)) = open.and_then(|entry| Some((entry, entry.step(name)?))) else {
-            return Some("its job is over");
+            return Some("its job has ended");
         };
         if !entry.task(name).is_some_and(|task| lacks_worker(&task.state)) {
-            return Some("it runs, or is done");
+            return Some("the task is running or done");
         }
         let Some(worker) = self.workers.get(key).filter(|worker| worker.is_usable(now)) else {
-            return Some("the worker takes no work");
+            return Some("the worker accepts no new tasks");
         };
         let is_fit = self.may_host(now, name, step, (key, worker))
             && self.room_free_in(now, name, step, worker).is_some();
-        (!is_fit).then_some("the worker can't carry it")
+        (!is_fit).then_some("the worker can't host the task, or won't have room in time")
     }
 
-    /// Keeps room for lasting tasks that have waited for long, or were stopped
-    /// and have nowhere to go, those first that have waited for longest.
+    /// Reserves room for long-running tasks that have waited for a while, or were stopped and
+    /// have no other place. Tasks that have waited longest come first.
     pub(super) fn reserve_room(&mut self, now: Time) {
-        let mut without = self.tasks_without_room(now);
-        without.sort();
-        for (_, name) in without {
+        let mut waiting = self.tasks_without_room(now);
+        waiting.sort();
+        for (_, name) in waiting {
             if self.is_at_reservation_limit(now) {
                 return;
             }
@@ -120,45 +116,46 @@
                 continue;
             };
             let step = step.clone();
-            if let Some((frees_in, key)) = self.earliest_worker(now, name, &step) {
-                let why = format!("it is to come free within {frees_in} ms");
+            if let Some((free_in_ms, key)) = self.earliest_worker(now, name, &step) {
+                let why = format!("room is predicted to be free in {free_in_ms} ms");
                 self.reserve(name, key, &step, &why);
             }
         }
     }
 
-    /// Lasting tasks for which room is to be kept and isn't, and since when.
+    /// Returns the long-running tasks that need a reservation and have none, each with the time
+    /// since which it has waited.
     fn tasks_without_room(&self, now: Time) -> Vec<(Time, task::Name)> {
         if !self.is_every_worker_polled() {
             return Vec::new();
         }
         let is_recovering = self.is_recovering(now);
-        let is_meant = |entry: &&Entry| {
-            let is_clear = !is_recovering || entry.revision > self.config.fence;
-            entry.long_running && !entry.state.is_final() && is_clear
+        let may_reserve = |entry: &&Entry| {
+            let is_safe_to_start = !is_recovering || entry.revision > self.config.fence;
+            entry.long_running && !entry.state.is_final() && is_safe_to_start
         };
         let mut found = Vec::new();
-        for entry in self.jobs.values().filter(is_meant) {
+        for entry in self.jobs.values().filter(may_reserve) {
             entry.tasks_without_room(now, &mut found);
         }
         found.retain(|(_, name)| !self.reservations.contains_key(name));
         found
     }
 
-    /// Whether as many workers are run empty for lasting tasks as may be at once.
+    /// Returns whether the maximum number of workers is being drained for reservations.
     fn is_at_reservation_limit(&self, now: Time) -> bool {
         let usable = self.workers.values().filter(|worker| worker.is_usable(now)).count();
-        let is_short = |(name, key): &(&task::Name, &worker::Key)| {
+        let lacks_room = |(name, key): &(&task::Name, &worker::Key)| {
             let worker = self.workers.get(**key);
             worker.is_some_and(|w| {
                 w.reserved.get(name).is_some_and(|room| !w.has_room_for(**name, room))
             })
         };
-        self.reservations.iter().filter(is_short).count()
+        self.reservations.iter().filter(lacks_room).count()
             >= (usable / WORKERS_PER_RESERVATION).max(1)
     }
 
-    /// The worker on which a task's room comes free soonest, and in how many
+    /// Returns the worker that is predicted to have room for a task first, and in how many
     /// milliseconds.
     fn earliest_worker(
         &self,
@@ -166,12 +163,12 @@
         name: task::Name,
         step: &Step,
     ) -> Option<(u64, worker::Key)> {
-        let fit = self.workers.iter().filter(|at| self.may_host(now, name, step, *at));
+        let fit = self.workers.iter().filter(|worker| self.may_host(now, name, step, *worker));
         fit.filter_map(|(key, worker)| Some((self.room_free_in(now, name, step, worker)?, key)))
             .min()
     }
 
-    /// Whether a worker may carry a task once it has room.
+    /// Returns whether a worker may run a task once it has room.
     pub(super) fn may_host(
         &self,
         now: Time,
@@ -179,16 +176,17 @@
         step: &Step,
         (key, worker): (worker::Key, &Worker),
     ) -> bool {
-        let is_bad = self.entry(name.job).and_then(|entry| entry.advice(name));
+        let advice = self.entry(name.job).and_then(|entry| entry.advice(name));
         worker.is_usable(now)
             && meets_requirements(worker, step)
             && !worker.allocations.contains_key(&name)
-            && !is_bad.is_some_and(|known| known.is_refused(key))
+            && !advice.is_some_and(|advice| advice.is_refused(key))
             && (step.max_per_worker == 0 || worker.expected_siblings(name) < step.max_per_worker)
     }
 
-    /// In how many milliseconds a worker is predicted to have room for a task; none
-    /// if what runs there doesn't end by itself or in time, or is kept for others.
+    /// Returns in how many milliseconds a worker is predicted to have room for a task. Returns
+    /// `None` if the runs there don't end by themselves or not in time, or the room is reserved
+    /// for other tasks.
     fn room_free_in(
         &self,
         now: Time,
@@ -197,40 +195,40 @@
         worker: &Worker,
     ) -> Option<u64> {
         let needed = step.room();
-        let mut occupied = worker.occupied(|kept| *kept == name);
+        let mut occupied = worker.occupied(|other| *other == name);
         let ends =
             |(task, room): (&task::Name, &Room)| Some((self.remaining_ms(now, *task)?, *room));
         let allocations =
-            worker.allocations.iter().map(|(task, allocations)| (task, &allocations.room));
+            worker.allocations.iter().map(|(task, allocation)| (task, &allocation.room));
         let mut ends: Vec<(u64, Room)> = allocations.filter_map(ends).collect();
         ends.sort_by_key(|(ends, _)| *ends);
-        let mut frees_in = 0;
+        let mut free_in_ms = 0;
         for (ends, room) in ends {
             if worker.room.fits(&occupied, &needed) {
                 break;
             }
             occupied.sub(&room);
-            frees_in = ends;
+            free_in_ms = ends;
         }
-        let is_soon = Duration::from_millis(frees_in) <= MAX_WAIT;
-        (is_soon && worker.room.fits(&occupied, &needed)).then_some(frees_in)
+        let is_soon = Duration::from_millis(free_in_ms) <= MAX_WAIT;
+        (is_soon && worker.room.fits(&occupied, &needed)).then_some(free_in_ms)
     }
 
-    /// In how many milliseconds a run is predicted to end; none if it lasts.
-    /// What is being stopped, or is nobody's, ends in a moment.
+    /// Returns in how many milliseconds a run is predicted to end, or `None` if it is
+    /// long-running. A run that is being stopped, or whose job has ended, counts as ending now.
     fn remaining_ms(&self, now: Time, name: task::Name) -> Option<u64> {
         let Some(entry) = self.entry(name.job).filter(|entry| !entry.state.is_final()) else {
             return Some(0);
         };
-        let (Some(step), Some(place)) = (entry.step(name), entry.placement(name)) else {
+        let (Some(step), Some(placement)) = (entry.step(name), entry.placement(name)) else {
             return Some(0);
         };
-        if matches!(place.phase, Phase::Stopping { .. }) {
+        if matches!(placement.phase, Phase::Stopping { .. }) {
             return Some(0);
         }
         let takes = Duration::from_millis(self.predict(&entry.queue, step));
-        let so_far = now - place.since;
-        // One that takes longer than predicted is taken to go on for as long again.
+        let so_far = now - placement.since;
+        // A run that exceeds its prediction is assumed to overrun by the same time again.
         let left = takes.abs_diff(so_far);
         (!step.long_running).then(|| worker::millis(left))
     }
@@ -238,12 +236,12 @@
 
 impl Entry {
     fn tasks_without_room(&self, now: Time, found: &mut Vec<(Time, task::Name)>) {
-        for (occurrence, row) in &self.occurrences {
-            let ready = self.steps.iter().zip(&row.steps).enumerate();
+        for (number, occurrence) in &self.occurrences {
+            let ready = self.steps.iter().zip(&occurrence.steps).enumerate();
             let ready = ready.filter(|(_, (step, _))| step.long_running && !step.gang);
-            for (index, (_, state)) in ready.filter(|(_, (step, _))| row.is_ready(step)) {
+            for (index, (_, state)) in ready.filter(|(_, (step, _))| occurrence.is_ready(step)) {
                 let since = waiting_since_by_task(now, self.known_since, state);
-                found.extend(since.map(|(i, since)| (since, name(self.id, *occurrence, index, i))));
+                found.extend(since.map(|(i, since)| (since, name(self.id, *number, index, i))));
             }
         }
     }
@@ -251,13 +249,13 @@
 
 fn waiting_since_by_task(
     now: Time,
-    begun: Time,
+    known_since: Time,
     state: &StepState,
 ) -> impl Iterator<Item = (usize, Time)> + '_ {
     let since = move |(index, task): (usize, &super::entry::Task)| {
         let since = match &task.state {
-            TaskState::Waiting => task.not_before.max(begun),
-            TaskState::Placed(place) => place.since,
+            TaskState::Waiting => task.not_before.max(known_since),
+            TaskState::Placed(placement) => placement.since,
             TaskState::Done => return None,
         };
         let is_due = !matches!(task.state, TaskState::Waiting) || now - since > RESERVE_AFTER;
@@ -266,17 +264,17 @@
     state.tasks.iter().enumerate().filter_map(since)
 }
 
-/// Whether a task has no worker, or is about to have none.
-fn lacks_worker(at: &TaskState) -> bool {
-    match at {
+/// Returns whether a task has no worker, or is being stopped on the one it has.
+fn lacks_worker(state: &TaskState) -> bool {
+    match state {
         TaskState::Waiting => true,
-        TaskState::Placed(place) => matches!(place.phase, Phase::Stopping { .. }),
+        TaskState::Placed(placement) => matches!(placement.phase, Phase::Stopping { .. }),
         TaskState::Done => false,
     }
 }
 
 impl Worker {
-    /// What runs there and what is kept, but for what is kept for oneself.
+    /// Returns the used and the reserved room, without the reservations that `is_own` selects.
     pub(super) fn occupied(&self, is_own: impl Fn(&task::Name) -> bool) -> Room {
         let mut occupied = self.used;
         let others = self.reserved.iter().filter(|(name, _)| !is_own(name));
@@ -284,15 +282,16 @@
         occupied
     }
 
-    /// Whether a task finds room beside what runs and what is kept for others.
+    /// Returns whether a task has room beside the runs there and the reservations of other
+    /// tasks.
     pub(super) fn has_room_for(&self, name: task::Name, needed: &Room) -> bool {
-        self.room.fits(&self.occupied(|kept| *kept == name), needed)
+        self.room.fits(&self.occupied(|other| *other == name), needed)
     }
 
-    /// Other tasks of the same step that run here or have room kept.
+    /// Returns the number of other tasks of the same step that run here or have room reserved.
     pub(super) fn expected_siblings(&self, name: task::Name) -> u32 {
         let is_sibling = |other: &&task::Name| **other != name && other.is_sibling(&name);
-        let kept = self.reserved.keys().filter(is_sibling).count();
-        self.siblings(name).saturating_add(u32::try_from(kept).unwrap_or(u32::MAX))
+        let reserved = self.reserved.keys().filter(is_sibling).count();
+        self.siblings(name).saturating_add(u32::try_from(reserved).unwrap_or(u32::MAX))
     }
 }
--- a/crates/jobs/src/pool/runs.rs
+++ b/crates/jobs/src/pool/runs.rs
@@ -22,8 +22,10 @@
             return self.track_stray(now, key, running);
         };
         match &mut task.state {
-            TaskState::Placed(place) if place.worker == key && place.run == running.run => {
-                place.update(now, running);
+            TaskState::Placed(placement)
+                if placement.worker == key && placement.run == running.run =>
+            {
+                placement.update(now, running);
                 if !running.saved.is_empty() && *task.saved != *running.saved {
                     task.saved = Rc::from(running.saved.as_str());
                 }
@@ -47,9 +49,10 @@
         self.remove_crash(name, running.run);
         let Some(entry) = self.entry_mut(name.job) else { return };
         let Some(room) = entry.step(name).map(super::super::job::Step::room) else { return };
-        let mut place = Placement::new(key, running.run, now, Phase::Running { confirmed: now });
-        place.update(now, running);
-        entry.set_task_state(name, TaskState::Placed(place));
+        let mut placement =
+            Placement::new(key, running.run, now, Phase::Running { confirmed: now });
+        placement.update(now, running);
+        entry.set_task_state(name, TaskState::Placed(placement));
         if let Some(worker) = self.workers.get_mut(key) {
             worker.strays.remove(&name);
             worker.allocate(name, running.run, room);
@@ -102,11 +105,11 @@
         let absent: Vec<(task::Name, Allocation)> = worker
             .allocations
             .iter()
-            .filter(|(name, allocations)| !is_listed(name, allocations.run))
-            .map(|(name, allocations)| (*name, *allocations))
+            .filter(|(name, allocation)| !is_listed(name, allocation.run))
+            .map(|(name, allocation)| (*name, *allocation))
             .collect();
-        for (name, allocations) in absent {
-            self.release_if_ended(now, sent, key, name, allocations.run);
+        for (name, allocation) in absent {
+            self.release_if_ended(now, sent, key, name, allocation.run);
         }
     }
 
@@ -118,9 +121,9 @@
         name: task::Name,
         run: u64,
     ) {
-        let place = self.entry(name.job).and_then(|entry| entry.placement(name));
-        let current = place.filter(|place| place.worker == key && place.run == run);
-        let is_over = match current.map(|place| place.phase) {
+        let placement = self.entry(name.job).and_then(|entry| entry.placement(name));
+        let current = placement.filter(|placement| placement.worker == key && placement.run == run);
+        let is_over = match current.map(|placement| placement.phase) {
             Some(Phase::Starting { .. }) => false,
             Some(Phase::Running { confirmed }) => confirmed < sent,
             Some(Phase::Stopping { confirmed, .. }) => confirmed.is_some_and(|at| at < sent),
@@ -144,14 +147,14 @@
 impl Entry {
     pub(super) fn placement(&self, name: task::Name) -> Option<&Placement> {
         match &self.task(name)?.state {
-            TaskState::Placed(place) => Some(place),
+            TaskState::Placed(placement) => Some(placement),
             _ => None,
         }
     }
 
     pub(super) fn placement_mut(&mut self, name: task::Name) -> Option<&mut Placement> {
         match &mut self.task_mut(name)?.state {
-            TaskState::Placed(place) => Some(place),
+            TaskState::Placed(placement) => Some(placement),
             _ => None,
         }
     }
--- a/crates/jobs/src/pool/shrink.rs
+++ b/crates/jobs/src/pool/shrink.rs
@@ -76,9 +76,12 @@
         let least = self.least_room(candidates);
         let mut needed: HashSet<worker::Key> = HashSet::new();
         for entry in self.jobs.values().filter(|entry| !entry.state.is_final()) {
-            for row in entry.occurrences.values() {
-                let open =
-                    entry.steps.iter().zip(&row.steps).filter(|(s, state)| needs_worker(s, state));
+            for occurrence in entry.occurrences.values() {
+                let open = entry
+                    .steps
+                    .iter()
+                    .zip(&occurrence.steps)
+                    .filter(|(s, state)| needs_worker(s, state));
                 for (step, state) in open.filter(|(s, state)| is_selective(s, state, &least)) {
                     let stays = |one: &&Candidate| !one.is_free || needed.contains(&one.key);
                     let found = self.worker_to_keep(candidates, step, state, stays);
--- a/crates/jobs/src/pool/workers.rs
+++ b/crates/jobs/src/pool/workers.rs
@@ -1,4 +1,4 @@
-//! Workers that come, leave, fall silent and are gone.
+//! Workers that join, leave, fall silent or end.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::worker::{self, Location, Registration, Worker};
 
 impl Pool {
-    pub(super) fn add_worker(&mut self, seat: Location, inherited_until: Time) -> worker::Key {
-        let id = seat.id.clone();
-        let key = self.workers.insert(Worker::new(seat, inherited_until));
+    pub(super) fn add_worker(&mut self, location: Location, inherited_until: Time) -> worker::Key {
+        let id = location.id.clone();
+        let key = self.workers.insert(Worker::new(location, inherited_until));
         self.by_id.insert(id, key);
         key
     }
 
-    /// Takes in the list of the pool's workers, whole.
+    /// Updates the workers from the complete list of the pool's workers.
     pub fn set_workers(&mut self, now: Time, entries: &[Registration]) {
         let listed: HashSet<&str> = entries.iter().map(|entry| entry.id.as_str()).collect();
         for entry in entries {
@@ -32,19 +32,19 @@
         }
         for (key, _, address) in missing {
             if entries.iter().any(|entry| entry.address == address) {
-                self.remove_worker(now, key, "another life has its address");
+                self.remove_worker(now, key, "another worker instance has its address");
             }
         }
     }
 
     fn set_worker(&mut self, now: Time, entry: &Registration) {
-        let seat = Location { id: entry.id.clone(), address: entry.address };
+        let location = Location { id: entry.id.clone(), address: entry.address };
         let known = self.by_id.get(&entry.id).copied();
         if known.is_none() && self.departed.is_ended(now, entry) {
             return;
         }
-        let key = known.unwrap_or_else(|| self.add_worker(seat.clone(), now));
-        let is_rostered = self.written_roster.contains(&seat);
+        let key = known.unwrap_or_else(|| self.add_worker(location.clone(), now));
+        let is_rostered = self.written_roster.contains(&location);
         let Some(worker) = self.workers.get_mut(key) else { return };
         worker.rostered = is_rostered;
         worker.labels.clone_from(&entry.labels);
@@ -58,49 +58,55 @@
             self.note("worker listed", None, Some(key), why);
         }
         if is_new_drain {
-            self.note("worker draining", None, Some(key), "its own entry says so".to_owned());
+            self.note(
+                "worker draining",
+                None,
+                Some(key),
+                "its entry says that it is draining".to_owned(),
+            );
         }
     }
 
-    /// Takes in where workers of a predecessor may be, before any of them is
-    /// asked.
-    pub fn set_roster(&mut self, seats: Vec<Location>) {
-        for seat in &seats {
-            if !self.by_id.contains_key(&seat.id) {
+    /// Adds the workers of the roster that a predecessor wrote, before any of them is polled.
+    pub fn set_roster(&mut self, locations: Vec<Location>) {
+        for location in &locations {
+            if !self.by_id.contains_key(&location.id) {
                 let until = self.config.inherited_until;
-                self.add_worker(seat.clone(), until);
+                self.add_worker(location.clone(), until);
             }
         }
-        self.written_roster = seats.into_iter().collect();
+        self.written_roster = locations.into_iter().collect();
     }
 
-    /// Hears from a predecessor until when its grants on a worker hold at most.
+    /// Limits the leases of a predecessor to the remaining times that it reported, in
+    /// milliseconds by worker ID.
     pub fn set_inherited_leases(&mut self, now: Time, grants: &BTreeMap<String, u64>) {
         let until = |(id, left): (&String, &u64)| (id.clone(), now + Duration::from_millis(*left));
         self.limit_inherited_leases(now, &grants.iter().map(until).collect());
     }
 
-    /// Learns that predecessors' grants end by `until`, or by the time in `by_worker` if
-    /// that is later. A wait that is shorter already stays.
+    /// Records that the leases of predecessors end by `until`, or by the time in `by_worker` if
+    /// that is later. Never extends an earlier limit.
     pub fn limit_inherited_leases(&mut self, until: Time, by_worker: &BTreeMap<String, Time>) {
         for worker in self.workers.values_mut().filter(|worker| !worker.fenced) {
-            let own = by_worker.get(&worker.id).copied().unwrap_or_default();
-            worker.inherited_until = worker.inherited_until.min(own.max(until));
+            let reported = by_worker.get(&worker.id).copied().unwrap_or_default();
+            worker.inherited_until = worker.inherited_until.min(reported.max(until));
         }
     }
 
-    /// How long what this owner granted holds at most, by worker, for a successor.
+    /// Returns the remaining time of the leases that this owner granted, in milliseconds by
+    /// worker ID, for a successor.
     ///
-    /// None before it has planned for the first time: it knows of no workers yet, and
-    /// to name none would be taken for the word that what its predecessor granted is
-    /// over. Tasks of a worker that can't be reached would run a second time.
+    /// Returns `None` before the first plan: the owner doesn't know the workers yet, and an
+    /// empty list would tell the successor that all leases of its predecessors have ended.
+    /// Tasks on an unreachable worker would then run a second time.
     pub fn granted_leases(&self, now: Time) -> Option<BTreeMap<String, u64>> {
         self.first_planned?;
         let left = |worker: &Worker| worker::millis(worker.leases_end() - now);
         Some(self.workers.values().map(|worker| (worker.id.clone(), left(worker))).collect())
     }
 
-    /// Hears that a worker's life is over: its VM was moved or maintained.
+    /// Removes a worker instance whose VM was moved or maintained.
     pub fn remove_gone_worker(&mut self, now: Time, id: &str) {
         if let Some(key) = self.by_id.get(id).copied() {
             // An expected end isn't counted as a crash.
@@ -111,7 +117,7 @@
         }
     }
 
-    /// A worker's life is over: nothing of it runs any more.
+    /// Removes a worker that has ended, with all its runs.
     pub(super) fn remove_worker(&mut self, now: Time, key: worker::Key, why: &str) {
         self.note("worker gone", None, Some(key), why.to_owned());
         let Some(worker) = self.workers.get(key) else { return };
@@ -120,7 +126,7 @@
         }
         let Some(worker) = self.workers.get(key) else { return };
         let names = worker.allocations.keys().copied().collect();
-        // Must precede the removal, or the "task lost" notes lack the worker's ID.
+        // Must precede the removal: the "task lost" events need the worker's ID.
         self.requeue_tasks(now, key, names, why);
         let Some(worker) = self.workers.remove(key) else { return };
         self.by_id.remove(&worker.id);
@@ -130,22 +136,24 @@
     fn requeue_tasks(&mut self, now: Time, key: worker::Key, names: Vec<task::Name>, why: &str) {
         for name in names {
             let Some(entry) = self.entry(name.job) else { continue };
-            let Some(place) = entry.placement(name).filter(|place| place.worker == key) else {
+            let Some(placement) = entry.placement(name).filter(|placement| placement.worker == key)
+            else {
                 continue;
             };
-            let elapsed_ms = worker::millis(now - place.since);
-            let why = format!("run {}, on its worker for {elapsed_ms} ms: {why}", place.run);
+            let elapsed_ms = worker::millis(now - placement.since);
+            let why = format!("run {}, placed for {elapsed_ms} ms: {why}", placement.run);
             self.requeue(name, now);
             self.note("task lost", Some(name), Some(key), why);
         }
     }
 
-    /// Frees what ran on workers that were silent for longer than any lease.
+    /// Requeues the tasks of workers that have been silent past their leases.
     pub(super) fn release_lapsed(&mut self, now: Time) {
-        let is_over = |worker: &Worker| worker.unanswered_polls > 0 && now >= worker.leases_end();
-        let over: Vec<worker::Key> =
-            self.workers.iter().filter(|(_, w)| is_over(w)).map(|(key, _)| key).collect();
-        for key in over {
+        let has_lapsed =
+            |worker: &Worker| worker.unanswered_polls > 0 && now >= worker.leases_end();
+        let lapsed: Vec<worker::Key> =
+            self.workers.iter().filter(|(_, w)| has_lapsed(w)).map(|(key, _)| key).collect();
+        for key in lapsed {
             let Some(worker) = self.workers.get_mut(key) else { continue };
             if worker.missing_since.is_some() {
                 self.remove_worker(now, key, "silent past its lease and not listed");
@@ -159,45 +167,45 @@
         }
     }
 
-    /// Where workers of the pool are, if the store doesn't know that yet.
+    /// Returns the locations of the pool's workers if they differ from the written roster.
     ///
-    /// A successor has to ask every worker that may run something before it
-    /// starts a task of before. One that is cut off and has lost its entry would
-    /// be missed, and its tasks would run twice; so a worker gets its first
-    /// order only after its seat is in the store.
+    /// A successor has to poll every worker that may run something before it starts tasks that
+    /// its predecessors may have started. It would miss a worker that is partitioned and has
+    /// lost its entry, and its tasks would run twice. Therefore a worker gets its first order
+    /// only after its location is in the store.
     ///
-    /// Seats whose lives are over are taken out too: a successor would ask them,
-    /// hear nothing, and wait for as long as they could have been granted.
+    /// Locations of ended instances are removed: a successor would poll them in vain and wait
+    /// until their last possible lease has ended.
     pub fn roster_update(&self) -> Option<Vec<Location>> {
-        let seats: BTreeSet<Location> = self.workers.values().map(Worker::location).collect();
-        (seats != self.written_roster).then(|| seats.into_iter().collect())
+        let locations: BTreeSet<Location> = self.workers.values().map(Worker::location).collect();
+        (locations != self.written_roster).then(|| locations.into_iter().collect())
     }
 
-    /// The seats that the store knows of.
+    /// Returns the locations in the written roster.
     pub fn written_roster(&self) -> Vec<Location> {
         self.written_roster.iter().cloned().collect()
     }
 
-    /// Takes in that a roster was written.
-    pub fn confirm_roster(&mut self, seats: Vec<Location>) {
-        self.written_roster = seats.into_iter().collect();
+    /// Records that a roster was written.
+    pub fn confirm_roster(&mut self, locations: Vec<Location>) {
+        self.written_roster = locations.into_iter().collect();
         for worker in self.workers.values_mut() {
             worker.rostered = self.written_roster.contains(&worker.location());
         }
     }
 
-    /// Asks that a worker take nothing new and be emptied, for `time`. Whether
-    /// it is empty; `None` if there is no such worker.
+    /// Stops placing tasks on a worker for `time`, so that it can be emptied. Returns whether
+    /// it is empty, or `None` if it is unknown.
     ///
-    /// One that a lasting task was just stopped for goes on until the task has
-    /// started there, and is to be asked for again.
+    /// If a long-running task was just stopped to be moved there, returns `false` and changes
+    /// nothing until the task has started; the caller has to ask again.
     pub fn vacate(&mut self, now: Time, id: &str, time: Duration) -> Option<bool> {
         let key = *self.by_id.get(id)?;
         let task_moving_to = self.task_moving_to(now, key);
         let worker = self.workers.get_mut(key)?;
         let was_vacating = worker.is_vacating(now);
         if let Some(task) = task_moving_to.filter(|_| !was_vacating) {
-            let why = "a task is about to start there and finds no other place".to_owned();
+            let why = "a task is about to start there and has no other place".to_owned();
             self.note("worker not vacated yet", Some(task), Some(key), why);
             return Some(false);
         }
@@ -208,16 +216,21 @@
         worker.is_surplus = false;
         let is_empty = worker.fenced && worker.is_responsive() && worker.allocations.is_empty();
         if !was_vacating {
-            self.note("worker vacates", None, Some(key), "the fleet's planner asked".to_owned());
+            self.note(
+                "worker vacates",
+                None,
+                Some(key),
+                "requested by the fleet's planner".to_owned(),
+            );
         }
         Some(is_empty)
     }
 
-    /// A task whose room is there on a worker, and that has no other place.
+    /// Returns a task that has room reserved on a worker, fits there now and has no other
+    /// place.
     ///
-    /// It starts as soon as its stop elsewhere has ended. Were the worker emptied
-    /// within that moment, the task would have been stopped for nothing, and wait
-    /// until another worker comes.
+    /// The task starts as soon as it has stopped elsewhere. If the worker were emptied in that
+    /// moment, the task would have been stopped for nothing and would wait for another worker.
     fn task_moving_to(&self, now: Time, key: worker::Key) -> Option<task::Name> {
         let worker = self.workers.get(key)?;
         worker.reserved.iter().find_map(|(name, room)| {
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -234,7 +234,7 @@
 
     /// Frees a run's room; another run of the task keeps its own.
     pub(crate) fn release(&mut self, task: task::Name, run: u64) {
-        if self.allocations.get(&task).is_some_and(|allocations| allocations.run == run)
+        if self.allocations.get(&task).is_some_and(|allocation| allocation.run == run)
             && let Some(old) = self.allocations.remove(&task)
         {
             self.used.sub(&old.room);
