--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -31,7 +31,7 @@
 
 pub use advice::{Advice, Query};
 pub use batch::{Batch, Update};
-pub use explain::{Explained, Part};
+pub use explain::{Explanation, StepExplanation};
 pub use load::Load;
 pub use order::{Action, Answer, Order};
 pub use poll::{Poll, Report};
--- a/crates/jobs/src/pool/advice.rs
+++ b/crates/jobs/src/pool/advice.rs
@@ -1,10 +1,9 @@
-//! Which workers may run a step, where another service decides that.
+//! Advice: which workers may run a step, where another service decides that.
 //!
-//! The service is slow: it takes a few tenths of a second a question, one at a
-//! time from each VM that asks. So questions are spread over all entry VMs,
-//! name as many workers as are of use, and go out in the order in which steps
-//! get room. What the service says of a step doesn't change, but a ticket holds
-//! for some seconds only.
+//! The service is slow: it takes a few tenths of a second per query and handles one query at a
+//! time from each VM. Therefore queries are spread over all entry VMs, cover as many workers as
+//! useful, and are sent in the order in which steps get room. The decision about a step doesn't
+//! change, but a ticket is valid for only a few seconds.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
@@ -20,45 +19,44 @@
 use crate::task;
 use crate::worker::{self, Worker};
 
-/// Workers named in one question. The service takes a time for each, and one
-/// good worker with room is all that a task needs; but one question more costs
-/// as much as a hundred workers more.
+/// Maximum number of workers in one query. The service takes additional time for each, and a
+/// task needs only one allowed worker with room; but another query costs as much as a hundred
+/// more workers.
 const MAX_WORKERS: usize = 40;
-/// How long before its end a ticket is no longer used: the order is on its way
-/// to the worker for a few milliseconds, and is sent again once without an
-/// answer.
+/// How long before its expiry a ticket is no longer used: the order takes a few milliseconds to
+/// reach the worker, and is sent again once if it isn't answered.
 const TICKET_MARGIN: Duration = Duration::from_millis(500);
 
-/// A question to the service that decides which workers may run a step.
+/// A query to the service that decides which workers may run a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
     /// A task of the step.
     pub task: task::Name,
-    /// The workers that it asks about.
+    /// Keys and IDs of the workers to decide about.
     pub workers: Vec<(worker::Key, String)>,
 }
 
-/// The answer to a [`Question`].
+/// The response to a [`Query`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Advice {
-    /// The lives of the workers that may run the step, each with its ticket.
+    /// The service responded.
     Received {
-        /// Ids and tickets.
+        /// IDs of the worker instances that may run the step, each with its ticket.
         allowed: Vec<(String, String)>,
-        /// How long the tickets hold.
+        /// How long the tickets are valid.
         ttl: Duration,
     },
-    /// No answer, or too many ask.
+    /// No response, or the service was overloaded.
     Lost,
 }
 
-/// What is known of one step.
+/// The advice received about one step.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StepAdvice {
     tickets: HashMap<worker::Key, Ticket>,
     queried: HashSet<worker::Key>,
     is_query_pending: bool,
-    /// Whether a worker is sought for one of its tasks that still runs.
+    /// Whether a worker is needed for one of its tasks that still runs.
     is_wanted_early: bool,
 }
 
@@ -73,72 +71,72 @@
         self.tickets.get(&key).is_some_and(|ticket| now + TICKET_MARGIN < ticket.until)
     }
 
-    /// Whether a question is under way.
+    /// Returns whether a query is in flight.
     pub fn is_query_pending(&self) -> bool {
         self.is_query_pending
     }
 
-    /// Whether it is of use to ask about a worker: nothing is known of it, or
-    /// it is good and its ticket is over.
+    /// Returns whether a query about a worker is useful: nothing is known about it, or it is
+    /// allowed and its ticket has expired.
     fn is_worth_querying(&self, now: Time, key: worker::Key) -> bool {
         !self.is_refused(key) && !self.has_valid_ticket(now, key)
     }
 
-    /// Whether anything was told of it.
+    /// Returns whether any response was received.
     pub fn has_response(&self) -> bool {
         !self.queried.is_empty()
     }
 
-    /// Whether a worker is known to be among those that may run the step.
+    /// Returns whether a worker is known to be allowed to run the step.
     pub fn is_allowed(&self, key: worker::Key) -> bool {
         self.tickets.contains_key(&key)
     }
 
-    /// Whether a worker is known not to be among those that may run the step.
+    /// Returns whether a worker is known not to be allowed to run the step.
     pub fn is_refused(&self, key: worker::Key) -> bool {
         self.queried.contains(&key) && !self.tickets.contains_key(&key)
     }
 }
 
 impl Pool {
-    /// Questions that are to be asked now, at most `most`, first things first.
-    /// Each is answered by [`Pool::advised`].
-    pub fn advice_queries(&mut self, now: Time, most: usize) -> Vec<Query> {
-        if most == 0 || !self.queues.values().any(|queue| queue.advice.is_some()) {
+    /// Returns the queries to send now, at most `max_queries`, most urgent first. The response
+    /// to each is passed to [`Pool::handle_advice`].
+    pub fn advice_queries(&mut self, now: Time, max_queries: usize) -> Vec<Query> {
+        if max_queries == 0 || !self.queues.values().any(|queue| queue.advice.is_some()) {
             return Vec::new();
         }
         let mut step_keys = self.ranked_steps(now);
         step_keys.extend(self.steps_to_evacuate());
         step_keys.extend(self.upcoming_steps());
-        let mut questions = Vec::new();
+        let mut queries = Vec::new();
         for step_key in step_keys {
-            if questions.len() >= most {
+            if queries.len() >= max_queries {
                 break;
             }
-            questions.extend(self.advice_query(now, step_key));
+            queries.extend(self.advice_query(now, step_key));
         }
-        questions
+        queries
     }
 
-    /// Steps whose lasting tasks are to leave their worker.
+    /// Returns the steps with long-running tasks that have to leave their worker.
     fn steps_to_evacuate(&self) -> Vec<StepKey> {
         self.steps_where(|known, _| known.is_wanted_early)
     }
 
-    /// Steps whose turn comes once what runs has ended: asked ahead, their tasks
-    /// don't wait for the answer.
+    /// Returns the steps without advice that become ready when the current runs end. Queried
+    /// ahead of time, their tasks don't have to wait for the response.
     fn upcoming_steps(&self) -> Vec<StepKey> {
         self.steps_where(|known, is_next| known.queried.is_empty() && is_next)
     }
 
-    fn steps_where(&self, is_meant: impl Fn(&StepAdvice, bool) -> bool) -> Vec<StepKey> {
+    fn steps_where(&self, is_selected: impl Fn(&StepAdvice, bool) -> bool) -> Vec<StepKey> {
         let mut step_keys = Vec::new();
         for (job, entry) in self.jobs.iter().filter(|(_, entry)| !entry.state.is_final()) {
             for (number, occurrence) in &entry.occurrences {
                 for (step, state) in occurrence.steps.iter().enumerate() {
                     let is_next =
                         entry.steps.get(step).is_some_and(|step| occurrence.is_next(step));
-                    if is_meant(&state.advice, is_next) {
+                    if is_selected(&state.advice, is_next) {
                         step_keys.push(StepKey { job, occurrence: *number, step });
                     }
                 }
@@ -161,10 +159,10 @@
         Some(Query { task, workers })
     }
 
-    /// The workers about which a question is of use now.
+    /// Returns the workers to query about now, or `None` if no query is useful.
     ///
-    /// Nothing is asked while a worker that may run the step has room: the next
-    /// plan uses it. A gang needs several, so that one is not enough.
+    /// None is useful while an allowed worker has room: the next plan uses it. A gang needs
+    /// several workers, so one is not enough.
     fn workers_to_query(&self, now: Time, step_key: StepKey) -> Option<Vec<worker::Key>> {
         let entry = self.jobs.get(step_key.job)?;
         self.queue(&entry.queue).advice?;
@@ -179,17 +177,17 @@
         let has_room = |worker: &Worker| {
             worker.room.fits(&worker.occupied(|kept| kept.is_sibling(&task)), &room)
         };
-        let fit = || self.workers.iter().filter(|(_, worker)| is_suitable(worker, now, step));
-        let is_served =
-            fit().any(|(key, worker)| known.has_valid_ticket(now, key) && has_room(worker));
-        if is_served && !step.gang {
+        let suitable = || self.workers.iter().filter(|(_, worker)| is_suitable(worker, now, step));
+        let has_allowed_worker =
+            suitable().any(|(key, worker)| known.has_valid_ticket(now, key) && has_room(worker));
+        if has_allowed_worker && !step.gang {
             return None;
         }
-        let is_of_use = |key: worker::Key, worker: &Worker| {
+        let is_useful = |key: worker::Key, worker: &Worker| {
             known.is_worth_querying(now, key) && (is_first || has_room(worker))
         };
-        let mut keys: Vec<(Reverse<u64>, worker::Key)> = fit()
-            .filter(|(key, worker)| is_of_use(*key, worker))
+        let mut keys: Vec<(Reverse<u64>, worker::Key)> = suitable()
+            .filter(|(key, worker)| is_useful(*key, worker))
             .map(|(key, worker)| (Reverse(free_cpu(worker)), key))
             .collect();
         keys.sort();
@@ -197,16 +195,16 @@
         (!keys.is_empty()).then(|| keys.into_iter().map(|(_, key)| key).collect())
     }
 
-    /// Takes in the answer to a question.
-    pub fn handle_advice(&mut self, now: Time, question: &Query, advice: &Advice) {
+    /// Handles the response to a query.
+    pub fn handle_advice(&mut self, now: Time, query: &Query, advice: &Advice) {
         let Some(known) =
-            self.entry_mut(question.task.job).and_then(|entry| entry.advice_mut(question.task))
+            self.entry_mut(query.task.job).and_then(|entry| entry.advice_mut(query.task))
         else {
             return;
         };
         known.is_query_pending = false;
         let Advice::Received { allowed, ttl } = advice else { return };
-        for (key, id) in &question.workers {
+        for (key, id) in &query.workers {
             known.queried.insert(*key);
             let ticket = allowed.iter().find(|(allowed, _)| allowed == id);
             if let Some((_, text)) = ticket {
@@ -214,11 +212,11 @@
                 known.tickets.insert(*key, ticket);
             }
         }
-        let why = format!("{} of {} workers may", allowed.len(), question.workers.len());
-        self.note("advice told", Some(question.task), None, why);
+        let why = format!("{} of {} workers may", allowed.len(), query.workers.len());
+        self.note("advice told", Some(query.task), None, why);
     }
 
-    /// Whether a worker may be given a task, as far as advice goes.
+    /// Returns whether a task may be placed on a worker as far as advice is concerned.
     pub(super) fn is_allowed_by_advice(
         &self,
         now: Time,
@@ -226,17 +224,18 @@
         key: worker::Key,
     ) -> bool {
         let Some(entry) = self.entry(task.job) else { return false };
-        let is_free = self.queues.get(&entry.queue).is_none_or(|queue| queue.advice.is_none());
-        is_free || entry.advice(task).is_some_and(|known| known.has_valid_ticket(now, key))
+        let needs_no_advice =
+            self.queues.get(&entry.queue).is_none_or(|queue| queue.advice.is_none());
+        needs_no_advice || entry.advice(task).is_some_and(|known| known.has_valid_ticket(now, key))
     }
 
-    /// The ticket that a start there carries.
+    /// Returns the ticket for the start of a task on a worker.
     pub(super) fn ticket(&self, task: task::Name, key: worker::Key) -> Option<Rc<str>> {
         let known = self.entry(task.job)?.advice(task)?;
         known.tickets.get(&key).map(|ticket| ticket.text.clone())
     }
 
-    /// A worker refused a ticket: it is asked for anew.
+    /// Discards a ticket that a worker refused, so that the service is queried again.
     pub(super) fn discard_ticket(&mut self, task: task::Name, key: worker::Key) {
         if let Some(known) = self.entry_mut(task.job).and_then(|entry| entry.advice_mut(task)) {
             known.tickets.remove(&key);
@@ -244,7 +243,7 @@
         }
     }
 
-    /// Notes that a worker is sought for a task that still runs elsewhere.
+    /// Requests advice for a task that still runs elsewhere and has to move.
     pub(super) fn want_advice(&mut self, task: task::Name) {
         if let Some(known) = self.entry_mut(task.job).and_then(|entry| entry.advice_mut(task)) {
             known.is_wanted_early = true;
@@ -252,12 +251,12 @@
     }
 }
 
-/// Whether a worker may carry a task of a step once it has room.
+/// Returns whether a worker may run a task of a step once it has room.
 pub(super) fn is_suitable(worker: &Worker, now: Time, step: &Step) -> bool {
     worker.is_usable(now) && meets_requirements(worker, step)
 }
 
-/// Whether a worker has the size and the label that a task of a step needs.
+/// Returns whether a worker has the size and the label that a task of a step needs.
 pub(super) fn meets_requirements(worker: &Worker, step: &Step) -> bool {
     let is_large_enough = worker.room.fits(&Room::default(), &step.room());
     is_large_enough && step.label.as_ref().is_none_or(|label| worker.has_label(label))
--- a/crates/jobs/src/pool/entry.rs
+++ b/crates/jobs/src/pool/entry.rs
@@ -13,12 +13,11 @@
 use crate::task;
 use crate::worker;
 
-/// How long a task waits before its pool asks for one more worker for it. A task
-/// that fits somewhere is placed within milliseconds.
+/// How long a task waits until its pool requests one more worker for it. A task that fits
+/// somewhere is placed within milliseconds.
 const UNPLACED_AFTER: Duration = Duration::from_millis(500);
 
-/// How late an occurrence is taken to be at most, in milliseconds: the time of
-/// day jumps by seconds.
+/// Maximum lateness of an occurrence, in milliseconds: the time of day may jump by seconds.
 const MAX_LATENESS_MS: u64 = 2_000;
 
 /// A job of the pool.
@@ -32,31 +31,31 @@
     pub occurrence_count: u32,
     pub long_running: bool,
     pub state: State,
-    /// The store's revision at which it was accepted.
+    /// Store revision at which the job was accepted.
     pub revision: u64,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub accepted: Time,
-    /// How long after its begin an occurrence is no longer in time.
+    /// How long after its begin an occurrence is in time.
     pub time_allowed: Duration,
-    /// When this owner heard of it.
+    /// When this owner learned of the job.
     pub known_since: Time,
     pub ended: Option<Time>,
     pub ended_ms: u64,
-    /// Occurrences that have begun and aren't all done.
+    /// Occurrences that have begun and are not finished.
     pub occurrences: BTreeMap<u32, Occurrence>,
-    /// Occurrences below this have begun.
+    /// Number of occurrences that have begun.
     pub begun_occurrences: u32,
     pub finished_occurrences: u32,
-    /// Grows with each change that has to be written.
+    /// Increases with each change that has to be written.
     pub version: u64,
     pub written_version: u64,
 }
 
-/// One time that the steps run.
+/// One execution of the steps.
 #[derive(Debug)]
 pub(super) struct Occurrence {
-    /// From when on its time counts: when its job was accepted, or when it was
-    /// due by the time of day.
+    /// When the occurrence began: when its job was accepted, or when it was due by the time of
+    /// day.
     pub begun: Time,
     pub steps: Vec<StepState>,
 }
@@ -64,31 +63,32 @@
 #[derive(Debug)]
 pub(super) struct StepState {
     pub tasks: Vec<Task>,
-    /// Tasks that aren't done.
+    /// Number of tasks that are not done.
     pub unfinished: u32,
-    /// Tasks that wait to be started.
+    /// Number of tasks that wait to be started.
     pub waiting: u32,
-    /// Which workers may run it, where another service decides that.
+    /// Advice on which workers may run the step, where another service decides that.
     pub advice: StepAdvice,
-    /// Since when its turn has been and none of its tasks found a worker.
+    /// Since when the step has been ready without one of its tasks being started.
     pub waiting_since: Option<Time>,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub state: TaskState,
-    /// Runs that failed; those of a gang at its first member.
+    /// Run numbers that failed. A gang keeps them at its first member.
     pub failed: Vec<u64>,
-    /// Runs suspected of crashing their worker; those of a gang at its first member.
+    /// Run numbers that are suspected of crashing their worker. A gang keeps them at its first
+    /// member.
     pub crashed: Vec<u64>,
-    /// The starting run of a task with a counted crash; that of a gang at its first member.
+    /// The starting run of a task with a counted crash. A gang keeps it at its first member.
     pub starting_run: Option<u64>,
     pub saved: Rc<str>,
-    /// Not to be started before.
+    /// The earliest time of the next start.
     pub not_before: Time,
 }
 
-/// Where a task is.
+/// The state of a task.
 #[derive(Clone, Debug)]
 pub(super) enum TaskState {
     Waiting,
@@ -103,12 +103,12 @@
     pub run: u64,
     pub since: Time,
     pub phase: Phase,
-    /// Whether a start of it got no answer.
+    /// Whether a start order of this run got no answer.
     pub is_start_unconfirmed: bool,
     pub percent: u32,
-    /// When the percentage last grew.
+    /// When the percentage last changed.
     pub progressed: Time,
-    /// The share that a filling task is let work at.
+    /// The confirmed speed of a backfill task, in percent.
     pub pace: u32,
     pub pace_sent: Time,
     pub gauge: u64,
@@ -116,17 +116,17 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Ordered; not known to run. Asked again from `again`.
+    /// Start ordered, not known to run. The order is sent again at `retry_at`.
     Starting { retry_at: Time },
-    /// Confirmed by an answer, or listed.
+    /// Confirmed by an answer or a poll.
     Running { confirmed: Time },
-    /// To be stopped; asked again from `again`.
+    /// Stop requested. The order is sent again at `retry_at`.
     Stopping { retry_at: Time, confirmed: Option<Time> },
 }
 
 impl Occurrence {
     pub fn new(steps: &[Step], begun: Time) -> Self {
-        let fresh = Task {
+        let new_task = Task {
             state: TaskState::Waiting,
             failed: Vec::new(),
             crashed: Vec::new(),
@@ -135,7 +135,7 @@
             not_before: Time::ZERO,
         };
         let state = |step: &Step| StepState {
-            tasks: vec![fresh.clone(); step.count as usize],
+            tasks: vec![new_task.clone(); step.count as usize],
             unfinished: step.count,
             waiting: step.count,
             advice: StepAdvice::default(),
@@ -144,18 +144,18 @@
         Self { begun, steps: steps.iter().map(state).collect() }
     }
 
-    /// Whether all tasks of the steps that `step` runs after are done.
+    /// Returns whether all steps that `step` depends on are done.
     pub fn is_ready(&self, step: &Step) -> bool {
         let is_done =
             |after: &u32| self.steps.get(*after as usize).is_some_and(|s| s.unfinished == 0);
         step.after.iter().all(is_done)
     }
 
-    /// Whether the turn of `step` comes once what runs has ended.
+    /// Returns whether `step` becomes ready when the current runs end.
     pub fn is_next(&self, step: &Step) -> bool {
-        let has_begun =
+        let is_placed =
             |after: &u32| self.steps.get(*after as usize).is_some_and(|s| s.waiting == 0);
-        step.after.iter().all(has_begun)
+        step.after.iter().all(is_placed)
     }
 }
 
@@ -178,7 +178,8 @@
         self.occurrences.get_mut(&name.occurrence)?.steps.get_mut(name.step as usize)
     }
 
-    /// Moves a task, keeping the counts of its step.
+    /// Sets the state of a task and updates the counts of its step. A task that is done stays
+    /// done.
     pub fn set_task_state(&mut self, name: task::Name, new: TaskState) {
         let Some(step) = self.step_state(name) else { return };
         let Some(task) = step.tasks.get_mut(name.index as usize) else { return };
@@ -196,32 +197,32 @@
         task.state = new;
     }
 
-    /// When an occurrence is no longer in time.
+    /// Returns the time after which an occurrence is late.
     pub fn deadline(&self, occurrence: &Occurrence) -> Time {
         occurrence.begun + self.time_allowed
     }
 
-    /// When nothing is earned by it any more: after three times the time within
-    /// which it is in time.
+    /// Returns the time after which an occurrence earns nothing: three times its allowed time.
     pub fn expiry(&self, occurrence: &Occurrence) -> Time {
         occurrence.begun + self.time_allowed * 3
     }
 
-    /// Lasting tasks that have waited for longer than it takes to place one.
+    /// Returns the number of long-running tasks that have waited for longer than placing one
+    /// takes.
     pub fn unplaced_tasks(&self, now: Time) -> u32 {
         if !self.long_running {
             return 0;
         }
-        let is_unfit = |task: &&Task| {
+        let is_unplaced = |task: &&Task| {
             matches!(task.state, TaskState::Waiting)
                 && now - task.not_before.max(self.known_since) > UNPLACED_AFTER
         };
         let steps = self.occurrences.values().flat_map(|occurrence| &occurrence.steps);
-        let unfit = steps.flat_map(|state| &state.tasks).filter(is_unfit).count();
-        u32::try_from(unfit).unwrap_or(u32::MAX)
+        let unplaced = steps.flat_map(|state| &state.tasks).filter(is_unplaced).count();
+        u32::try_from(unplaced).unwrap_or(u32::MAX)
     }
 
-    /// Names of the tasks that are on a worker.
+    /// Returns the names of the tasks that are placed on a worker.
     pub fn placed_tasks(&self) -> Vec<task::Name> {
         let mut names = Vec::new();
         for (number, occurrence) in &self.occurrences {
@@ -236,14 +237,14 @@
         names
     }
 
-    /// Begins the occurrences whose time has come.
+    /// Begins the occurrences that are due.
     pub fn begin_due_occurrences(&mut self, now: Time, wall_ms: u64) {
         while self.begun_occurrences < self.occurrence_count
             && self.due_ms(self.begun_occurrences) <= wall_ms
         {
-            let late = wall_ms - self.due_ms(self.begun_occurrences);
+            let late_ms = wall_ms - self.due_ms(self.begun_occurrences);
             self.begin_occurrence(if self.schedule.is_some() {
-                time_ago(now, late)
+                time_ago(now, late_ms)
             } else {
                 self.accepted
             });
@@ -264,7 +265,8 @@
         })
     }
 
-    /// Drops an occurrence that is all done; whether that ends the job.
+    /// Finishes an occurrence if all its tasks are done. Returns whether that completes the
+    /// job.
     pub fn finish_occurrence(&mut self, occurrence: u32) -> bool {
         let is_done = self
             .occurrences
@@ -278,15 +280,15 @@
     }
 }
 
-/// `late` milliseconds ago, as far as that can be known: the time of day may
-/// have jumped.
-fn time_ago(now: Time, late: u64) -> Time {
-    Time::from_millis(now.as_millis().saturating_sub(late.min(MAX_LATENESS_MS)))
+/// Returns the time `late_ms` milliseconds ago, limited by [`MAX_LATENESS_MS`] since the time
+/// of day may have jumped.
+fn time_ago(now: Time, late_ms: u64) -> Time {
+    Time::from_millis(now.as_millis().saturating_sub(late_ms.min(MAX_LATENESS_MS)))
 }
 
 pub(super) fn name(job: JobId, occurrence: u32, step: usize, index: usize) -> task::Name {
-    let small = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-    task::Name { job, occurrence, step: small(step), index: small(index) }
+    let to_u32 = |index: usize| u32::try_from(index).unwrap_or(u32::MAX);
+    task::Name { job, occurrence, step: to_u32(step), index: to_u32(index) }
 }
 
 pub(super) fn new_entry(id: JobId, job: &Job, queue: &str, revision: u64) -> Entry {
--- a/crates/jobs/src/pool/exits.rs
+++ b/crates/jobs/src/pool/exits.rs
@@ -1,4 +1,4 @@
-//! Runs that ended, and which of that a worker may forget.
+//! Runs that have ended, and which of their exits a worker may forget.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,99 +11,100 @@
 use crate::task::{self, Exit, Outcome};
 use crate::worker::{self, Pending, Stray};
 
-/// How long an end of an unknown job is kept at least, see [`Pool::may_lack_jobs`]
-/// for how long besides. Ends are seldom of jobs that aren't known, and one that is
-/// listed a few seconds longer costs nothing.
+/// Minimum time that an exit of an unknown job is kept; see [`Pool::may_lack_jobs`] for the
+/// other condition. Exits of unknown jobs are rare, and listing one for a few seconds longer
+/// costs nothing.
 const ORPHAN_RETENTION: Duration = Duration::from_secs(4);
-/// After how many failed runs in a row, of different jobs, a worker is avoided:
-/// one that fails everything at once looks idle and would draw all work.
+/// Number of consecutive failed runs, of different jobs, after which a worker is avoided. A
+/// worker that fails every run at once looks idle and would attract all work.
 const MAX_FAILURES_IN_ROW: u32 = 3;
-/// How long a worker is avoided that fails or stalls what it runs.
+/// How long a worker is avoided that fails or stalls its runs.
 pub(super) const AVOID_TIME: Duration = Duration::from_secs(5);
-/// The pause before a failed task is started anew.
+/// Delay until a failed task is started again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
+
 impl Pool {
-    pub(super) fn handle_listed_exit(&mut self, now: Time, key: worker::Key, ended: &Exit) {
+    pub(super) fn handle_listed_exit(&mut self, now: Time, key: worker::Key, exit: &Exit) {
         let Some(worker) = self.workers.get_mut(key) else { return };
-        if ended.number <= worker.last_exit {
+        if exit.number <= worker.last_exit {
             return;
         }
-        worker.last_exit = ended.number;
-        worker.strays.remove(&ended.task);
-        self.handle_exit(now, key, ended);
+        worker.last_exit = exit.number;
+        worker.strays.remove(&exit.task);
+        self.handle_exit(now, key, exit);
     }
 
-    /// Takes in that a run ended.
-    pub(super) fn handle_exit(&mut self, now: Time, key: worker::Key, ended: &Exit) {
-        let name = ended.task;
+    /// Handles the exit of a run.
+    pub(super) fn handle_exit(&mut self, now: Time, key: worker::Key, exit: &Exit) {
+        let name = exit.task;
         if self.entry(name.job).is_none() {
             let Some(worker) = self.workers.get_mut(key) else { return };
-            worker.orphans.push(ended.clone());
-            worker.pending.insert(ended.number, Pending::Unknown { since: now });
-            worker.release(name, ended.run);
+            worker.orphans.push(exit.clone());
+            worker.pending.insert(exit.number, Pending::Unknown { since: now });
+            worker.release(name, exit.run);
             return;
         }
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.release(name, ended.run);
-            worker.pending.remove(&ended.number);
+            worker.release(name, exit.run);
+            worker.pending.remove(&exit.number);
         }
-        self.remove_crash(name, ended.run);
-        let began = self.clear_placement(now, key, ended);
-        match ended.outcome {
-            Outcome::Done => self.task_done(now, key, ended, began),
-            Outcome::Failed => self.task_failed(now, key, ended, began.is_some()),
-            _ if began.is_some() => self.persist_saved(now, key, ended),
+        self.remove_crash(name, exit.run);
+        let placed_at = self.clear_placement(now, key, exit);
+        match exit.outcome {
+            Outcome::Done => self.task_done(now, key, exit, placed_at),
+            Outcome::Failed => self.task_failed(now, key, exit, placed_at.is_some()),
+            _ if placed_at.is_some() => self.persist_saved(now, key, exit),
             _ => {}
         }
     }
 
-    /// Frees the task if this was its current run, and tells since when that ran;
-    /// keeps its progress.
-    fn clear_placement(&mut self, now: Time, key: worker::Key, ended: &Exit) -> Option<Time> {
-        let entry = self.entry_mut(ended.task.job)?;
-        let task = entry.task_mut(ended.task)?;
-        if !ended.saved.is_empty() {
-            task.saved = Rc::from(ended.saved.as_str());
+    /// Stores the saved progress of a run. If the run is the current one of its task, returns
+    /// the task to the waiting state and returns when the run was placed.
+    fn clear_placement(&mut self, now: Time, key: worker::Key, exit: &Exit) -> Option<Time> {
+        let entry = self.entry_mut(exit.task.job)?;
+        let task = entry.task_mut(exit.task)?;
+        if !exit.saved.is_empty() {
+            task.saved = Rc::from(exit.saved.as_str());
         }
         let TaskState::Placed(placement) = &task.state else { return None };
-        if placement.worker != key || placement.run != ended.run {
+        if placement.worker != key || placement.run != exit.run {
             return None;
         }
-        let since = placement.since;
-        let why = format!("{:?} after {} ms", ended.outcome, worker::millis(now - placement.since));
-        entry.set_task_state(ended.task, TaskState::Waiting);
-        if let Some(task) = entry.task_mut(ended.task) {
+        let placed_at = placement.since;
+        let why = format!("{:?} after {} ms", exit.outcome, worker::millis(now - placement.since));
+        entry.set_task_state(exit.task, TaskState::Waiting);
+        if let Some(task) = entry.task_mut(exit.task) {
             task.not_before = now;
         }
-        self.note("task ended", Some(ended.task), Some(key), why);
-        Some(since)
+        self.note("task ended", Some(exit.task), Some(key), why);
+        Some(placed_at)
     }
 
-    /// Has what a run saved written before its worker may forget it: the task goes on
-    /// from there, and until it runs again nobody else has it.
-    fn persist_saved(&mut self, now: Time, key: worker::Key, ended: &Exit) {
-        let job = ended.task.job;
-        let is_open = self.entry(job).is_some_and(|entry| !entry.state.is_final());
-        if is_open && !ended.saved.is_empty() {
+    /// Requires the saved progress of a run to be written before its worker may forget the
+    /// exit. The task resumes from it, and until it runs again no other process has it.
+    fn persist_saved(&mut self, now: Time, key: worker::Key, exit: &Exit) {
+        let job = exit.task.job;
+        let is_unwritten = self.entry(job).is_some_and(|entry| !entry.state.is_final());
+        if is_unwritten && !exit.saved.is_empty() {
             let version = self.mark_dirty(now, job, false);
-            self.set_pending(key, ended.number, Pending::Written { job, version });
+            self.set_pending(key, exit.number, Pending::Written { job, version });
         }
     }
 
-    /// Learns how long a task took, unless it went on from saved progress.
-    fn learn_duration(&mut self, now: Time, name: task::Name, began: Option<Time>) {
-        let (Some(began), Some(entry)) = (began, self.entry(name.job)) else { return };
-        let is_whole = entry.task(name).is_some_and(|task| task.saved.is_empty());
+    /// Updates the duration estimates, unless the run resumed from saved progress.
+    fn learn_duration(&mut self, now: Time, name: task::Name, placed_at: Option<Time>) {
+        let (Some(placed_at), Some(entry)) = (placed_at, self.entry(name.job)) else { return };
+        let ran_from_start = entry.task(name).is_some_and(|task| task.saved.is_empty());
         let (queue, declared) =
             (entry.queue.clone(), entry.step(name).map_or(0, |step| step.estimate_ms));
-        if is_whole && declared > 0 {
-            let actual = worker::millis(now - began);
+        if ran_from_start && declared > 0 {
+            let actual = worker::millis(now - placed_at);
             self.estimates.entry(queue).or_default().learn(declared, actual);
         }
     }
 
-    fn task_done(&mut self, now: Time, key: worker::Key, ended: &Exit, began: Option<Time>) {
-        let name = ended.task;
+    fn task_done(&mut self, now: Time, key: worker::Key, exit: &Exit, placed_at: Option<Time>) {
+        let name = exit.task;
         if let Some(worker) = self.workers.get_mut(key) {
             worker.failures_in_row = 0;
         }
@@ -112,9 +113,9 @@
             return;
         }
         if entry.state.is_final() {
-            return self.hold_until_written(key, ended);
+            return self.hold_until_written(key, exit);
         }
-        self.learn_duration(now, name, began);
+        self.learn_duration(now, name, placed_at);
         let Some(entry) = self.entry_mut(name.job) else { return };
         let is_gang = entry.step(name).is_some_and(|step| step.gang);
         let members = if is_gang { entry.step(name).map_or(1, |step| step.count) } else { 1 };
@@ -123,33 +124,38 @@
             self.mark_done(now, task::Name { index, ..name }, is_gang);
         }
         let Some(entry) = self.entry_mut(name.job) else { return };
-        let is_all = entry.finish_occurrence(name.occurrence);
-        let version = if is_all {
+        let is_job_done = entry.finish_occurrence(name.occurrence);
+        let version = if is_job_done {
             self.end_job(now, name.job, State::Completed);
             self.entry(name.job).map_or(0, |entry| entry.version)
         } else {
             self.mark_dirty(now, name.job, false)
         };
-        self.set_pending(key, ended.number, Pending::Written { job: name.job, version });
+        self.set_pending(key, exit.number, Pending::Written { job: name.job, version });
     }
 
-    /// Notes a task as done. A run of it elsewhere goes on until it is stopped,
-    /// and takes room until then: it is a stray from now on.
+    /// Marks a task as done. A run of it on another worker continues until it is stopped and
+    /// occupies room until then, so it becomes a stray.
     fn mark_done(&mut self, now: Time, name: task::Name, is_member: bool) {
         let Some(entry) = self.entry_mut(name.job) else { return };
         let placement = entry.placement(name).map(|placement| (placement.worker, placement.run));
         entry.set_task_state(name, TaskState::Done);
-        // Members of a gang end by themselves, together.
+        // The members of a gang end by themselves, together.
         let Some((key, run)) = placement.filter(|_| !is_member) else { return };
         let Some(worker) = self.workers.get_mut(key) else { return };
         let stray =
             Stray { run, since: now, stop_sent: None, is_room_known: true, is_job_over: true };
         worker.strays.insert(name, stray);
-        self.note("task done elsewhere", Some(name), Some(key), format!("run {run} is stopped"));
+        self.note(
+            "task done elsewhere",
+            Some(name),
+            Some(key),
+            format!("run {run} is being stopped"),
+        );
     }
 
-    fn task_failed(&mut self, now: Time, key: worker::Key, ended: &Exit, was_current: bool) {
-        let name = ended.task;
+    fn task_failed(&mut self, now: Time, key: worker::Key, exit: &Exit, was_current: bool) {
+        let name = exit.task;
         self.count_worker_failure(now, key, name);
         let Some(entry) = self.entry_mut(name.job) else { return };
         if entry.long_running {
@@ -158,15 +164,15 @@
             }
             return;
         }
-        // A run of a task that is done elsewhere may fail before its stop arrives.
-        // Counted, it would end a job as failed each task of which is done.
+        // A run of a task that is done elsewhere may fail before it is stopped. If that
+        // counted, a job whose tasks are all done could end as failed.
         let is_done = entry.task(name).is_some_and(|task| matches!(task.state, TaskState::Done));
         if entry.state.is_final() || is_done {
-            return self.hold_until_written(key, ended);
+            return self.hold_until_written(key, exit);
         }
         let queue = entry.queue.clone();
         let attempts = self.queue(&queue).attempts.max(1);
-        let Some(failed) = self.count_failure(name, ended.run) else { return };
+        let Some(failed) = self.count_failure(name, exit.run) else { return };
         let version = if failed >= attempts {
             self.end_job(now, name.job, State::Failed);
             self.entry(name.job).map_or(0, |entry| entry.version)
@@ -176,26 +182,26 @@
             }
             self.mark_dirty(now, name.job, false)
         };
-        self.set_pending(key, ended.number, Pending::Written { job: name.job, version });
+        self.set_pending(key, exit.number, Pending::Written { job: name.job, version });
     }
 
-    /// Keeps an end that changes nothing until what it came after is written: that
-    /// its job is over, or its task done.
+    /// Keeps an exit without effect until the change that made it irrelevant is written: the
+    /// end of its job, or the completion of its task.
     ///
-    /// Until then a successor finds the job under way and nothing of this end. Were
-    /// the worker let forget it, the successor would start a task again that is done.
-    fn hold_until_written(&mut self, key: worker::Key, ended: &Exit) {
-        let job = ended.task.job;
+    /// Until then a successor finds the job running and no record of this exit. If the worker
+    /// were allowed to forget it, the successor would start a finished task again.
+    fn hold_until_written(&mut self, key: worker::Key, exit: &Exit) {
+        let job = exit.task.job;
         let Some(entry) = self.entry(job) else { return };
         if entry.written_version < entry.version {
             let version = entry.version;
-            self.set_pending(key, ended.number, Pending::Written { job, version });
+            self.set_pending(key, exit.number, Pending::Written { job, version });
         }
     }
 
-    /// Counts a failed run once, however often its end is listed; a gang's run
-    /// once, whoever of it failed. The runs of a gang are kept at its first
-    /// member.
+    /// Counts a failed run once, however often its exit is listed, and returns the number of
+    /// failed runs of the task. A run of a gang counts once, whichever member failed; it is
+    /// counted at the first member.
     fn count_failure(&mut self, name: task::Name, run: u64) -> Option<u32> {
         let entry = self.entry_mut(name.job)?;
         let index = if entry.step(name)?.gang { 0 } else { name.index };
@@ -206,8 +212,8 @@
         u32::try_from(task.failed.len()).ok()
     }
 
-    /// Counts failures of different jobs in a row against the worker: one
-    /// hopeless job must not condemn the workers that it failed on.
+    /// Counts consecutive failures of different jobs on a worker. A single failing job must not
+    /// cause the workers that it fails on to be avoided.
     fn count_worker_failure(&mut self, now: Time, key: worker::Key, name: task::Name) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if worker.last_failed_job == Some(name.job) {
@@ -223,33 +229,33 @@
         }
     }
 
-    /// Gives up ends of jobs that are certainly not there.
+    /// Drops the exits of jobs that certainly don't exist.
     pub(super) fn expire_orphans(&mut self, now: Time, key: worker::Key) {
-        let known = self.jobs_known_until;
+        let known_until = self.jobs_known_until;
         let Some(worker) = self.workers.get_mut(key) else { return };
-        let is_over = |pending: &Pending| match pending {
-            Pending::Unknown { since } => known >= *since && now >= *since + ORPHAN_RETENTION,
+        let is_expired = |pending: &Pending| match pending {
+            Pending::Unknown { since } => known_until >= *since && now >= *since + ORPHAN_RETENTION,
             Pending::Written { .. } => false,
         };
-        let over: Vec<u64> =
-            worker.pending.iter().filter(|(_, p)| is_over(p)).map(|(n, _)| *n).collect();
-        for number in over {
+        let expired: Vec<u64> =
+            worker.pending.iter().filter(|(_, p)| is_expired(p)).map(|(n, _)| *n).collect();
+        for number in expired {
             worker.pending.remove(&number);
-            worker.orphans.retain(|ended| ended.number != number);
+            worker.orphans.retain(|exit| exit.number != number);
         }
     }
 
-    /// Lets the worker forget ends up to the first that isn't written.
+    /// Lets the worker forget all exits before the first one that has to be kept.
     pub(super) fn advance_ack(&mut self, key: worker::Key) {
         let Some(worker) = self.workers.get(key) else { return };
-        let is_open = |pending: &Pending| match pending {
+        let is_unwritten = |pending: &Pending| match pending {
             Pending::Written { job, version } => {
                 self.entry(*job).is_some_and(|entry| entry.written_version < *version)
             }
             Pending::Unknown { .. } => true,
         };
-        let first_open = worker.pending.iter().find(|(_, p)| is_open(p)).map(|(n, _)| *n);
-        let acked = first_open.map_or(worker.last_exit, |number| number - 1);
+        let first_kept = worker.pending.iter().find(|(_, p)| is_unwritten(p)).map(|(n, _)| *n);
+        let acked = first_kept.map_or(worker.last_exit, |number| number - 1);
         if let Some(worker) = self.workers.get_mut(key) {
             worker.acked = worker.acked.max(acked);
             worker.pending.retain(|number, _| *number > acked);
--- a/crates/jobs/src/pool/explain.rs
+++ b/crates/jobs/src/pool/explain.rs
@@ -1,4 +1,4 @@
-//! Why a job stands where it stands.
+//! Explanations of the states of jobs.
 
 use corianderfork_model::Time;
 use serde::Serialize;
@@ -13,60 +13,59 @@
 use crate::task;
 use crate::worker::{Worker, millis};
 
-/// Where a job stands, and why.
+/// The state of a job and the reasons for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Explained {
-    /// Its queue.
+pub struct Explanation {
+    /// The job's queue.
     pub queue: String,
-    /// The queue's priority; 0 comes first.
+    /// The queue's priority; 0 is the highest.
     pub priority: u32,
-    /// Where it stands.
+    /// The state.
     pub state: State,
-    /// Steps that aren't done, of each occurrence that has begun.
-    pub steps: Vec<Part>,
-    /// Occurrences whose time has not come.
+    /// The unfinished steps of each occurrence that has begun.
+    pub steps: Vec<StepExplanation>,
+    /// The number of occurrences that have not begun.
     pub to_come: u32,
 }
 
-/// A step of an occurrence.
+/// The state of a step of an occurrence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Part {
-    /// The occurrence.
+pub struct StepExplanation {
+    /// The number of the occurrence.
     pub occurrence: u32,
-    /// The step.
+    /// The index of the step.
     pub step: u32,
-    /// Tasks that wait to be started.
+    /// The number of tasks that wait to be started.
     pub waiting: u32,
-    /// Tasks on a worker.
+    /// The number of tasks on a worker.
     pub placed: u32,
-    /// Tasks that aren't done, in all.
+    /// The number of unfinished tasks.
     pub left: u32,
-    /// How long its occurrence is still in time, in milliseconds; 0 if it is
-    /// late.
+    /// The remaining time until the occurrence is late, in milliseconds; 0 if it is late.
     pub in_time_for_ms: u64,
     /// Why tasks wait; empty if none does.
     pub why: String,
 }
 
 impl Pool {
-    /// Where a job stands, and why its tasks wait; none if it isn't known.
-    pub fn explain(&self, now: Time, id: JobId) -> Option<Explained> {
+    /// Returns the state of a job and why its tasks wait, or `None` if the job is unknown.
+    pub fn explain(&self, now: Time, id: JobId) -> Option<Explanation> {
         let entry = self.entry(id)?;
         let mut steps = Vec::new();
         for (number, occurrence) in &entry.occurrences {
             for (step, state) in
                 occurrence.steps.iter().enumerate().filter(|(_, state)| state.unfinished > 0)
             {
-                steps.push(self.part(now, entry, (*number, occurrence), (step, state)));
+                steps.push(self.explain_step(now, entry, (*number, occurrence), (step, state)));
             }
         }
-        let is_over = entry.state.is_final();
-        let to_come = if is_over {
+        let has_ended = entry.state.is_final();
+        let to_come = if has_ended {
             0
         } else {
             entry.occurrence_count.saturating_sub(entry.begun_occurrences)
         };
-        Some(Explained {
+        Some(Explanation {
             queue: entry.queue.clone(),
             priority: self.queue(&entry.queue).priority,
             state: entry.state,
@@ -75,22 +74,22 @@
         })
     }
 
-    fn part(
+    fn explain_step(
         &self,
         now: Time,
         entry: &Entry,
         (number, occurrence): (u32, &Occurrence),
         (step, state): (usize, &StepState),
-    ) -> Part {
+    ) -> StepExplanation {
         let placed =
             state.tasks.iter().filter(|task| matches!(task.state, TaskState::Placed(_))).count();
         let why = if state.waiting == 0 {
             String::new()
         } else {
-            self.why(now, entry, (number, occurrence), step)
+            self.why_waiting(now, entry, (number, occurrence), step)
         };
         let task = name(entry.id, number, step, 0);
-        Part {
+        StepExplanation {
             occurrence: number,
             step: task.step,
             waiting: state.waiting,
@@ -101,8 +100,8 @@
         }
     }
 
-    /// Why the tasks of a step wait.
-    fn why(
+    /// Returns why the tasks of a step wait.
+    fn why_waiting(
         &self,
         now: Time,
         entry: &Entry,
@@ -117,27 +116,27 @@
             return "a run that an owner before started may be alive where this one can't look"
                 .to_owned();
         }
-        let fit: Vec<&Worker> =
+        let suitable: Vec<&Worker> =
             self.workers.values().filter(|worker| is_suitable(worker, now, step)).collect();
-        if fit.is_empty() {
+        if suitable.is_empty() {
             return self.why_none_fits(now, step);
         }
         if occurrence.steps.get(index).is_some_and(|state| state.advice.is_query_pending()) {
             return "advice on which workers may run it was asked and not told yet".to_owned();
         }
         let task = name(entry.id, number, index, 0);
-        let occupied = |worker: &Worker| worker.occupied(|kept| kept.is_sibling(&task));
+        let occupied = |worker: &Worker| worker.occupied(|reserved| reserved.is_sibling(&task));
         let has_room = |worker: &&&Worker| worker.room.fits(&occupied(worker), &step.room());
-        let with_room = fit.iter().filter(has_room).count();
+        let with_room = suitable.iter().filter(has_room).count();
         if with_room == 0 {
-            let free =
-                fit.iter().map(|worker| worker.room.cpu.saturating_sub(occupied(worker).cpu));
+            let free_cpu =
+                suitable.iter().map(|worker| worker.room.cpu.saturating_sub(occupied(worker).cpu));
             return format!(
                 "none of {} workers that suit has room: a task needs {}, the most that one has left is {} thousandths of a core{}",
-                fit.len(),
-                told(&step.room()),
-                free.max().unwrap_or(0),
-                self.why_kept(task, &fit)
+                suitable.len(),
+                describe_room(&step.room()),
+                free_cpu.max().unwrap_or(0),
+                self.why_reserved(task, &suitable)
             );
         }
         match &step.preferred_rack {
@@ -148,17 +147,19 @@
         }
     }
 
-    /// What kept room has to do with a step's waiting.
-    fn why_kept(&self, task: task::Name, fit: &[&Worker]) -> String {
-        let own: Vec<&str> = self
+    /// Returns how reserved room contributes to a step's waiting.
+    fn why_reserved(&self, task: task::Name, suitable: &[&Worker]) -> String {
+        let own_workers: Vec<&str> = self
             .reservations
             .iter()
-            .filter(|(kept, _)| kept.is_sibling(&task))
+            .filter(|(reserved, _)| reserved.is_sibling(&task))
             .filter_map(|(_, key)| Some(self.workers.get(*key)?.id.as_str()))
             .collect();
-        let others = fit.iter().filter(|w| w.reserved.keys().any(|kept| !kept.is_sibling(&task)));
-        match (own.is_empty(), others.count()) {
-            (false, _) => format!("; room is kept for it on {}", own.join(", ")),
+        let others = suitable
+            .iter()
+            .filter(|w| w.reserved.keys().any(|reserved| !reserved.is_sibling(&task)));
+        match (own_workers.is_empty(), others.count()) {
+            (false, _) => format!("; room is kept for it on {}", own_workers.join(", ")),
             (true, 0) => String::new(),
             (true, count) => format!("; room is kept for lasting tasks on {count} of them"),
         }
@@ -176,12 +177,12 @@
             ),
             None => format!(
                 "none of {usable} workers that take work is large enough for {}",
-                told(&step.room())
+                describe_room(&step.room())
             ),
         }
     }
 }
 
-fn told(room: &Room) -> String {
+fn describe_room(room: &Room) -> String {
     format!("{} thousandths of a core, {} MB, {} accelerators", room.cpu, room.memory_mb, room.gpu)
 }
--- a/crates/jobs/src/pool/gang.rs
+++ b/crates/jobs/src/pool/gang.rs
@@ -1,4 +1,4 @@
-//! Tasks that start all together or not at all.
+//! Gangs: steps whose tasks start all together or not at all.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::worker;
 
 impl Pool {
-    /// Starts all tasks of a gang or none, in one rack where that matters.
+    /// Starts all tasks of a gang or none, in one rack if the step requires that.
     pub(super) fn place_gang(
         &mut self,
         now: Time,
@@ -39,15 +39,15 @@
         }
         let racks = if step.same_rack { self.racks() } else { Vec::new() };
         let may_spread = !step.same_rack || !self.may_wait_for_rack(now, names[0], step);
-        let seats = racks
+        let workers = racks
             .iter()
             .find_map(|rack| self.find_gang_workers(now, &names, step, Some(rack)))
             .or_else(|| self.find_gang_workers(now, &names, step, None).filter(|_| may_spread));
-        let Some(seats) = seats else { return };
+        let Some(workers) = workers else { return };
         let run = self.next_run();
-        // All members go on from the same progress.
+        // All members resume from the same saved progress.
         let saved = saved_by_gang(self, &names);
-        for (name, key) in names.iter().zip(seats) {
+        for (name, key) in names.iter().zip(workers) {
             if let Some(task) = self.entry_mut(id).and_then(|entry| entry.task_mut(*name)) {
                 task.saved = saved.clone();
             }
@@ -63,7 +63,8 @@
         racks
     }
 
-    /// Places for all of a gang, found by taking their room on trial.
+    /// Returns workers for all tasks of a gang, or `None` if they don't all fit. Allocates the
+    /// room of each task while searching and releases it afterwards.
     fn find_gang_workers(
         &mut self,
         now: Time,
@@ -71,20 +72,20 @@
         step: &Step,
         rack: Option<&str>,
     ) -> Option<Vec<worker::Key>> {
-        let mut seats = Vec::new();
+        let mut workers = Vec::new();
         for name in names {
             let Some(key) = self.choose(now, *name, step, rack) else { break };
             if let Some(worker) = self.workers.get_mut(key) {
                 worker.allocate(*name, 0, step.room());
             }
-            seats.push(key);
+            workers.push(key);
         }
-        for (name, key) in names.iter().zip(&seats) {
+        for (name, key) in names.iter().zip(&workers) {
             if let Some(worker) = self.workers.get_mut(*key) {
                 worker.release(*name, 0);
             }
         }
-        (seats.len() == names.len()).then_some(seats)
+        (workers.len() == names.len()).then_some(workers)
     }
 }
 
--- a/crates/jobs/src/pool/jobs.rs
+++ b/crates/jobs/src/pool/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that are accepted, taken back, and end.
+//! Acceptance, cancellation and end of jobs.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 use crate::worker::{self, Pending};
 
 impl Pool {
-    /// Takes in an accepted job, with what was written of it since. A job that
-    /// is known already is left as it is.
+    /// Adds an accepted job with its written progress, if any. Does nothing if the job is
+    /// already known.
     ///
-    /// `revision` is the store's when the job was written; `age` is how long
-    /// ago it was accepted.
+    /// `revision` is the store's revision at which the job was written; `age` is how long ago
+    /// it was accepted.
     pub fn accept(
         &mut self,
         now: Time,
@@ -61,24 +61,22 @@
         self.adopt_orphans(now, id);
     }
 
-    /// What the tasks of steps take, as far as that can be predicted.
+    /// Returns the predicted work of the tasks of some steps.
     fn work(&self, queue: &str, steps: &[Step]) -> Work {
         let mut work = Work::default();
         for step in steps {
-            let takes = Duration::from_millis(self.predict(queue, step));
-            work.add(&Work::of(&step.room().times(step.count), takes));
+            let duration = Duration::from_millis(self.predict(queue, step));
+            work.add(&Work::of(&step.room().times(step.count), duration));
         }
         work
     }
 
-    /// Takes in that each job which was accepted before `at` has been told by
-    /// [`Pool::accept`]: a reading of the store that was asked for at `at` was
-    /// answered whole.
+    /// Records that every job accepted before `at` has been passed to [`Pool::accept`], because a
+    /// complete read of the store that was requested at `at` has been processed.
     ///
-    /// Until then an end or a run of a job that isn't known waits: that the job
-    /// wasn't heard of doesn't say that there is none. A worker that were let
-    /// forget the end meanwhile would leave nobody who knows that the task is done,
-    /// and it would run again once the store tells of its job.
+    /// Until then, exits and runs of unknown jobs are kept: the job may exist although it isn't
+    /// known here. If the worker were allowed to forget an exit meanwhile, nothing would record
+    /// that the task is done, and it would run again once its job becomes known.
     ///
     /// ```
     /// use std::time::Duration;
@@ -87,23 +85,23 @@
     /// use corianderfork_model::Time;
     ///
     /// let mut pool = Pool::new(Config::new(7, Time::ZERO));
-    /// let asked = Time::from_millis(2_000);
-    /// pool.set_jobs_known_until(asked);
-    /// // An answer that was overtaken changes nothing.
+    /// let requested_at = Time::from_millis(2_000);
+    /// pool.set_jobs_known_until(requested_at);
+    /// // An earlier read that is processed late changes nothing.
     /// pool.set_jobs_known_until(Time::from_millis(1_000));
-    /// assert!(!pool.may_lack_jobs(asked));
-    /// assert!(pool.may_lack_jobs(asked + Duration::from_millis(1)));
+    /// assert!(!pool.may_lack_jobs(requested_at));
+    /// assert!(pool.may_lack_jobs(requested_at + Duration::from_millis(1)));
     /// ```
     pub fn set_jobs_known_until(&mut self, at: Time) {
         self.jobs_known_until = self.jobs_known_until.max(at);
     }
 
-    /// Whether a job that was accepted before `at` may not have been told yet.
+    /// Returns whether a job accepted before `at` may still be unknown.
     pub fn may_lack_jobs(&self, at: Time) -> bool {
         self.jobs_known_until < at
     }
 
-    /// Takes in that a job ended under an owner before.
+    /// Adds a job that ended under a previous owner.
     pub fn accept_ended(&mut self, now: Time, id: JobId, progress: &Progress) {
         if self.by_job.contains_key(&id) {
             return;
@@ -116,7 +114,7 @@
         self.by_job.insert(id, key);
     }
 
-    /// A job whose last end was written, but not that it is completed.
+    /// Completes a job whose last exit was written, but not that the job is completed.
     fn complete_if_done(&mut self, now: Time, id: JobId, key: JobKey) {
         let Some(entry) = self.jobs.get(key) else { return };
         let is_done = entry.occurrences.values().all(|o| o.steps.iter().all(|s| s.unfinished == 0));
@@ -128,7 +126,7 @@
         }
     }
 
-    /// Takes a job back. Whether there is such a job.
+    /// Cancels a job. Returns whether it is known.
     pub fn cancel(&mut self, now: Time, id: JobId) -> bool {
         let Some(entry) = self.entry(id) else { return false };
         if !entry.state.is_final() {
@@ -137,7 +135,7 @@
         true
     }
 
-    /// Whether all that is known of a job is written.
+    /// Returns whether all changes of a job are written.
     pub fn is_written(&self, id: JobId) -> bool {
         self.entry(id).is_none_or(|entry| entry.written_version >= entry.version)
     }
@@ -153,7 +151,7 @@
         self.stop_runs(now, id);
     }
 
-    /// Asks for the stop of all that runs of a job.
+    /// Requests the stop of all runs of a job.
     fn stop_runs(&mut self, now: Time, id: JobId) {
         let Some(entry) = self.entry(id) else { return };
         for name in entry.placed_tasks() {
@@ -172,8 +170,9 @@
         }
     }
 
-    /// Notes that a job has something to write: at once for what callers wait
-    /// for, else with what comes within [`super::batch::LINGER`].
+    /// Marks a job as changed and returns its new version. The write is due at once if
+    /// `urgent`, which is for changes that callers wait for, else within
+    /// [`super::batch::WRITE_DELAY`].
     pub(super) fn mark_dirty(&mut self, now: Time, id: JobId, urgent: bool) -> u64 {
         let Some(entry) = self.entry_mut(id) else { return 0 };
         let is_clean = entry.version == entry.written_version;
@@ -188,7 +187,7 @@
         version
     }
 
-    /// Puts a task back that has no run any more.
+    /// Returns a task without a run to the waiting state.
     pub(super) fn requeue(&mut self, name: task::Name, not_before: Time) {
         let Some(entry) = self.entry_mut(name.job) else { return };
         entry.set_task_state(name, TaskState::Waiting);
@@ -197,17 +196,18 @@
         }
     }
 
-    /// Takes in again the ends of a job that was not known when they came.
+    /// Handles the exits of a job that arrived before the job was known.
     fn adopt_orphans(&mut self, now: Time, id: JobId) {
         let keys: Vec<worker::Key> = self.workers.keys().collect();
         for key in keys {
             let Some(worker) = self.workers.get_mut(key) else { continue };
-            let (mine, others) =
-                std::mem::take(&mut worker.orphans).into_iter().partition(|e| e.task.job == id);
+            let (own, others) = std::mem::take(&mut worker.orphans)
+                .into_iter()
+                .partition(|exit| exit.task.job == id);
             worker.orphans = others;
-            let mine: Vec<task::Exit> = mine;
-            for ended in mine {
-                self.handle_exit(now, key, &ended);
+            let own: Vec<task::Exit> = own;
+            for exit in own {
+                self.handle_exit(now, key, &exit);
             }
         }
     }
--- a/crates/jobs/src/pool/load.rs
+++ b/crates/jobs/src/pool/load.rs
@@ -1,4 +1,4 @@
-//! How busy a pool is, and how much room it needs.
+//! The load of a pool and the room that it needs.
 
 use std::time::Duration;
 
@@ -12,50 +12,51 @@
 use crate::work::Work;
 use crate::worker::{self, Worker};
 
-/// The shortest time within which what waits is to be done: a worker takes longer
-/// than this to come, and what has to begin sooner can't be helped by it.
+/// Shortest time within which waiting work is planned to be done. A new worker takes longer
+/// than this to arrive, so it can't help work that has to start sooner.
 const MIN_HORIZON: Duration = Duration::from_millis(1_000);
-/// Within how long work is to be done that will be late whatever is done.
+/// Time within which work is planned to be done that will be late in any case.
 const LATE_HORIZON: Duration = Duration::from_millis(3_000);
-/// A second: work over it is room.
+/// Converts room to work: the work of one second of it.
 const ONE_SECOND: Duration = Duration::from_secs(1);
 
-/// How busy a pool is.
+/// The load of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Workers that take work.
+    /// Number of workers that take new tasks.
     pub workers: u32,
-    /// Workers besides that take none since they are too many, and are to run
-    /// empty.
+    /// Number of other workers that take none because the pool has too many, and that are being
+    /// emptied.
     pub surplus: u32,
-    /// Workers that take work and carry lasting tasks.
+    /// Number of workers that take new tasks and host long-running ones or have room reserved
+    /// for them.
     pub rooted: u32,
-    /// What they have, all together.
+    /// Total room of the workers that take new tasks.
     pub room: Room,
-    /// What runs takes.
+    /// Room that runs use.
     pub used: Room,
-    /// What tasks wait for whose turn has come.
+    /// Room that the waiting tasks of ready steps need.
     pub waiting: Room,
-    /// What lasting tasks take or wait for.
+    /// Room that long-running tasks use or wait for.
     pub lasting: Room,
-    /// What all other work needs to be in time: what is known, and what goes on
-    /// coming in.
+    /// Room that all other work needs to be in time: the known work, and the work that is
+    /// expected to keep arriving.
     pub needed: Room,
-    /// By how much that changes from one second to the next by chance.
+    /// Random variation of `needed` from one second to the next.
     pub noise: Room,
-    /// Lasting tasks that have waited for a worker for a while, and steps that no
-    /// worker of the pool may run: there is none that has what one needs, however
-    /// much all have together.
+    /// Number of long-running tasks that have waited for a worker for a while, plus steps that
+    /// no worker of the pool may run. No single worker has what they need, whatever the total
+    /// room.
     pub unfit: u32,
-    /// Of these, steps that the service which gives advice allows on none of the
-    /// pool's workers: it judges lives of workers, and another life of the same VM
-    /// may be allowed.
+    /// Number of steps among these that the advice service allows on none of the pool's
+    /// workers. It decides about worker instances, so another instance of the same VM may be
+    /// allowed.
     #[serde(default)]
     pub refused: u32,
 }
 
 impl Pool {
-    /// How busy the pool is.
+    /// Returns the load of the pool.
     pub fn load(&self, now: Time) -> Load {
         let mut load = Load::default();
         for worker in self.workers.values() {
@@ -89,7 +90,7 @@
         load
     }
 
-    /// Adds what runs and waits of an occurrence.
+    /// Adds the running and waiting work of an occurrence.
     fn add_workload(
         &self,
         now: Time,
@@ -98,12 +99,16 @@
         workload: &mut Workload,
     ) {
         let predict = |step: &Step| Duration::from_millis(self.predict(&entry.queue, step));
-        let takes: Vec<Duration> = entry.steps.iter().map(predict).collect();
+        let durations: Vec<Duration> = entry.steps.iter().map(predict).collect();
         let left = chain_ms(&entry.steps, |index, _| {
-            if occurrence.is_open(index) { worker::millis(takes[index]) } else { 0 }
+            if occurrence.has_unfinished_tasks(index) {
+                worker::millis(durations[index])
+            } else {
+                0
+            }
         });
         let end = now + Duration::from_millis(left);
-        let within = if end > entry.deadline(occurrence) {
+        let horizon = if end > entry.deadline(occurrence) {
             LATE_HORIZON
         } else {
             (entry.deadline(occurrence) - end).max(MIN_HORIZON)
@@ -113,22 +118,23 @@
                 continue;
             }
             let room = step.room();
-            workload.room.add(&Work::of(&room.times(state.unfinished), ONE_SECOND));
-            let waiting = Work::of(&room.times(state.waiting), takes[index]);
-            workload.backlog.add(&waiting.per(within));
+            workload.ready.add(&Work::of(&room.times(state.unfinished), ONE_SECOND));
+            let waiting = Work::of(&room.times(state.waiting), durations[index]);
+            workload.backlog.add(&waiting.per(horizon));
         }
     }
 
-    /// Whether a worker is among those that [`Pool::load`] counts.
+    /// Returns whether [`Pool::load`] counts a worker.
     pub fn is_counted(&self, id: &str) -> bool {
         self.worker(id).is_some_and(|(_, worker)| worker.is_healthy())
     }
 
-    /// Steps of a job that none of the pool's workers may run: all lack a label,
-    /// are too small, are not among those that advice names, or have no room beside
-    /// what lasts there. Another worker may; without one the job would wait for ever.
-    /// And how many of them there are
-    /// for the last of these reasons alone.
+    /// Returns the number of steps of a job that none of the pool's workers may run, and how
+    /// many of them only because of advice.
+    ///
+    /// All workers lack a label, are too small, are refused by advice, or have no room beside
+    /// their long-running tasks. Another worker may be able to run the step; without one the
+    /// job would wait forever.
     fn unrunnable(&self, now: Time, entry: &Entry) -> (u32, u32) {
         let (mut unrunnable, mut refused) = (0, 0);
         let steps = entry
@@ -141,73 +147,73 @@
             if entry.long_running || state.waiting == 0 || !is_blocked {
                 continue;
             }
-            let could = |worker: &Worker| {
+            let could_run = |worker: &Worker| {
                 worker.is_usable_or_surplus(now) && advice::meets_requirements(worker, step)
             };
-            let may = |(key, worker): (worker::Key, &Worker)| {
+            let can_run = |(key, worker): (worker::Key, &Worker)| {
                 let has_room = worker.room.fits(&self.long_running_room(worker), &step.room());
-                could(worker) && !state.advice.is_refused(key) && has_room
+                could_run(worker) && !state.advice.is_refused(key) && has_room
             };
-            if !self.workers.iter().any(may) {
+            if !self.workers.iter().any(can_run) {
                 unrunnable += 1;
-                refused += u32::from(self.workers.values().any(could));
+                refused += u32::from(self.workers.values().any(could_run));
             }
         }
         (unrunnable, refused)
     }
 
-    /// What lasting tasks take there, and what is kept for some: it doesn't come free
-    /// by itself.
+    /// Returns the room that long-running tasks use on a worker or have reserved. It doesn't
+    /// become free by itself.
     pub(super) fn long_running_room(&self, worker: &Worker) -> Room {
-        let is_lasting = |name: &task::Name| {
+        let is_long_running = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
             step.is_some_and(|step| step.long_running)
         };
         let mut room = Room::default();
-        let long_running = worker.allocations.iter().filter(|(name, _)| is_lasting(name));
+        let long_running = worker.allocations.iter().filter(|(name, _)| is_long_running(name));
         long_running.for_each(|(_, allocation)| room.add(&allocation.room));
-        worker.reserved.values().for_each(|kept| room.add(kept));
+        worker.reserved.values().for_each(|room_reserved| room.add(room_reserved));
         room
     }
 
-    /// Whether lasting tasks run there, or have room kept.
+    /// Returns whether a worker hosts long-running tasks or has room reserved for them.
     pub(crate) fn hosts_long_running(&self, worker: &Worker) -> bool {
-        let is_lasting = |name: &task::Name| {
+        let is_long_running = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
             step.is_some_and(|step| step.long_running)
         };
-        !worker.reserved.is_empty() || worker.allocations.keys().any(is_lasting)
+        !worker.reserved.is_empty() || worker.allocations.keys().any(is_long_running)
     }
 }
 
-/// What runs and waits of work that ends by itself.
+/// Running and waiting work that ends by itself.
 #[derive(Default)]
 struct Workload {
-    /// What all tasks take whose turn has come.
-    room: Work,
-    /// What is needed for what waits to be done while it is in time.
+    /// Work of one second of all unfinished tasks of ready steps.
+    ready: Work,
+    /// Room, as work per second, needed for the waiting tasks to be done in time.
     backlog: Work,
 }
 
 impl Workload {
-    /// The room that keeps up with `flow` and clears what waits; but no more than
-    /// there are tasks for, unless the flow says that more come.
+    /// Returns the room that keeps up with `flow` and works off the backlog, but no more than
+    /// there are tasks for, unless the flow predicts more.
     fn needed(&self, flow: &Work) -> Work {
-        let mut both = *flow;
-        both.add(&self.backlog);
-        flow.max(&both.min(&self.room))
+        let mut total = *flow;
+        total.add(&self.backlog);
+        flow.max(&total.min(&self.ready))
     }
 }
 
 impl Occurrence {
-    /// Whether a step has tasks that aren't done.
-    fn is_open(&self, step: usize) -> bool {
+    /// Returns whether a step has unfinished tasks.
+    fn has_unfinished_tasks(&self, step: usize) -> bool {
         self.steps.get(step).is_some_and(|state| state.unfinished > 0)
     }
 }
 
 impl Entry {
-    /// Adds what its tasks wait for whose turn has come.
+    /// Adds the room that the waiting tasks of ready steps need.
     fn add_waiting(&self, waiting: &mut Room) {
         for occurrence in self.occurrences.values() {
             for (step, state) in self.steps.iter().zip(&occurrence.steps) {
@@ -218,7 +224,7 @@
         }
     }
 
-    /// What all tasks take that aren't done.
+    /// Returns the room that all unfinished tasks need.
     fn room_left(&self) -> Room {
         let mut room = Room::default();
         let steps = self
@@ -229,7 +235,7 @@
         room
     }
 
-    /// What the widest gang takes whose turn has come: it starts as a whole.
+    /// Returns the work per second of the largest ready gang, which can only start as a whole.
     fn largest_gang(&self, occurrence: &Occurrence) -> Work {
         let gangs = self.steps.iter().zip(&occurrence.steps).filter(|(step, _)| step.gang);
         let ready = gangs.filter(|(step, state)| state.unfinished > 0 && occurrence.is_ready(step));
--- a/crates/jobs/src/pool/order.rs
+++ b/crates/jobs/src/pool/order.rs
@@ -89,7 +89,7 @@
         match answer {
             Answer::Fenced => return self.set_deposed(order.worker),
             Answer::Gone => {
-                return self.remove_worker(now, order.worker, "another life of the worker answers");
+                return self.remove_worker(now, order.worker, "another worker instance answers");
             }
             Answer::Done(clock) => {
                 if let Some(worker) = self.workers.get_mut(order.worker) {
--- a/crates/jobs/src/pool/pace.rs
+++ b/crates/jobs/src/pool/pace.rs
@@ -1,4 +1,4 @@
-//! How fast filling tasks may work beside serving ones.
+//! Control of the speed of backfill tasks beside serving ones.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::task;
 use crate::worker;
 
-/// Time between two changes of a worker's pace: the gauge covers half a second,
-/// and a new pace holds a tenth of a second after the order.
+/// Minimum time between two changes of a worker's pace: the gauge covers half a second, and a
+/// new pace takes effect a tenth of a second after the order.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(700);
-/// How often an order that changes nothing is sent again.
+/// Delay until an unconfirmed pace order is sent again.
 const RESEND_DELAY: Duration = Duration::from_millis(500);
-/// Above this share of the target, in percent, filling tasks are slowed.
+/// Share of the target, in percent, above which backfill tasks are slowed down.
 const SLOW_ABOVE: u64 = 85;
-/// Below this share of the target, in percent, they are sped up again.
+/// Share of the target, in percent, below which they are sped up again.
 const SPEED_UP_BELOW: u64 = 60;
-/// How much faster, in percent of full speed, at each step.
+/// Increase of the pace at each step, in percent of full speed.
 const SPEED_UP_STEP: u32 = 10;
 
 impl Pool {
-    /// Slows filling tasks where a serving task nears its target, and speeds
-    /// them up again where it is far from it.
+    /// Slows down backfill tasks where a serving task is close to its target, and speeds them
+    /// up again where it is far below it.
     pub(super) fn pace(&mut self, now: Time, orders: &mut Vec<Order>) {
         let keys: Vec<worker::Key> = self.workers.keys().collect();
         for key in keys {
@@ -34,7 +34,7 @@
 
     fn pace_worker(&mut self, now: Time, key: worker::Key, orders: &mut Vec<Order>) {
         let Some(worker) = self.workers.get(key) else { return };
-        let mut fills = Vec::new();
+        let mut backfills = Vec::new();
         let mut worst = None;
         for name in worker.allocations.keys() {
             let Some(entry) = self.entry(name.job) else { continue };
@@ -45,18 +45,18 @@
                 continue;
             }
             if step.backfill {
-                fills.push((*name, placement.run, placement.pace, placement.pace_sent));
+                backfills.push((*name, placement.run, placement.pace, placement.pace_sent));
             } else if let Some(share) = (placement.gauge * 100).checked_div(step.target_ms) {
                 worst = worst.max(Some(share));
             }
         }
-        if fills.is_empty() {
+        if backfills.is_empty() {
             return;
         }
         let pace = self.next_pace(now, key, worst);
-        fills.sort();
-        for (name, run, has, asked) in fills {
-            if has != pace && now - asked >= RESEND_DELAY {
+        backfills.sort();
+        for (name, run, current_pace, sent) in backfills {
+            if current_pace != pace && now - sent >= RESEND_DELAY {
                 self.order_pace(now, key, name, run, pace, orders);
             }
         }
--- a/crates/jobs/src/pool/plan.rs
+++ b/crates/jobs/src/pool/plan.rs
@@ -1,4 +1,4 @@
-//! What is ordered at one moment.
+//! Planning: the orders to send at one moment.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::task;
 use crate::worker;
 
-/// How long an order may be on its way before it is sent again.
+/// Delay until an unanswered start is sent again.
 const RESEND_DELAY: Duration = Duration::from_millis(1_000);
-/// The least pause before a stray of an unknown job is asked to stop, and the one
-/// between two such orders: the store may be about to tell of its job.
+/// Delay until a stray run of an unknown job is stopped, and between repeated stops: the store
+/// may be about to report its job.
 const STRAY_DELAY: Duration = Duration::from_millis(1_500);
 
 impl Pool {
-    /// Decides what is to be ordered now. `wall_ms` is the time of day, by which
+    /// Returns the orders to send now. `wall_ms` is the time of day, which determines when
     /// occurrences are due.
     pub fn plan(&mut self, now: Time, wall_ms: u64) -> Vec<Order> {
         let mut orders = Vec::new();
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Frees what an ended job held once nothing of it runs any more.
+    /// Releases the steps and occurrences of ended jobs once none of their tasks is on a
+    /// worker.
     fn release_ended(&mut self) {
         let ended = self.jobs.values_mut().filter(|entry| entry.state.is_final());
         for entry in ended.filter(|entry| !entry.occurrences.is_empty()) {
@@ -61,13 +62,13 @@
 
     fn stop_strays(&mut self, now: Time, orders: &mut Vec<Order>) {
         let mut due = Vec::new();
-        let known = self.jobs_known_until;
+        let known_until = self.jobs_known_until;
         for (key, worker) in &mut self.workers {
             for (name, stray) in &mut worker.strays {
-                let is_settled = stray.is_room_known || known >= stray.since;
-                let is_nobodys = is_settled && now - stray.since >= STRAY_DELAY;
-                let is_certain = stray.is_job_over || is_nobodys;
-                if is_certain && stray.stop_sent.is_none_or(|at| now - at >= STRAY_DELAY) {
+                let is_job_settled = stray.is_room_known || known_until >= stray.since;
+                let is_abandoned = is_job_settled && now - stray.since >= STRAY_DELAY;
+                let is_stop_due = stray.is_job_over || is_abandoned;
+                if is_stop_due && stray.stop_sent.is_none_or(|at| now - at >= STRAY_DELAY) {
                     stray.stop_sent = Some(now);
                     due.push((key, *name, stray.run));
                 }
@@ -75,7 +76,12 @@
         }
         for (key, name, run) in due {
             orders.extend(self.order(key, name, run, Action::Stop));
-            self.note("stray stopped", Some(name), Some(key), format!("run {run} is nobody's"));
+            self.note(
+                "stray stopped",
+                Some(name),
+                Some(key),
+                format!("run {run} belongs to no current task"),
+            );
         }
     }
 
@@ -136,31 +142,31 @@
         step_keys.iter().filter_map(step).filter_map(Feature::of).collect()
     }
 
-    /// Whether each listed worker was looked at once under this owner's fence,
-    /// or could not be. A task started before that could be running on a worker
-    /// where the owner before started it just now.
+    /// Returns whether each listed worker has been polled under this owner's fence,
+    /// successfully or not. Until then, a task may have just been started on an unpolled worker
+    /// by the previous owner.
     pub(super) fn is_every_worker_polled(&self) -> bool {
         self.workers.values().all(|worker| worker.is_polled || worker.missing_since.is_some())
     }
 
-    /// The most that any one worker has left: a cheap test before all workers
-    /// are gone through for a task that fits nowhere.
+    /// Returns the largest free CPU and memory of any worker: a cheap check that skips the
+    /// search for tasks that fit nowhere.
     fn largest_room(&self, now: Time) -> Room {
-        let mut most = Room::default();
+        let mut largest = Room::default();
         for worker in self.workers.values().filter(|worker| worker.is_usable(now)) {
             let occupied = worker.occupied(|_| false);
-            most.cpu = most.cpu.max(worker.room.cpu.saturating_sub(occupied.cpu));
+            largest.cpu = largest.cpu.max(worker.room.cpu.saturating_sub(occupied.cpu));
             let memory = worker.room.memory_mb.saturating_sub(occupied.memory_mb);
-            most.memory_mb = most.memory_mb.max(memory);
+            largest.memory_mb = largest.memory_mb.max(memory);
         }
-        most
+        largest
     }
 
-    /// Whether room is kept for tasks of a step.
+    /// Returns whether room is reserved for a task of a step.
     fn has_reservation(&self, step_key: StepKey) -> bool {
         let Some(entry) = self.jobs.get(step_key.job) else { return false };
         let task = name(entry.id, step_key.occurrence, step_key.step, 0);
-        self.reservations.keys().any(|kept| kept.is_sibling(&task))
+        self.reservations.keys().any(|reserved| reserved.is_sibling(&task))
     }
 
     fn place_step(&mut self, now: Time, step_key: StepKey, step: &Step, orders: &mut Vec<Order>) {
@@ -175,7 +181,7 @@
                 return;
             }
             let Some(key) = self.choose(now, name, step, None) else {
-                // A later one of the step may have room kept.
+                // A later task of the step may have a reservation.
                 if self.has_reservation(step_key) {
                     continue;
                 }
@@ -201,7 +207,10 @@
         worker.allocate(name, run, step.room());
         self.consume_reservation(name, key);
         let Some(worker) = self.workers.get(key) else { return };
-        let why = format!("run {run}, {} of {} in use", worker.used.cpu, worker.room.cpu);
+        let why = format!(
+            "run {run}, {} of {} thousandths of a core in use",
+            worker.used.cpu, worker.room.cpu
+        );
         let Some(entry) = self.entry_mut(name.job) else { return };
         let spec = entry.spec.clone();
         let saved = entry.task(name).map(|task| task.saved.clone()).unwrap_or_default();
--- a/crates/jobs/src/pool/poll.rs
+++ b/crates/jobs/src/pool/poll.rs
@@ -1,4 +1,4 @@
-//! Looks at workers: they bring what runs and what ended, and renew the lease.
+//! Polls of workers, which report runs and exits and renew the lease.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,52 +11,52 @@
 use crate::task::{Exit, Run};
 use crate::worker::{self, Worker};
 
-/// How long a look waits for an end: it brings ends as they come, and a silent
-/// connection is noticed after this and the time of an answer.
+/// How long a poll waits for an exit: exits are reported as they occur, and a dead connection
+/// is noticed after this plus the time of an answer.
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
 
-/// What to ask a worker.
+/// A request for the state of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// The worker.
     pub worker: worker::Key,
-    /// One life of it.
+    /// The ID of the worker instance.
     pub id: String,
-    /// Where it answers.
+    /// The address of the worker.
     pub address: SocketAddr,
     /// The owner's fence.
     pub fence: u64,
-    /// Until when, on its clock, it may go on with what it runs; none to leave
-    /// that as it is.
+    /// The end of the renewed lease, in milliseconds on the worker's clock; `None` leaves the
+    /// lease as it is.
     pub deadline_ms: Option<u64>,
-    /// The last end that it may forget.
+    /// The number of the last exit that the worker may forget.
     pub acked: u64,
-    /// How long it waits for an end before it answers.
+    /// How long the worker waits for an exit before it answers.
     pub wait: Duration,
 }
 
-/// What a worker said.
+/// A worker's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Its clock.
+    /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// What runs there.
+    /// The current runs.
     pub running: Vec<Run>,
-    /// What ended there and was not yet forgotten.
+    /// The exits that the worker has not forgotten.
     pub exits: Vec<Exit>,
 }
 
 impl Pool {
-    /// What to ask a worker next; none if there is no such worker any more.
+    /// Returns the next poll of a worker, or `None` if the worker is gone.
     ///
-    /// A worker that doesn't answer is granted nothing more: each grant that is
-    /// sent to it puts off the moment at which its tasks may start elsewhere.
+    /// An unresponsive worker gets no new leases: each lease that is sent to it delays the
+    /// restart of its tasks elsewhere.
     pub fn next_poll(&mut self, now: Time, key: worker::Key) -> Option<Poll> {
         let lease = self.config.lease;
         let worker = self.workers.get_mut(key)?;
-        let is_known = worker.fenced && worker.unanswered_polls < 2;
-        let deadline_ms = if is_known { worker.grant(now, lease) } else { None };
-        let wait = if is_known && worker.is_responsive() { MAX_WAIT } else { Duration::ZERO };
+        let is_reachable = worker.fenced && worker.unanswered_polls < 2;
+        let deadline_ms = if is_reachable { worker.grant(now, lease) } else { None };
+        let wait = if is_reachable && worker.is_responsive() { MAX_WAIT } else { Duration::ZERO };
         Some(Poll {
             worker: key,
             id: worker.id.clone(),
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Takes in the answer to a look that was sent at `sent`.
+    /// Handles the answer to a poll that was sent at `sent`.
     pub fn handle_poll_answer(
         &mut self,
         now: Time,
@@ -81,7 +81,7 @@
         match answer {
             Answer::Done(report) => self.handle_report(now, sent, key, report),
             Answer::Fenced => self.set_deposed(key),
-            Answer::Gone => self.remove_worker(now, key, "another life of the worker answers"),
+            Answer::Gone => self.remove_worker(now, key, "another worker instance answers"),
             _ => {
                 worker.unanswered_polls += 1;
                 if worker.unanswered_polls == 2 {
@@ -89,7 +89,7 @@
                         "worker silent",
                         None,
                         Some(key),
-                        "two looks without an answer".to_owned(),
+                        "two polls without an answer".to_owned(),
                     );
                 }
             }
@@ -106,7 +106,7 @@
     fn handle_report(&mut self, now: Time, sent: Time, key: worker::Key, report: &Report) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if worker.unanswered_polls >= 2 {
-            let why = format!("after {} looks without an answer", worker.unanswered_polls);
+            let why = format!("after {} polls without an answer", worker.unanswered_polls);
             self.note("worker answers again", None, Some(key), why);
         }
         let Some(worker) = self.workers.get_mut(key) else { return };
@@ -114,13 +114,13 @@
         worker.unanswered_polls = 0;
         if !worker.fenced {
             worker.fenced = true;
-            // From here on the worker refuses predecessors: what they granted ends
-            // within one lease, however long they go on elsewhere.
+            // From now on the worker rejects predecessors: their leases on it end within one
+            // lease length, whatever they do elsewhere.
             let until = now + worker::max_lease_duration(self.config.lease);
             worker.inherited_until = worker.inherited_until.min(until);
         }
-        for ended in &report.exits {
-            self.handle_listed_exit(now, key, ended);
+        for exit in &report.exits {
+            self.handle_listed_exit(now, key, exit);
         }
         for running in &report.running {
             self.handle_running(now, key, running);
@@ -130,12 +130,12 @@
         self.advance_ack(key);
     }
 
-    /// The workers that are known.
+    /// Returns the keys of all known workers.
     pub fn workers(&self) -> impl Iterator<Item = worker::Key> + '_ {
         self.workers.keys()
     }
 
-    /// The worker of this life, if it is known.
+    /// Returns a worker by its ID, if it is known.
     pub fn worker(&self, id: &str) -> Option<(worker::Key, &Worker)> {
         let key = *self.by_id.get(id)?;
         Some((key, self.workers.get(key)?))
--- a/crates/jobs/src/pool/progress.rs
+++ b/crates/jobs/src/pool/progress.rs
@@ -1,11 +1,11 @@
-//! How far a job is, as it is written and read back.
+//! Conversion of a job's state to and from its written progress.
 
 use super::entry::{Entry, Occurrence, TaskState, name};
 use crate::id::JobId;
 use crate::record::Progress;
 use crate::task;
 
-/// Bits of one word of the tasks done.
+/// Bits per word of the set of finished tasks.
 const WORD_BITS: u32 = 64;
 
 impl Entry {
--- a/crates/jobs/src/pool/ranking.rs
+++ b/crates/jobs/src/pool/ranking.rs
@@ -1,4 +1,4 @@
-//! In which order steps get room.
+//! The order in which ready steps get room.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 use super::{JobKey, Pool};
 use crate::job::chain_ms;
 
-/// How long before the last moment a late job is put before the others. Longer
-/// serves more of the late ones and fewer in time; between 0.5 s and 1.2 s the one
-/// outweighs the other by what the users pay for either.
+/// How long before its expiry a late job is ranked before the others. A longer time serves more
+/// of the late jobs and fewer in time; between 0.5 s and 1.2 s the two effects cancel out by
+/// what users pay for each.
 const CRITICAL_MARGIN: Duration = Duration::from_millis(500);
 
-/// How a job's time stands, first come first.
+/// The urgency of a job, most urgent first.
 ///
-/// A job that can't be in time any more gives way to those that can, until it is
-/// about to be worth nothing: served late it earns little, and not served at all
-/// it counts in full among what failed.
+/// A job that can no longer be in time yields to those that can, until it is about to expire: a
+/// job that is served late earns little, but one that is not served at all counts fully as
+/// failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It lasts, or it has to start now to be served at all.
+    /// It is long-running, or has to start now to be served at all.
     Critical,
-    /// It can be in time.
+    /// It can finish in time.
     InTime,
-    /// It will be late.
+    /// It will finish late.
     Late,
-    /// Nothing is earned by it any more.
+    /// It earns nothing any more.
     Expired,
 }
 
-/// A step whose turn has come.
+/// Identifies a step of an occurrence.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StepKey {
     pub job: JobKey,
@@ -39,17 +39,17 @@
 }
 
 impl Pool {
-    /// Steps with tasks to start, in the order in which they get room: by the
-    /// operators' priority, then by [`Urgency`], then what is due first.
+    /// Returns the ready steps with waiting tasks in the order in which they get room: by the
+    /// operators' priority, then by [`Urgency`], then by deadline.
     pub(super) fn ranked_steps(&self, now: Time) -> Vec<StepKey> {
         let is_recovering = self.is_recovering(now);
         let mut ranked = Vec::new();
         for (job, entry) in &self.jobs {
-            let is_open = !entry.state.is_final();
-            // What a predecessor may have started may still run where this
-            // owner can't look.
-            let is_clear = !is_recovering || entry.revision > self.config.fence;
-            if is_open && is_clear {
+            let is_active = !entry.state.is_final();
+            // A run that a predecessor may have started may still be alive where this owner
+            // can't see it.
+            let is_safe_to_start = !is_recovering || entry.revision > self.config.fence;
+            if is_active && is_safe_to_start {
                 let priority = self.queues.get(&entry.queue).map_or(u32::MAX, |q| q.priority);
                 for (number, occurrence) in &entry.occurrences {
                     let urgency = self.urgency(now, entry, occurrence);
@@ -69,15 +69,16 @@
             return Urgency::Critical;
         }
         let left = chain_ms(&entry.steps, |index, step| {
-            let is_open = occurrence.steps.get(index).is_some_and(|state| state.unfinished > 0);
-            if is_open { self.predict(&entry.queue, step) } else { 0 }
+            let is_unfinished =
+                occurrence.steps.get(index).is_some_and(|state| state.unfinished > 0);
+            if is_unfinished { self.predict(&entry.queue, step) } else { 0 }
         });
-        let end = now + Duration::from_millis(left);
-        if end <= entry.deadline(occurrence) {
+        let finish = now + Duration::from_millis(left);
+        if finish <= entry.deadline(occurrence) {
             Urgency::InTime
-        } else if end > entry.expiry(occurrence) {
+        } else if finish > entry.expiry(occurrence) {
             Urgency::Expired
-        } else if end + CRITICAL_MARGIN > entry.expiry(occurrence) {
+        } else if finish + CRITICAL_MARGIN > entry.expiry(occurrence) {
             Urgency::Critical
         } else {
             Urgency::Late
--- a/crates/jobs/src/pool/reserve.rs
+++ b/crates/jobs/src/pool/reserve.rs
@@ -66,7 +66,7 @@
 
     /// Ends the reservation of a task that starts on a worker.
     pub(super) fn consume_reservation(&mut self, name: task::Name, key: worker::Key) {
-        if self.reservations.get(&name).is_some_and(|other| *other != key) {
+        if self.reservations.get(&name).is_some_and(|reserved_on| *reserved_on != key) {
             return self.cancel_reservation(name, "the task started on another worker");
         }
         self.reservations.remove(&name);
@@ -195,7 +195,7 @@
         worker: &Worker,
     ) -> Option<u64> {
         let needed = step.room();
-        let mut occupied = worker.occupied(|other| *other == name);
+        let mut occupied = worker.occupied(|task| *task == name);
         let ends =
             |(task, room): (&task::Name, &Room)| Some((self.remaining_ms(now, *task)?, *room));
         let allocations =
@@ -285,7 +285,7 @@
     /// Returns whether a task has room beside the runs there and the reservations of other
     /// tasks.
     pub(super) fn has_room_for(&self, name: task::Name, needed: &Room) -> bool {
-        self.room.fits(&self.occupied(|other| *other == name), needed)
+        self.room.fits(&self.occupied(|task| *task == name), needed)
     }
 
     /// Returns the number of other tasks of the same step that run here or have room reserved.
--- a/crates/jobs/src/pool/runs.rs
+++ b/crates/jobs/src/pool/runs.rs
@@ -1,4 +1,4 @@
-//! Runs that a worker lists, and those that it lists no more.
+//! Runs that a worker lists, and runs that it no longer lists.
 
 use std::rc::Rc;
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes over a run that a predecessor started.
+    /// Adopts a run that a predecessor started.
     fn adopt(&mut self, now: Time, key: worker::Key, running: &Run) {
         let name = running.task;
         self.remove_crash(name, running.run);
@@ -62,35 +62,36 @@
         self.note("task adopted", Some(name), Some(key), format!("run {}", running.run));
     }
 
-    /// A run that nobody asked for: its job is over, or not known yet. It takes
-    /// room all the same.
+    /// Tracks a run that this owner didn't order: its job has ended or isn't known yet. The run
+    /// occupies room nevertheless.
     fn track_stray(&mut self, now: Time, key: worker::Key, running: &Run) {
         let step = self.entry(running.task.job).and_then(|entry| entry.step(running.task));
-        let known = step.map(super::super::job::Step::room);
-        let room = known.unwrap_or_default();
+        let known_room = step.map(super::super::job::Step::room);
+        let room = known_room.unwrap_or_default();
         let is_over = self.entry(running.task.job).is_some_and(|entry| entry.state.is_final());
         let Some(worker) = self.workers.get_mut(key) else { return };
-        let fresh = Stray {
+        let new = Stray {
             run: running.run,
             since: now,
             stop_sent: None,
-            is_room_known: known.is_some(),
+            is_room_known: known_room.is_some(),
             is_job_over: is_over,
         };
-        let stray = worker.strays.entry(running.task).or_insert(fresh);
+        let stray = worker.strays.entry(running.task).or_insert(new);
         if stray.run != running.run {
-            *stray = fresh;
+            *stray = new;
         }
         stray.is_job_over |= is_over;
-        let is_hosted = worker.allocations.get(&running.task).is_some_and(|h| h.run == running.run);
-        if !is_hosted {
+        let is_allocated =
+            worker.allocations.get(&running.task).is_some_and(|h| h.run == running.run);
+        if !is_allocated {
             worker.allocate(running.task, running.run, room);
         }
     }
 
-    /// Frees what the worker neither runs nor lists as ended, though it was
-    /// confirmed before the look was sent: its end was forgotten, or its job is
-    /// over.
+    /// Releases the runs that the worker lists neither as running nor as ended, although they
+    /// were confirmed before the poll was sent: the worker has forgotten their end, or their
+    /// job has ended.
     pub(super) fn release_unlisted(
         &mut self,
         now: Time,
@@ -102,13 +103,13 @@
         let is_listed = |name: &task::Name, run: u64| {
             report.running.iter().any(|r| r.task == *name && r.run == run)
         };
-        let absent: Vec<(task::Name, Allocation)> = worker
+        let unlisted: Vec<(task::Name, Allocation)> = worker
             .allocations
             .iter()
             .filter(|(name, allocation)| !is_listed(name, allocation.run))
             .map(|(name, allocation)| (*name, *allocation))
             .collect();
-        for (name, allocation) in absent {
+        for (name, allocation) in unlisted {
             self.release_if_ended(now, sent, key, name, allocation.run);
         }
     }
@@ -123,13 +124,13 @@
     ) {
         let placement = self.entry(name.job).and_then(|entry| entry.placement(name));
         let current = placement.filter(|placement| placement.worker == key && placement.run == run);
-        let is_over = match current.map(|placement| placement.phase) {
+        let has_ended = match current.map(|placement| placement.phase) {
             Some(Phase::Starting { .. }) => false,
             Some(Phase::Running { confirmed }) => confirmed < sent,
             Some(Phase::Stopping { confirmed, .. }) => confirmed.is_some_and(|at| at < sent),
             None => true,
         };
-        if !is_over {
+        if !has_ended {
             return;
         }
         let is_current = current.is_some();
