--- a/crates/jobs/src/feature.rs
+++ b/crates/jobs/src/feature.rs
@@ -1,8 +1,8 @@
-//! What some tasks need and not every worker has.
+//! Features that some tasks need and not every worker has.
 
 use crate::job::{Room, Step};
 
-/// What a task needs that not every worker has.
+/// A requirement of a task that not every worker meets.
 ///
 /// ```
 /// use corianderfork_jobs::Step;
@@ -13,27 +13,27 @@
 /// assert_eq!(Feature::of(&step), None);
 /// step.label = Some("ssd".to_owned());
 /// let feature = Feature::of(&step).expect("it needs the label");
-/// assert!(feature.is_had(&["ssd".to_owned()], &Room::default()));
-/// assert!(!feature.is_had(&[], &Room::default()));
+/// assert!(feature.is_provided_by(&["ssd".to_owned()], &Room::default()));
+/// assert!(!feature.is_provided_by(&[], &Room::default()));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Feature {
-    /// This label.
+    /// A label.
     Label(String),
     /// An accelerator.
     Accelerator,
 }
 
 impl Feature {
-    /// What the tasks of a step need. Where they need a label and an
-    /// accelerator, the label tells where they may run.
+    /// Returns the feature that the tasks of a step need, if any. If they need a label and an
+    /// accelerator, the label decides.
     pub fn of(step: &Step) -> Option<Self> {
         let label = step.label.clone().map(Self::Label);
         label.or_else(|| (step.needs.gpu > 0).then_some(Self::Accelerator))
     }
 
-    /// Whether something with these labels and this room has it.
-    pub fn is_had(&self, labels: &[String], room: &Room) -> bool {
+    /// Returns whether a worker with these labels and this room has the feature.
+    pub fn is_provided_by(&self, labels: &[String], room: &Room) -> bool {
         match self {
             Self::Label(label) => labels.contains(label),
             Self::Accelerator => room.gpu > 0,
--- a/crates/jobs/src/flow.rs
+++ b/crates/jobs/src/flow.rs
@@ -1,4 +1,4 @@
-//! How much work comes in.
+//! The rate at which work arrives.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 
 use crate::work::Work;
 
-/// Over how long the flow is measured. The short ones tell within half a second
-/// that a queue's busy time has begun, the long one is steady once it has.
+/// Windows over which the rate is measured. The short ones detect the start of a queue's busy
+/// time within half a second; the long one is steady afterwards.
 const WINDOWS: [Duration; 3] =
     [Duration::from_millis(500), Duration::from_millis(1_000), Duration::from_millis(2_000)];
-/// Over how long [`Flow::noise`] is measured.
-const SECOND: Duration = Duration::from_secs(1);
-/// How many standard errors below what was seen the flow is taken to be.
-const CAUTION: f64 = 0.5;
-/// Arrivals kept: a bound on memory, above what comes in the longest window.
-const MOST: usize = 16_384;
+/// Window over which [`Flow::noise`] is measured.
+const NOISE_WINDOW: Duration = Duration::from_secs(1);
+/// Number of standard errors by which the rate is assumed to be lower than measured.
+const ERROR_MARGIN: f64 = 0.5;
+/// Maximum number of remembered arrivals: a bound on memory, above what arrives in the longest
+/// window.
+const MAX_ARRIVALS: usize = 16_384;
 
-/// The rate at which work is handed in. Pure.
+/// Measures the rate at which work is submitted. Does no I/O.
 ///
-/// What waits and runs is a stock: it grows as the harm does, and a size that
-/// follows it comes when callers have waited already. The flow tells the steady
-/// need from the first half second on.
+/// A pool size that follows the backlog grows too late: the backlog grows only while callers
+/// already wait. The rate shows the lasting need from the first half second on.
 ///
-/// Of each window the rate is taken that is likely there, half a standard error
-/// below what was seen, and then the largest: one huge job is no flow, thirty
-/// small ones in half a second are.
+/// For each window, the rate is taken to be half a standard error below the measurement, and
+/// the largest of these is used: one huge job doesn't count as a rate, thirty small ones in
+/// half a second do.
 ///
 /// ```
 /// use std::time::Duration;
@@ -39,7 +39,7 @@
 /// let core = Room { cpu: 1_000, memory_mb: 0, gpu: 0 };
 /// let mut flow = Flow::default();
 /// for n in 0..100 {
-///     flow.note(Time::from_millis(n * 20), Work::of(&core, Duration::from_millis(200)));
+///     flow.record(Time::from_millis(n * 20), Work::of(&core, Duration::from_millis(200)));
 /// }
 /// let cores = flow.rate(Time::from_millis(2_000)).cpu / 1_000.0;
 /// assert!((8.0..=10.0).contains(&cores), "{cores}");
@@ -50,34 +50,33 @@
 }
 
 impl Flow {
-    /// Takes in that `work` was handed in at `at`.
-    pub fn note(&mut self, at: Time, work: Work) {
+    /// Records that `work` was submitted at `at`.
+    pub fn record(&mut self, at: Time, work: Work) {
         self.arrivals.push_back((at, work));
         let longest = WINDOWS[WINDOWS.len() - 1];
-        while self.arrivals.len() > MOST
+        while self.arrivals.len() > MAX_ARRIVALS
             || self.arrivals.front().is_some_and(|(first, _)| at - *first > longest)
         {
             self.arrivals.pop_front();
         }
     }
 
-    /// The room that the flow keeps busy.
+    /// Returns the room that the arriving work keeps busy.
     pub fn rate(&self, now: Time) -> Work {
-        let mut most = Work::default();
+        let mut largest = Work::default();
         for window in WINDOWS {
-            most = most.max(&self.rate_over(now, window));
+            largest = largest.max(&self.rate_over(now, window));
         }
-        most
+        largest
     }
 
-    /// By how much the flow of a second differs from the next one's by chance: one
-    /// standard error.
+    /// Returns the random variation of the rate between seconds: one standard error.
     pub fn noise(&self, now: Time) -> Work {
         let mut squares = Work::default();
-        for (_, work) in self.arrivals.iter().filter(|(at, _)| now - *at < SECOND) {
+        for (_, work) in self.arrivals.iter().filter(|(at, _)| now - *at < NOISE_WINDOW) {
             squares.add(&work.squared());
         }
-        squares.root().per(SECOND)
+        squares.sqrt().per(NOISE_WINDOW)
     }
 
     fn rate_over(&self, now: Time, window: Duration) -> Work {
@@ -86,6 +85,6 @@
             sum.add(work);
             squares.add(&work.squared());
         }
-        sum.less(&squares.root().times(CAUTION)).per(window)
+        sum.saturating_sub(&squares.sqrt().times(ERROR_MARGIN)).per(window)
     }
 }
--- a/crates/jobs/src/id.rs
+++ b/crates/jobs/src/id.rs
@@ -1,13 +1,12 @@
-//! The id that a caller gives its job.
+//! IDs of jobs.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Hexadecimal digits of an id.
+/// Number of hexadecimal digits of an ID.
 const DIGITS: usize = 16;
 
-/// A job's id: 16 hexadecimal digits, chosen by the caller and repeated with
-/// each retry.
+/// The ID of a job: 16 hexadecimal digits, chosen by the caller and repeated with each retry.
 ///
 /// ```
 /// use corianderfork_jobs::JobId;
@@ -20,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A text is no job id.
+/// The text is not a job ID.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a job id is {DIGITS} hexadecimal digits in lower case; send one")]
 pub struct Error;
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,88 +1,89 @@
-//! What a caller hands in.
+//! Jobs as callers submit them.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest text that tells workers what to run, in bytes.
+/// Maximum length of [`Job::spec`], in bytes.
 pub const MAX_SPEC: usize = 4_000;
-/// Steps of one job: far above what callers send, and a bound on what one
-/// request can make the owner hold.
+/// Maximum number of steps of a job. It is far above what callers submit and bounds the memory
+/// that one request can occupy in the owner.
 pub const MAX_STEPS: usize = 256;
-/// Tasks of one occurrence of a job, a bound like [`MAX_STEPS`].
+/// Maximum number of tasks of one occurrence of a job, a bound like [`MAX_STEPS`].
 pub const MAX_TASKS: u64 = 10_000;
 
-/// A job: what its tasks run, and its steps.
+/// A job: the spec of its tasks, and its steps.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What workers are told to run; opaque here.
+    /// What the workers run; opaque here.
     pub spec: String,
-    /// The steps, in the order that [`Step::after`] counts in.
+    /// The steps. [`Step::after`] contains indices into this list.
     pub steps: Vec<Step>,
-    /// When the steps run again and again, if they do.
+    /// The schedule of a job whose steps run repeatedly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub schedule: Option<Schedule>,
 }
 
-/// Occurrences of a job by the time of day.
+/// A schedule of occurrences by the time of day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// When the first one is due, in milliseconds since the Unix epoch.
+    /// When the first occurrence is due, in milliseconds since the Unix epoch.
     pub first_ms: u64,
-    /// The time between two, in milliseconds.
+    /// The interval between occurrences, in milliseconds.
     pub every_ms: u64,
-    /// How many there are.
+    /// The number of occurrences.
     pub times: u32,
 }
 
-/// Tasks of one kind that may start together.
+/// A group of tasks with the same requirements that may start together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// How many tasks.
+    /// The number of tasks.
     pub count: u32,
-    /// What each task needs.
+    /// The room that each task needs.
     pub needs: Room,
-    /// A rough estimate of how long a task takes, in milliseconds.
+    /// The declared duration of a task, in milliseconds.
     pub estimate_ms: u64,
-    /// Steps whose tasks must all be done first.
+    /// Indices of the steps that must be done before.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<u32>,
     /// Whether the tasks save their progress as they run.
     #[serde(rename = "saves")]
     pub checkpoints: bool,
-    /// Whether the tasks work only all together.
+    /// Whether the step is a gang: its tasks can only run all together.
     pub gang: bool,
-    /// Whether a gang is slow across racks.
+    /// Whether the tasks of a gang should run in the same rack, since the gang is slow across
+    /// racks.
     pub same_rack: bool,
     /// A label that the worker must have.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
-    /// The rack that holds the data.
+    /// The rack that holds the data of the tasks.
     #[serde(rename = "near", skip_serializing_if = "Option::is_none")]
     pub preferred_rack: Option<String>,
-    /// At most so many of the tasks on one worker; 0 for any number.
+    /// The maximum number of the tasks on one worker; 0 for no limit.
     #[serde(rename = "most_together")]
     pub max_per_worker: u32,
     /// Whether two copies of a task may run at the same time.
     pub speculative: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks are long-running: they run until the job is cancelled.
     #[serde(rename = "lasts")]
     pub long_running: bool,
-    /// What the tasks run, where tasks of other jobs run the same.
+    /// The image that the tasks run, if tasks of other jobs run the same one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// The tail of response times that serving tasks must stay under, in
-    /// milliseconds; 0 for none.
+    /// The target for the tail latency of serving tasks, in milliseconds; 0 for none.
     pub target_ms: u64,
-    /// Whether the tasks use processors that others leave idle, uncounted.
+    /// Whether the tasks are backfill: they use CPU that others leave idle, which isn't
+    /// counted.
     #[serde(rename = "fills")]
     pub backfill: bool,
-    /// How many lasting tasks may be away at once by orders of the owner; none
-    /// if nothing is promised.
+    /// The maximum number of long-running tasks that may be unavailable at once because of the
+    /// owner's orders; `None` for no limit.
     #[serde(rename = "may_miss", skip_serializing_if = "Option::is_none")]
     pub max_unavailable: Option<u32>,
 }
 
-/// Room on a worker, had or needed.
+/// Room on a worker, available or needed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Room {
@@ -94,44 +95,44 @@
     pub gpu: u64,
 }
 
-/// Why a job can't be accepted.
+/// An error that makes a job invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
     /// The spec is too long.
     #[error("`spec` has {0} bytes; send at most {MAX_SPEC}")]
     Spec(usize),
-    /// No step, or too many.
+    /// The job has no step, or too many.
     #[error("the job has {0} steps; send 1 to {MAX_STEPS}")]
     Steps(usize),
-    /// A step has no task, or there are too many in all.
+    /// A step has no task, or the job has too many.
     #[error("step {step} has {count} tasks; send 1 or more, and at most {MAX_TASKS} in all")]
     Tasks {
         /// The step.
         step: usize,
-        /// Its tasks.
+        /// The number of its tasks.
         count: u32,
     },
-    /// A step waits for itself or a later one.
+    /// A step depends on itself or a later step.
     #[error("step {step} runs after step {after}, which is no earlier one; name earlier steps")]
     After {
         /// The step.
         step: usize,
-        /// The one it names.
+        /// The step that it depends on.
         after: u32,
     },
-    /// Occurrences follow each other without a pause.
+    /// The interval between occurrences is zero.
     #[error("occurrences come every 0 ms; send the time between two")]
     Schedule,
 }
 
 impl Job {
-    /// Checks a job.
+    /// Creates a job without a schedule.
     ///
     /// # Errors
     ///
-    /// Fails if it is too large, a step has no task, or a step waits for one
-    /// that doesn't come before it (so that there can be no cycle).
+    /// Fails if the job is too large, a step has no task, or a step depends on one that doesn't
+    /// come before it (which rules out cycles).
     pub fn new(spec: String, steps: Vec<Step>) -> Result<Self, Error> {
         if spec.len() > MAX_SPEC {
             return Err(Error::Spec(spec.len()));
@@ -140,23 +141,23 @@
             return Err(Error::Steps(steps.len()));
         }
         let mut all = 0;
-        for (step, row) in steps.iter().enumerate() {
-            all += u64::from(row.count);
-            if row.count == 0 || all > MAX_TASKS {
-                return Err(Error::Tasks { step, count: row.count });
+        for (step, declared) in steps.iter().enumerate() {
+            all += u64::from(declared.count);
+            if declared.count == 0 || all > MAX_TASKS {
+                return Err(Error::Tasks { step, count: declared.count });
             }
-            if let Some(after) = row.after.iter().find(|after| **after as usize >= step) {
+            if let Some(after) = declared.after.iter().find(|after| **after as usize >= step) {
                 return Err(Error::After { step, after: *after });
             }
         }
         Ok(Self { spec, steps, schedule: None })
     }
 
-    /// Has the steps run by the time of day.
+    /// Sets the schedule.
     ///
     /// # Errors
     ///
-    /// Fails if occurrences don't come apart.
+    /// Fails if the interval of several occurrences is zero.
     pub fn scheduled(mut self, schedule: Schedule) -> Result<Self, Error> {
         if schedule.every_ms == 0 && schedule.times > 1 {
             return Err(Error::Schedule);
@@ -165,66 +166,67 @@
         Ok(self)
     }
 
-    /// Tasks of one occurrence.
+    /// Returns the number of tasks of one occurrence.
     pub fn tasks(&self) -> u64 {
         self.steps.iter().map(|step| u64::from(step.count)).sum()
     }
 
-    /// How often the steps run.
+    /// Returns the number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// Whether it runs until it is cancelled.
+    /// Returns whether the job runs until it is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// The longest chain of estimates, in milliseconds.
+    /// Returns the declared duration of the longest chain of dependent steps, in milliseconds.
     pub fn chain_ms(&self) -> u64 {
         chain_ms(&self.steps, |_, step| step.estimate_ms)
     }
 }
 
-/// The longest chain through steps that take `each` milliseconds.
-pub fn chain_ms(steps: &[Step], each: impl Fn(usize, &Step) -> u64) -> u64 {
+/// Returns the duration of the longest chain of dependent steps, each of which takes
+/// `duration_ms` milliseconds.
+pub fn chain_ms(steps: &[Step], duration_ms: impl Fn(usize, &Step) -> u64) -> u64 {
     let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
     for (index, step) in steps.iter().enumerate() {
-        let begin = step.after.iter().filter_map(|after| ends.get(*after as usize)).max();
-        ends.push(begin.copied().unwrap_or(0) + each(index, step));
+        let start = step.after.iter().filter_map(|after| ends.get(*after as usize)).max();
+        ends.push(start.copied().unwrap_or(0) + duration_ms(index, step));
     }
     ends.into_iter().max().unwrap_or(0)
 }
 
 impl Step {
-    /// A step of `count` tasks.
+    /// Creates a step of `count` tasks.
     pub fn new(count: u32) -> Self {
         Self { count, ..Self::default() }
     }
 
-    /// Has it run after an earlier step.
+    /// Adds a dependency on an earlier step.
     #[must_use]
     pub fn after(mut self, step: u32) -> Self {
         self.after.push(step);
         self
     }
 
-    /// What a task takes of a worker's room: one that fills takes no processor.
+    /// Returns the room that a task occupies on a worker. A backfill task occupies no CPU.
     pub fn room(&self) -> Room {
         if self.backfill { Room { cpu: 0, ..self.needs } } else { self.needs }
     }
 }
 
 impl Room {
-    /// Whether `needed` fits into what is left of this with `used` taken.
+    /// Returns whether `needed` fits into this room beside `used`.
     pub fn fits(&self, used: &Self, needed: &Self) -> bool {
-        // What callers declare may be absurd: a sum that wraps would fit.
+        // Callers may declare absurd values; a wrapped sum would fit.
         used.cpu.saturating_add(needed.cpu) <= self.cpu
             && used.memory_mb.saturating_add(needed.memory_mb) <= self.memory_mb
             && used.gpu.saturating_add(needed.gpu) <= self.gpu
     }
 
-    /// So many times this.
+    /// Returns this room multiplied by `count`.
     #[must_use]
     pub fn times(&self, count: u32) -> Self {
         let count = u64::from(count);
@@ -235,7 +237,8 @@
         }
     }
 
-    /// How many times `each` has to be there to hold this, by what is scarcest.
+    /// Returns how many units of room `each` are necessary to hold this room, by the scarcest
+    /// resource.
     pub fn in_units_of(&self, each: &Self) -> f64 {
         let share =
             |part: u64, whole: u64| if part == 0 { 0.0 } else { part as f64 / whole.max(1) as f64 };
@@ -244,14 +247,14 @@
             .max(share(self.gpu, each.gpu))
     }
 
-    /// Takes `other` besides.
+    /// Adds `other`.
     pub fn add(&mut self, other: &Self) {
         self.cpu = self.cpu.saturating_add(other.cpu);
         self.memory_mb = self.memory_mb.saturating_add(other.memory_mb);
         self.gpu = self.gpu.saturating_add(other.gpu);
     }
 
-    /// Gives `other` back.
+    /// Subtracts `other`.
     pub fn sub(&mut self, other: &Self) {
         self.cpu = self.cpu.saturating_sub(other.cpu);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,23 +1,22 @@
 //! Jobs: steps of tasks that run on workers under leases.
 //!
-//! A caller hands in a [`Job`]: steps of tasks, some after others. Each pool of
-//! workers has one owner at a time, and [`Pool`] is what the owner knows: which
-//! tasks may start and where, what runs, what ended, and which of that is
-//! written down. It is pure: it is handed the time, the answers of workers and
-//! of the store, and gives back [`Order`]s to send and a [`Batch`] to write. The
-//! same code runs in the entry daemon and in tests that interleave faults.
+//! A caller submits a [`Job`]: steps of tasks, some of which depend on earlier ones. Each pool
+//! of workers has one owner at a time, and [`Pool`] is the owner's state: which tasks may start
+//! and where, what is running, what has ended, and which of that is written to the store. It
+//! does no I/O: it receives the time and the answers of workers and of the store, and returns
+//! [`Order`]s to send and a [`Batch`] to write. The same code runs in the entry daemon and in
+//! tests that interleave faults.
 //!
-//! Three things keep a task from running twice, whatever is lost or late:
+//! Three mechanisms prevent a task from running twice, whatever messages are lost or late:
 //!
-//! - Each order carries the owner's **fence**, the revision at which it became
-//!   the owner. A worker does nothing for a lower one than it has seen, so an
-//!   owner that was replaced while it was paused can't start anything.
-//! - Everything on a worker runs under a **lease**. A worker that doesn't answer
-//!   may go on with its tasks until the last lease that was granted to it ends,
-//!   on its own clock, and not longer. Until then its tasks are not started
-//!   elsewhere.
-//! - An end is **written** before the worker may forget it, so that a successor
-//!   finds it in the one place or in the other.
+//! - Each order carries the owner's **fence**, the store revision at which it became the owner.
+//!   A worker ignores orders with a lower fence than it has seen, so an owner that was replaced
+//!   while it was paused can't start anything.
+//! - Everything on a worker runs under a **lease**. A worker that doesn't answer may continue
+//!   its tasks until its last granted lease ends, on its own clock, and no longer. Until then
+//!   its tasks are not started elsewhere.
+//! - An exit is **written** to the store before the worker may forget it, so a successor finds
+//!   it in one of the two places.
 //!
 //! ```
 //! use corianderfork_jobs::{Job, Step};
--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -36,7 +36,7 @@
 pub use order::{Action, Answer, Order};
 pub use poll::{Poll, Report};
 
-use crate::estimate::Estimate;
+use crate::estimate::Estimator;
 use crate::feature::Feature;
 use crate::flow::Flow;
 use crate::id::JobId;
@@ -114,7 +114,7 @@
     config: Config,
     queues: HashMap<String, Queue>,
     /// Estimates of task durations, by queue.
-    estimates: HashMap<String, Estimate>,
+    estimates: HashMap<String, Estimator>,
     /// The rate at which work arrives.
     flow: Flow,
     workers: SlotMap<worker::Key, Worker>,
--- a/crates/jobs/src/pool/choose.rs
+++ b/crates/jobs/src/pool/choose.rs
@@ -98,7 +98,7 @@
     /// Long-running tasks are excluded, since they would delay the maintenance forever.
     pub(super) fn may_use_stranded(&self, now: Time, step: &Step) -> bool {
         let Some(feature) = Feature::of(step).filter(|_| !step.long_running) else { return false };
-        let has_feature = |worker: &&Worker| feature.is_had(&worker.labels, &worker.room);
+        let has_feature = |worker: &&Worker| feature.is_provided_by(&worker.labels, &worker.room);
         !self.workers.values().filter(has_feature).any(|worker| worker.is_usable(now))
     }
 
@@ -129,7 +129,9 @@
 
     /// Returns whether a worker has a feature that waiting tasks need and not every worker has.
     fn has_requested_feature(&self, worker: &Worker) -> bool {
-        self.requested_features.iter().any(|feature| feature.is_had(&worker.labels, &worker.room))
+        self.requested_features
+            .iter()
+            .any(|feature| feature.is_provided_by(&worker.labels, &worker.room))
     }
 
     fn serving_tasks(&self, worker: &Worker) -> u32 {
--- a/crates/jobs/src/pool/evacuate.rs
+++ b/crates/jobs/src/pool/evacuate.rs
@@ -121,8 +121,9 @@
                     .find_map(|(step, _)| Some((Feature::of(step)?, step.room())))
             });
         let (feature, needed) = blocked?;
-        let has =
-            |worker: &Worker| worker.is_usable(now) && feature.is_had(&worker.labels, &worker.room);
+        let has = |worker: &Worker| {
+            worker.is_usable(now) && feature.is_provided_by(&worker.labels, &worker.room)
+        };
         let candidates = self.workers.iter().filter(|(_, worker)| has(worker));
         // Prefers the worker that needs the fewest moves.
         let movable = candidates.filter_map(|(key, worker)| {
--- a/crates/jobs/src/pool/jobs.rs
+++ b/crates/jobs/src/pool/jobs.rs
@@ -47,7 +47,7 @@
         let is_final = entry.state.is_final();
         if !entry.long_running && entry.schedule.is_none() {
             let work = self.work(&record.queue, &record.job.steps);
-            self.flow.note(entry.accepted, work);
+            self.flow.record(entry.accepted, work);
         }
         if is_final {
             entry.ended = Some(now);
--- a/crates/jobs/src/queue.rs
+++ b/crates/jobs/src/queue.rs
@@ -1,35 +1,35 @@
-//! What the operators say of a queue.
+//! Configuration of a queue.
 
 use std::time::Duration;
 
-/// How a queue's jobs are treated.
+/// How the jobs of a queue are treated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// 0 comes first.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// How many failed runs of a task fail its job.
+    /// The number of failed runs of a task that fails its job.
     pub attempts: u32,
-    /// A job is in time within so many times its longest chain, and
-    /// [`Queue::slack`] more.
+    /// A job is in time if it ends within its longest chain of steps times this factor, plus
+    /// [`Queue::slack`].
     pub stretch: f64,
     /// See [`Queue::stretch`].
     pub slack: Duration,
-    /// Set where a service has to be asked which workers may run a step.
+    /// The cost of advice, if a service decides which workers may run a step.
     pub advice: Option<AdviceCost>,
 }
 
-/// How long the service takes that says which workers may run a step.
+/// How long the advice service takes for a query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdviceCost {
-    /// For each question.
+    /// For each query.
     pub per_query: Duration,
-    /// And for each worker that it names.
+    /// In addition, for each worker in the query.
     pub per_worker: Duration,
 }
 
 impl Default for Queue {
-    /// What holds for a queue that the configuration no longer has: its jobs
-    /// were accepted and run on, after the others.
+    /// The settings for a queue that the configuration no longer contains: its accepted jobs
+    /// still run, after those of other queues.
     fn default() -> Self {
         Self {
             priority: u32::MAX,
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,4 +1,4 @@
-//! What is written of a job, so that it outlives every process.
+//! Records of jobs in the store.
 
 use std::collections::BTreeMap;
 
@@ -6,46 +6,46 @@
 
 use crate::job::Job;
 
-/// A job as it was accepted. Written once, before the caller is told so.
+/// An accepted job. Written once, before the caller gets the confirmation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The queue it was handed in at.
+    /// The queue to which it was submitted.
     pub queue: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
     /// The job.
     pub job: Job,
 }
 
-/// How far a job is. Written by the pool's owner.
+/// The progress of a job. Written by the pool's owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Where it stands.
+    /// The state of the job.
     pub state: State,
-    /// The queue; kept here since the job's record goes with its end.
+    /// The queue, repeated here since the job's record is removed when the job ends.
     pub queue: String,
-    /// When it ended, in milliseconds since the Unix epoch; 0 before.
+    /// When the job ended, in milliseconds since the Unix epoch; 0 before.
     #[serde(default)]
     pub ended_ms: u64,
-    /// Tasks done: a bit a task, by occurrence and step.
+    /// The finished tasks, as a bit set for each occurrence and step.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub done: BTreeMap<String, Vec<u64>>,
-    /// The numbers of a task's failed runs, by occurrence, step and index. The
-    /// numbers and not their count: a worker may list an end again that was
-    /// written before, and a run that fails once must not count twice.
+    /// The numbers of the failed runs of each task, by occurrence, step and index. Numbers are
+    /// stored and not a count because a worker may list an exit again after it was written, and
+    /// a failed run must not count twice.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub failed: BTreeMap<String, Vec<u64>>,
-    /// The numbers of a task's runs that are suspected of crashing their worker, by
+    /// The numbers of the runs of each task that are suspected of crashing their worker, by
     /// occurrence, step and index.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub crashed: BTreeMap<String, Vec<u64>>,
-    /// What the last run of a task saved that waits to go on, by occurrence, step and
-    /// index. While it runs its worker has it.
+    /// The progress that the last run of each waiting task saved, by occurrence, step and
+    /// index. While a task runs, its worker has the saved progress.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub saved: BTreeMap<String, String>,
 }
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
@@ -56,14 +56,14 @@
     Running,
     /// All tasks are done.
     Completed,
-    /// A task failed as often as its queue allows.
+    /// A task failed the maximum number of times.
     Failed,
-    /// The caller took it back.
+    /// The caller cancelled it.
     Cancelled,
 }
 
 impl State {
-    /// Whether nothing more happens to it.
+    /// Returns whether the state never changes any more.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
--- a/crates/jobs/src/task.rs
+++ b/crates/jobs/src/task.rs
@@ -1,53 +1,53 @@
-//! One task, and the runs of it.
+//! Tasks and their runs.
 
 use crate::id::JobId;
 
-/// Names a task of one occurrence of a job.
+/// The name of a task of one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name {
     /// The job.
     pub job: JobId,
-    /// The occurrence; 0 for a job that runs once.
+    /// The number of the occurrence; 0 for a job that runs once.
     pub occurrence: u32,
-    /// The step.
+    /// The index of the step.
     pub step: u32,
-    /// The task in its step.
+    /// The index of the task in its step.
     pub index: u32,
 }
 
 impl Name {
-    /// Whether both are tasks of the same step of the same occurrence.
+    /// Returns whether both are tasks of the same step of the same occurrence.
     pub(crate) fn is_sibling(&self, other: &Self) -> bool {
         (self.job, self.occurrence, self.step) == (other.job, other.occurrence, other.step)
     }
 }
 
-/// A run as a worker lists it.
+/// A current run, as a worker lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// The task.
     pub task: Name,
-    /// The number of this start.
+    /// The number of the run.
     pub run: u64,
     /// The newest saved progress; empty if there is none.
     pub saved: String,
-    /// How far it is; for a task that lasts, 100 is at work.
+    /// The progress in percent; 100 means ready for a long-running task.
     pub percent: u32,
-    /// For a task that serves, the tail of its response times in milliseconds;
-    /// else thousandths of a core in use. Over about the last half second.
+    /// The tail latency of a serving task in milliseconds, or the CPU use of another task in
+    /// thousandths of a core, over about the last half second.
     pub gauge: u64,
 }
 
-/// An end as a worker lists it.
+/// The exit of a run, as a worker lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exit {
-    /// Its number on that worker, from 1.
+    /// The number of the exit on that worker, from 1.
     pub number: u64,
     /// The task.
     pub task: Name,
-    /// The number of the start.
+    /// The number of the run.
     pub run: u64,
-    /// How it ended.
+    /// How the run ended.
     pub outcome: Outcome,
     /// The newest saved progress; empty if there is none.
     pub saved: String,
@@ -58,14 +58,14 @@
 pub enum Outcome {
     /// The task is done.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// The run failed, because of the task or the worker.
     Failed,
-    /// It was stopped by an order.
+    /// The run was stopped by an order.
     Stopped,
-    /// The worker's lease ran out.
+    /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited too long for the rest of its gang.
+    /// The run waited too long for the rest of its gang.
     Alone,
 }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! One worker, as the owner of its pool knows it.
+//! A worker, as the owner of its pool sees it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use crate::task;
 
 slotmap::new_key_type! {
-    /// A worker of a pool.
+    /// The key of a worker of a pool.
     pub struct Key;
 }
 
-/// A worker's clock may run slow by this share, in percent: what the platform
-/// promises of its clocks.
+/// Maximum amount by which a worker's clock may run slow, in percent, as the platform
+/// guarantees.
 const CLOCK_SLOW_PERCENT: u32 = 2;
 
-/// How long a lease of `length` may hold on the clock of the process that granted it:
-/// the worker's clock may be slow, by a little more between an answer of the worker and
-/// the grant.
+/// Returns how long a lease of `length` may last on the clock of the process that granted it:
+/// the worker's clock may be slow, and slightly more time may pass between an answer of the
+/// worker and the grant.
 ///
 /// ```
 /// use std::time::Duration;
@@ -34,68 +34,68 @@
     length * (100 + CLOCK_SLOW_PERCENT + 1) / 100
 }
 
-/// How long a worker that is to be maintained waits for room elsewhere: longer
-/// than it takes to move another one into the pool.
+/// How long a worker that is to be maintained waits for room elsewhere. This is longer than
+/// moving another worker into the pool takes.
 pub(crate) const STRANDED_AFTER: Duration = Duration::from_millis(4_000);
 
-/// What the list of workers says of one.
+/// A worker's entry in the list of workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// One life of the worker.
+    /// The ID of the worker instance.
     pub id: String,
-    /// Where it answers.
+    /// The address of the worker.
     pub address: SocketAddr,
-    /// Its labels, its rack among them.
+    /// The labels, including the rack.
     pub labels: Vec<String>,
-    /// Its rack; empty if that isn't known.
+    /// The rack; empty if unknown.
     pub rack: String,
-    /// What it has.
+    /// The total room.
     pub room: Room,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub draining: bool,
-    /// The store's revision of the entry: it grows with each heartbeat.
+    /// The store revision of the entry, which increases with each heartbeat.
     pub revision: u64,
 }
 
-/// Where a worker can be found again: kept in the store for a successor.
+/// The location of a worker, kept in the store for a successor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Location {
-    /// One life of the worker.
+    /// The ID of the worker instance.
     pub id: String,
-    /// Where it answers.
+    /// The address of the worker.
     pub address: SocketAddr,
 }
 
-/// An end that the worker may not forget yet.
+/// The reason why a worker may not forget an exit yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Pending {
-    /// Until this version of the job's progress is written.
+    /// This version of the job's progress has to be written.
     Written { job: JobId, version: u64 },
-    /// Until the job is known, or it is certain that there is none.
+    /// The job is unknown; it has to become known or be certain not to exist.
     Unknown { since: Time },
 }
 
-/// A run that takes room on the worker.
+/// The room that a run occupies on the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Allocation {
     pub run: u64,
     pub room: Room,
 }
 
-/// A run that the worker lists and the owner didn't ask for.
+/// A run that the worker lists and this owner didn't order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Stray {
     pub run: u64,
     pub since: Time,
-    /// When it was last asked to stop.
+    /// When a stop was last sent.
     pub stop_sent: Option<Time>,
-    /// Whether its step, and so what it takes, is known.
+    /// Whether its step, and therefore its room, is known.
     pub is_room_known: bool,
-    /// Whether its job is known to be over.
+    /// Whether its job is known to have ended.
     pub is_job_over: bool,
 }
 
-/// One worker.
+/// A worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
     pub(crate) id: String,
@@ -105,42 +105,42 @@
     pub(crate) room: Room,
     pub(crate) used: Room,
     pub(crate) draining: bool,
-    /// When the list last ceased to hold it.
+    /// Since when the list of workers has not contained it.
     pub(crate) missing_since: Option<Time>,
-    /// Whether it has answered under the owner's fence.
+    /// Whether it has answered under this owner's fence.
     pub(crate) fenced: bool,
-    /// Whether a look at it has been tried.
+    /// Whether it has been polled, successfully or not.
     pub(crate) is_polled: bool,
-    /// Whether the store's roster names it.
+    /// Whether the written roster contains it.
     pub(crate) rostered: bool,
-    /// Looks in a row that it didn't answer.
+    /// Number of consecutive unanswered polls.
     pub(crate) unanswered_polls: u32,
-    /// Its clock, and when it was heard.
+    /// Its last reported clock in milliseconds, and when the report arrived.
     clock: Option<(u64, Time)>,
-    /// Until when, on its clock, anything may run there.
+    /// When the last granted lease ends, in milliseconds on the worker's clock.
     granted_until_ms: u64,
-    /// Until when, at the latest, a predecessor's grants hold.
+    /// When the leases that predecessors granted end at the latest.
     pub(crate) inherited_until: Time,
-    /// The last end that was taken in.
+    /// The number of the last exit that was handled.
     pub(crate) last_exit: u64,
-    /// The last end that it may forget.
+    /// The number of the last exit that the worker may forget.
     pub(crate) acked: u64,
     pub(crate) pending: BTreeMap<u64, Pending>,
     pub(crate) orphans: Vec<task::Exit>,
     pub(crate) allocations: HashMap<task::Name, Allocation>,
     pub(crate) strays: HashMap<task::Name, Stray>,
-    /// Room that is kept for tasks which are to come.
+    /// Room reserved for tasks that are to start here.
     pub(crate) reserved: BTreeMap<task::Name, Room>,
     pub(crate) vacate_until: Time,
-    /// When it was first asked to be emptied for maintenance.
+    /// When vacating for maintenance was first requested.
     pub(crate) vacating_since: Time,
-    /// Whether it is vacated for want of work, and not for maintenance.
+    /// Whether it is vacated because the pool has too many workers, and not for maintenance.
     pub(crate) is_surplus: bool,
     pub(crate) avoid_until: Time,
-    /// Failed ends in a row, of different jobs.
+    /// Number of consecutive failed runs, of different jobs.
     pub(crate) failures_in_row: u32,
     pub(crate) last_failed_job: Option<JobId>,
-    /// The share that filling tasks here are let work at, and since when.
+    /// The speed of backfill tasks here, in percent, and when it last changed.
     pub(crate) pace: u32,
     pub(crate) pace_changed: Time,
 }
@@ -185,22 +185,22 @@
         Location { id: self.id.clone(), address: self.address }
     }
 
-    /// Learns the worker's clock from an answer.
+    /// Updates the worker's clock from an answer.
     pub(crate) fn update_clock(&mut self, now: Time, clock_ms: u64) {
-        // Answers overtake each other; only a later clock is news.
+        // Answers may arrive out of order; only a later clock is new.
         if self.clock.is_none_or(|(known, _)| clock_ms >= known) {
             self.clock = Some((clock_ms, now));
         }
     }
 
-    /// When the worker last answered, if it has.
+    /// Returns when the worker last answered, if it has.
     pub(crate) fn last_heard(&self) -> Option<Time> {
         self.clock.map(|(_, at)| at)
     }
 
-    /// The deadline, on the worker's clock, of a lease of `length` from now, if
-    /// its clock is known. What is sent counts as granted: an order without an
-    /// answer may have been carried out.
+    /// Grants a lease of `length` from now. Returns its deadline on the worker's clock, or
+    /// `None` if the clock is unknown. Every lease that is sent counts as granted, since an
+    /// unanswered request may have been carried out.
     pub(crate) fn grant(&mut self, now: Time, length: Duration) -> Option<u64> {
         let (clock, at) = self.clock?;
         let deadline = clock + millis(now - at) + millis(length);
@@ -208,23 +208,23 @@
         Some(deadline)
     }
 
-    /// When all that was granted has certainly ended, on the owner's clock.
+    /// Returns when all granted leases have certainly ended, on the owner's clock.
     ///
-    /// The worker's clock may be slow: it shows at least what was heard and 98%
-    /// of the time since.
+    /// The worker's clock may be slow: it shows at least the last reported time plus 98% of the
+    /// time since.
     pub(crate) fn leases_end(&self) -> Time {
         let Some((clock, at)) = self.clock else { return self.inherited_until };
-        let left = self.granted_until_ms.saturating_sub(clock);
-        let stretched = left * 100 / u64::from(100 - CLOCK_SLOW_PERCENT) + 1;
+        let remaining = self.granted_until_ms.saturating_sub(clock);
+        let stretched = remaining * 100 / u64::from(100 - CLOCK_SLOW_PERCENT) + 1;
         (at + Duration::from_millis(stretched)).max(self.inherited_until)
     }
 
-    /// Whether it has answered lately.
+    /// Returns whether the last poll was answered.
     pub(crate) fn is_responsive(&self) -> bool {
         self.unanswered_polls == 0
     }
 
-    /// Counts a run's room. Fits or not: what runs runs.
+    /// Allocates room to a run, whether or not it fits: the run exists.
     pub(crate) fn allocate(&mut self, task: task::Name, run: u64, room: Room) {
         if let Some(old) = self.allocations.insert(task, Allocation { run, room }) {
             self.used.sub(&old.room);
@@ -232,7 +232,7 @@
         self.used.add(&room);
     }
 
-    /// Frees a run's room; another run of the task keeps its own.
+    /// Releases the room of a run. Another run of the same task keeps its room.
     pub(crate) fn release(&mut self, task: task::Name, run: u64) {
         if self.allocations.get(&task).is_some_and(|allocation| allocation.run == run)
             && let Some(old) = self.allocations.remove(&task)
@@ -249,7 +249,7 @@
         now < self.vacate_until
     }
 
-    /// Whether it is one that takes work, as far as it is up to it.
+    /// Returns whether the worker is ready for tasks, apart from decisions of the owner.
     pub(crate) fn is_healthy(&self) -> bool {
         self.fenced
             && self.rostered
@@ -258,19 +258,19 @@
             && self.missing_since.is_none()
     }
 
-    /// Whether new work may go there.
+    /// Returns whether new tasks may be placed on the worker.
     pub(crate) fn is_usable(&self, now: Time) -> bool {
         self.accepts_runs(now) && !self.is_vacating(now)
     }
 
-    /// Whether it is to be maintained and could not be emptied for a while.
+    /// Returns whether the worker is to be maintained and could not be emptied for a while.
     pub(crate) fn is_stranded(&self, now: Time) -> bool {
         let is_due = self.is_vacating(now) && !self.is_surplus;
         self.accepts_runs(now) && is_due && now - self.vacating_since > STRANDED_AFTER
     }
 
     fn accepts_runs(&self, now: Time) -> bool {
-        // Beside a run of unknown size nothing is certain to fit.
+        // Nothing is certain to fit beside a run of unknown size.
         let is_room_known = self.strays.values().all(|stray| stray.is_room_known);
         self.is_healthy() && now >= self.avoid_until && is_room_known
     }
--- a/crates/jobs/tests/explain.rs
+++ b/crates/jobs/tests/explain.rs
@@ -5,12 +5,12 @@
 use std::collections::HashMap;
 
 use common::{World, at, step};
-use corianderfork_jobs::pool::Part;
+use corianderfork_jobs::pool::StepExplanation;
 use corianderfork_jobs::queue::{AdviceCost, Queue};
 use corianderfork_jobs::record::State;
 use corianderfork_jobs::{JobId, Step};
 
-fn parts(world: &World, job: JobId) -> Vec<Part> {
+fn parts(world: &World, job: JobId) -> Vec<StepExplanation> {
     world.pool.explain(at(world.now), job).expect("it is known").steps
 }
 
--- a/crates/jobs/tests/flow.rs
+++ b/crates/jobs/tests/flow.rs
@@ -34,7 +34,7 @@
 fn steady(every: u64, until: u64) -> Flow {
     let mut flow = Flow::default();
     for n in 0..until / every {
-        flow.note(at(n * every), work(SMALL));
+        flow.record(at(n * every), work(SMALL));
     }
     flow
 }
@@ -49,7 +49,7 @@
     let before = cores(&flow.rate(at(10_000)));
     assert!(before < 25.0, "{before}");
     for n in 0..30 {
-        flow.note(at(10_000 + n * 17), work(SMALL));
+        flow.record(at(10_000 + n * 17), work(SMALL));
     }
     let begun = cores(&flow.rate(at(10_500)));
     assert!((230.0..330.0).contains(&begun), "{begun} of 294 cores");
@@ -69,7 +69,7 @@
     // Sequence: one job of 400 core-seconds comes to an idle queue.
     // Cause: half a second with one job was taken for a rate.
     let mut flow = Flow::default();
-    flow.note(at(1_000), work(400_000));
+    flow.record(at(1_000), work(400_000));
     let one = cores(&flow.rate(at(1_100)));
     assert!(one <= 400.0, "{one}: 800 a second were seen");
 }
