--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -63,11 +63,11 @@
     pub(crate) fence: u64,
     /// Length of a lease on a worker.
     pub(crate) lease: Duration,
-    /// How long a finished job's state is told.
+    /// How long the state of a finished job is kept.
     pub(crate) remember: Duration,
     /// When the leases end at the latest that predecessors granted and can't be asked about.
     pub(crate) inherited_until: Time,
-    /// How many times as long a task takes away from the rack of its data.
+    /// Factor by which a task takes longer away from the rack of its data.
     pub(crate) remote_factor: f64,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Sets how many times as long a task takes away from the rack of its data.
+    /// Sets the factor by which a task takes longer away from the rack of its data.
     /// The more, the longer a task waits for a worker there.
     #[must_use]
     pub fn remote_factor(mut self, times: f64) -> Self {
@@ -100,7 +100,7 @@
         self
     }
 
-    /// Sets how long a finished job's state is told.
+    /// Sets how long the state of a finished job is kept.
     #[must_use]
     pub fn remember(mut self, remember: Duration) -> Self {
         self.remember = remember;
--- a/crates/jobs/src/pool/advice.rs
+++ b/crates/jobs/src/pool/advice.rs
@@ -175,7 +175,7 @@
         let room = step.room();
         let task = name(entry.id, step_key.occurrence, step_key.step, 0);
         let has_room = |worker: &Worker| {
-            worker.room.fits(&worker.occupied(|kept| kept.is_sibling(&task)), &room)
+            worker.room.fits(&worker.occupied(|reserved| reserved.is_sibling(&task)), &room)
         };
         let suitable = || self.workers.iter().filter(|(_, worker)| is_suitable(worker, now, step));
         let has_allowed_worker =
@@ -212,7 +212,7 @@
                 known.tickets.insert(*key, ticket);
             }
         }
-        let why = format!("{} of {} workers may", allowed.len(), query.workers.len());
+        let why = format!("{} of {} workers are allowed", allowed.len(), query.workers.len());
         self.note("advice told", Some(query.task), None, why);
     }
 
--- a/crates/jobs/src/pool/batch.rs
+++ b/crates/jobs/src/pool/batch.rs
@@ -9,8 +9,8 @@
 use crate::record::Progress;
 use crate::worker;
 
-/// How long an end that no caller waits for may stay unwritten. A worker lists an end until it
-/// is written, and a poll that waits for ends returns at once while one is listed. A longer
+/// How long an exit that no caller waits for may stay unwritten. A worker lists an exit until
+/// it is written, and a poll that waits for exits returns at once while one is listed. A longer
 /// delay costs polls (a hundredfold on busy workers, counted in the worker histogram), a
 /// shorter one costs writes.
 pub(super) const WRITE_DELAY: Duration = Duration::from_millis(120);
--- a/crates/jobs/src/pool/evacuate.rs
+++ b/crates/jobs/src/pool/evacuate.rs
@@ -121,16 +121,16 @@
                     .find_map(|(step, _)| Some((Feature::of(step)?, step.room())))
             });
         let (feature, needed) = blocked?;
-        let has = |worker: &Worker| {
+        let has_feature = |worker: &Worker| {
             worker.is_usable(now) && feature.is_provided_by(&worker.labels, &worker.room)
         };
-        let candidates = self.workers.iter().filter(|(_, worker)| has(worker));
+        let candidates = self.workers.iter().filter(|(_, worker)| has_feature(worker));
         // Prefers the worker that needs the fewest moves.
         let movable = candidates.filter_map(|(key, worker)| {
-            let lasting = self.movable(worker);
-            let mut kept = worker.occupied(|_| false);
-            lasting.iter().for_each(|name| kept.sub(&worker.allocations[name].room));
-            worker.room.fits(&kept, &needed).then_some((lasting.len(), key))
+            let tasks = self.movable(worker);
+            let mut remaining = worker.occupied(|_| false);
+            tasks.iter().for_each(|name| remaining.sub(&worker.allocations[name].room));
+            worker.room.fits(&remaining, &needed).then_some((tasks.len(), key))
         });
         movable.filter(|(count, _)| *count > 0).min().map(|(_, key)| key)
     }
@@ -195,7 +195,7 @@
     /// known state would count it as ready until the worker's lease ends, and one task too many
     /// would be stopped.
     fn may_disrupt(&self, entry: &Entry, name: task::Name, step: &Step) -> bool {
-        let Some(may_miss) = step.max_unavailable else { return true };
+        let Some(max_unavailable) = step.max_unavailable else { return true };
         let is_ready = |placement: &Placement| {
             matches!(placement.phase, Phase::Running { .. })
                 && placement.percent == READY_PERCENT
@@ -208,7 +208,7 @@
             TaskState::Placed(placement) => !is_ready(placement),
             _ => true,
         });
-        unavailable.count() < may_miss as usize
+        unavailable.count() < max_unavailable as usize
     }
 }
 
--- a/crates/jobs/src/pool/exits.rs
+++ b/crates/jobs/src/pool/exits.rs
@@ -84,8 +84,8 @@
     /// exit. The task resumes from it, and until it runs again no other process has it.
     fn persist_saved(&mut self, now: Time, key: worker::Key, exit: &Exit) {
         let job = exit.task.job;
-        let is_unwritten = self.entry(job).is_some_and(|entry| !entry.state.is_final());
-        if is_unwritten && !exit.saved.is_empty() {
+        let is_active = self.entry(job).is_some_and(|entry| !entry.state.is_final());
+        if is_active && !exit.saved.is_empty() {
             let version = self.mark_dirty(now, job, false);
             self.set_pending(key, exit.number, Pending::Written { job, version });
         }
@@ -248,13 +248,13 @@
     /// Lets the worker forget all exits before the first one that has to be kept.
     pub(super) fn advance_ack(&mut self, key: worker::Key) {
         let Some(worker) = self.workers.get(key) else { return };
-        let is_unwritten = |pending: &Pending| match pending {
+        let must_keep = |pending: &Pending| match pending {
             Pending::Written { job, version } => {
                 self.entry(*job).is_some_and(|entry| entry.written_version < *version)
             }
             Pending::Unknown { .. } => true,
         };
-        let first_kept = worker.pending.iter().find(|(_, p)| is_unwritten(p)).map(|(n, _)| *n);
+        let first_kept = worker.pending.iter().find(|(_, p)| must_keep(p)).map(|(n, _)| *n);
         let acked = first_kept.map_or(worker.last_exit, |number| number - 1);
         if let Some(worker) = self.workers.get_mut(key) {
             worker.acked = worker.acked.max(acked);
--- a/crates/jobs/src/pool/load.rs
+++ b/crates/jobs/src/pool/load.rs
@@ -76,7 +76,7 @@
             load.unfit += entry.unplaced_tasks(now) + unrunnable;
             load.refused += refused;
             if entry.long_running {
-                load.lasting.add(&entry.room_left());
+                load.lasting.add(&entry.unfinished_room());
                 continue;
             }
             for occurrence in entry.occurrences.values() {
@@ -172,7 +172,7 @@
         let mut room = Room::default();
         let long_running = worker.allocations.iter().filter(|(name, _)| is_long_running(name));
         long_running.for_each(|(_, allocation)| room.add(&allocation.room));
-        worker.reserved.values().for_each(|room_reserved| room.add(room_reserved));
+        worker.reserved.values().for_each(|reserved| room.add(reserved));
         room
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Returns the room that all unfinished tasks need.
-    fn room_left(&self) -> Room {
+    fn unfinished_room(&self) -> Room {
         let mut room = Room::default();
         let steps = self
             .occurrences
