--- a/crates/jobs/src/pool/crash.rs
+++ b/crates/jobs/src/pool/crash.rs
@@ -80,7 +80,7 @@
         self.end_job(now, name.job, State::Failed);
     }
 
-    /// The runs that may have crashed a worker: those that were starting, or if there are
+    /// Returns the runs that may have crashed a worker: those that were starting, or if there are
     /// none, those younger than [`MAX_SUSPECT_AGE`].
     fn crash_suspects(&self, key: worker::Key) -> Vec<(task::Name, u64)> {
         let mut suspects = self.runs_younger_than(key, STARTUP);
@@ -91,8 +91,8 @@
         suspects
     }
 
-    /// Runs on a worker that had been running for less than `age` when it last answered,
-    /// sorted. Each member of a gang is listed under the first member's name.
+    /// Returns the runs on a worker that had been running for less than `age` when it last
+    /// answered, sorted. Each member of a gang is listed under the first member's name.
     fn runs_younger_than(&self, key: worker::Key, age: Duration) -> Vec<(task::Name, u64)> {
         let Some(worker) = self.workers.get(key) else { return Vec::new() };
         let heard = worker.last_heard();
@@ -112,14 +112,14 @@
         runs
     }
 
-    /// The task that crashes are counted for: for a member of a gang, its first member.
+    /// Returns the task that crashes are counted for: for a member of a gang, its first member.
     fn crash_counted_task(&self, name: task::Name) -> task::Name {
         let step = self.entry(name.job).and_then(|entry| entry.step(name));
         let index = if step.is_some_and(|step| step.gang) { 0 } else { name.index };
         task::Name { index, ..name }
     }
 
-    /// The number of worker crashes that a task is suspected of.
+    /// Returns the number of worker crashes that a task is suspected of.
     pub(super) fn crashes(&self, name: task::Name) -> usize {
         let name = self.crash_counted_task(name);
         let task = self.entry(name.job).and_then(|entry| entry.task(name));
@@ -188,7 +188,7 @@
         }
     }
 
-    /// How long a suspect had been running when its worker last answered; `None` if it is
+    /// Returns how long a suspect had been running when its worker last answered; `None` if it is
     /// no longer on that worker.
     fn suspect_age(&self, name: task::Name, suspect: &Suspect) -> Option<Duration> {
         let placement = self.entry(name.job)?.placement(name)?;
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Whether a task may start on a worker despite the suspects that are starting there.
+    /// Returns whether a task may start on a worker despite the suspects that are starting there.
     pub(super) fn may_start_beside_suspects(&self, name: task::Name, key: worker::Key) -> bool {
         if self.suspects.is_empty() {
             return true;
@@ -226,14 +226,14 @@
         }
     }
 
-    /// Whether no run on a worker is starting.
+    /// Returns whether no run on a worker is starting.
     pub(super) fn has_no_starting_run(&self, key: worker::Key) -> bool {
         self.runs_younger_than(key, STARTUP).is_empty()
     }
 }
 
 impl Placement {
-    /// How long the run had been running when its worker last answered; zero if it isn't
+    /// Returns how long the run had been running when its worker last answered; zero if it isn't
     /// known to be running.
     fn running_for(&self, last_heard: Option<Time>) -> Duration {
         match (self.phase, last_heard) {
--- a/crates/jobs/src/pool/exits.rs
+++ b/crates/jobs/src/pool/exits.rs
@@ -24,6 +24,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Pool {
+    /// Handles an exit that a worker lists, unless it was handled before.
     pub(super) fn handle_listed_exit(&mut self, now: Time, key: worker::Key, exit: &Exit) {
         let Some(worker) = self.workers.get_mut(key) else { return };
         if exit.number <= worker.last_exit {
--- a/crates/jobs/src/pool/reserve.rs
+++ b/crates/jobs/src/pool/reserve.rs
@@ -23,8 +23,8 @@
 //! queue.
 //!
 //! Gangs get no reservations: a gang needs room on several workers at once, and they would all
-//! stand half empty until the last one has room. Nor do steps that end by themselves, however
-//! many tasks they have: their tasks start one by one, by rank, and a waiting one is only late.
+//! stand half empty until the last one has room. Nor do other steps, however many
+//! tasks they have: their tasks start one by one, by rank, and a waiting one is only late.
 //! Reservations are not written to the store; a successor makes new ones after the same wait.
 
 use std::time::Duration;
@@ -77,19 +77,19 @@
 
     /// Cancels reservations that are no longer useful.
     pub(super) fn review_reservations(&mut self, now: Time) {
-        let cancelled = |(name, key): (&task::Name, &worker::Key)| {
+        let with_reason = |(name, key): (&task::Name, &worker::Key)| {
             Some((*name, self.cancel_reason(now, *name, *key)?))
         };
         let cancelled: Vec<(task::Name, &str)> =
-            self.reservations.iter().filter_map(cancelled).collect();
+            self.reservations.iter().filter_map(with_reason).collect();
         for (name, why) in cancelled {
             self.cancel_reservation(name, why);
         }
     }
 
     fn cancel_reason(&self, now: Time, name: task::Name, key: worker::Key) -> Option<&'static str> {
-        let open = self.entry(name.job).filter(|entry| !entry.state.is_final());
-        let Some((entry, step)) = open.and_then(|entry| Some((entry, entry.step(name)?))) else {
+        let active = self.entry(name.job).filter(|entry| !entry.state.is_final());
+        let Some((entry, step)) = active.and_then(|entry| Some((entry, entry.step(name)?))) else {
             return Some("its job has ended");
         };
         if !entry.task(name).is_some_and(|task| lacks_worker(&task.state)) {
@@ -98,9 +98,9 @@
         let Some(worker) = self.workers.get(key).filter(|worker| worker.is_usable(now)) else {
             return Some("the worker accepts no new tasks");
         };
-        let is_fit = self.may_host(now, name, step, (key, worker))
+        let can_host = self.may_host(now, name, step, (key, worker))
             && self.room_free_in(now, name, step, worker).is_some();
-        (!is_fit).then_some("the worker can't host the task, or won't have room in time")
+        (!can_host).then_some("the worker can't host the task, or won't have room in time")
     }
 
     /// Reserves room for long-running tasks that have waited for a while, or were stopped and
@@ -163,8 +163,10 @@
         name: task::Name,
         step: &Step,
     ) -> Option<(u64, worker::Key)> {
-        let fit = self.workers.iter().filter(|worker| self.may_host(now, name, step, *worker));
-        fit.filter_map(|(key, worker)| Some((self.room_free_in(now, name, step, worker)?, key)))
+        let candidates =
+            self.workers.iter().filter(|worker| self.may_host(now, name, step, *worker));
+        candidates
+            .filter_map(|(key, worker)| Some((self.room_free_in(now, name, step, worker)?, key)))
             .min()
     }
 
--- a/crates/jobs/src/pool/runs.rs
+++ b/crates/jobs/src/pool/runs.rs
@@ -12,6 +12,7 @@
 use crate::worker::{self, Allocation, Stray};
 
 impl Pool {
+    /// Handles a run that a worker lists.
     pub(super) fn handle_running(&mut self, now: Time, key: worker::Key, running: &Run) {
         let name = running.task;
         let Some(entry) = self.entry_mut(name.job) else {
@@ -68,22 +69,24 @@
         let step = self.entry(running.task.job).and_then(|entry| entry.step(running.task));
         let known_room = step.map(super::super::job::Step::room);
         let room = known_room.unwrap_or_default();
-        let is_over = self.entry(running.task.job).is_some_and(|entry| entry.state.is_final());
+        let is_job_over = self.entry(running.task.job).is_some_and(|entry| entry.state.is_final());
         let Some(worker) = self.workers.get_mut(key) else { return };
         let new = Stray {
             run: running.run,
             since: now,
             stop_sent: None,
             is_room_known: known_room.is_some(),
-            is_job_over: is_over,
+            is_job_over,
         };
         let stray = worker.strays.entry(running.task).or_insert(new);
         if stray.run != running.run {
             *stray = new;
         }
-        stray.is_job_over |= is_over;
-        let is_allocated =
-            worker.allocations.get(&running.task).is_some_and(|h| h.run == running.run);
+        stray.is_job_over |= is_job_over;
+        let is_allocated = worker
+            .allocations
+            .get(&running.task)
+            .is_some_and(|allocation| allocation.run == running.run);
         if !is_allocated {
             worker.allocate(running.task, running.run, room);
         }
--- a/crates/jobs/src/pool/workers.rs
+++ b/crates/jobs/src/pool/workers.rs
@@ -201,10 +201,10 @@
     /// nothing until the task has started; the caller has to ask again.
     pub fn vacate(&mut self, now: Time, id: &str, time: Duration) -> Option<bool> {
         let key = *self.by_id.get(id)?;
-        let task_moving_to = self.task_moving_to(now, key);
+        let moving_task = self.task_moving_to(now, key);
         let worker = self.workers.get_mut(key)?;
         let was_vacating = worker.is_vacating(now);
-        if let Some(task) = task_moving_to.filter(|_| !was_vacating) {
+        if let Some(task) = moving_task.filter(|_| !was_vacating) {
             let why = "a task is about to start there and has no other place".to_owned();
             self.note("worker not vacated yet", Some(task), Some(key), why);
             return Some(false);
@@ -235,13 +235,13 @@
         let worker = self.workers.get(key)?;
         worker.reserved.iter().find_map(|(name, room)| {
             let step = self.entry(name.job)?.step(*name)?;
-            let is_elsewhere = |(other, worker): (worker::Key, &Worker)| {
+            let is_alternative = |(other, worker): (worker::Key, &Worker)| {
                 other != key
                     && self.may_host(now, *name, step, (other, worker))
                     && worker.has_room_for(*name, room)
                     && self.is_allowed_by_advice(now, *name, other)
             };
-            let has_place = self.workers.iter().any(is_elsewhere);
+            let has_place = self.workers.iter().any(is_alternative);
             (worker.has_room_for(*name, room) && !has_place).then_some(*name)
         })
     }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -146,10 +146,10 @@
 }
 
 impl Worker {
-    pub(crate) fn new(seat: Location, inherited_until: Time) -> Self {
+    pub(crate) fn new(location: Location, inherited_until: Time) -> Self {
         Self {
-            id: seat.id,
-            address: seat.address,
+            id: location.id,
+            address: location.address,
             labels: Vec::new(),
             rack: String::new(),
             room: Room::default(),
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -140,7 +140,7 @@
             return Answer::Fenced;
         }
         self.fence = fence;
-        self.exits.retain(|ended| ended.number > acked);
+        self.exits.retain(|exit| exit.number > acked);
         self.deadline = self.deadline.max(deadline.unwrap_or(0));
         let running = self.running.iter().map(|(name, run)| Run {
             task: *name,
@@ -199,7 +199,10 @@
         let registrations: Vec<Registration> = (0..count)
             .map(|i| registration(&format!("w{i}"), 9_000 + i, &format!("r{}", i / 2)))
             .collect();
-        let workers = registrations.iter().map(|e| (e.id.clone(), Worker::default())).collect();
+        let workers = registrations
+            .iter()
+            .map(|registration| (registration.id.clone(), Worker::default()))
+            .collect();
         let mut sim = Self {
             now: 1_000,
             pool: owner(FENCE, 1_000),
@@ -223,7 +226,7 @@
 
     /// Lists the workers, each after one more heartbeat, and writes the roster.
     pub fn list_workers(&mut self) {
-        self.registrations.iter_mut().for_each(|entry| entry.revision += 1);
+        self.registrations.iter_mut().for_each(|registration| registration.revision += 1);
         self.pool.set_workers(at(self.now), &self.registrations);
         if let Some(locations) = self.pool.roster_update() {
             self.pool.confirm_roster(locations);
--- a/crates/jobs/tests/interleaving.rs
+++ b/crates/jobs/tests/interleaving.rs
@@ -77,7 +77,10 @@
     fn new() -> Self {
         let registrations: Vec<Registration> =
             (0..3).map(|i| registration(&format!("w{i}"), 9_000 + i, "r")).collect();
-        let workers = registrations.iter().map(|e| (e.id.clone(), Worker::default())).collect();
+        let workers = registrations
+            .iter()
+            .map(|registration| (registration.id.clone(), Worker::default()))
+            .collect();
         Self {
             now: 1_000,
             owners: vec![owner(FENCE, 1_000)],
