--- a/crates/jobs/src/pool/jobs.rs
+++ b/crates/jobs/src/pool/jobs.rs
@@ -1,10 +1,10 @@
-//! Jobs that are accepted, taken back, and end.
+//! Acceptance, cancellation and end of jobs.
 
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-use super::entry::{At, Phase, new_entry};
+use super::entry::{Phase, TaskState, new_entry};
 use super::{JobKey, Pool};
 use crate::id::JobId;
 use crate::job::{Job, Step, chain_ms};
@@ -14,11 +14,11 @@
 use crate::worker::{self, Pending};
 
 impl Pool {
-    /// Takes in an accepted job, with what was written of it since. A job that
-    /// is known already is left as it is.
+    /// Adds an accepted job with its written progress, if any. Does nothing if the job is
+    /// already known.
     ///
-    /// `revision` is the store's when the job was written; `age` is how long
-    /// ago it was accepted.
+    /// `revision` is the store's revision at which the job was written; `age` is how long ago
+    /// it was accepted.
     pub fn accept(
         &mut self,
         now: Time,
@@ -36,10 +36,10 @@
         let chain = chain_ms(&record.job.steps, |_, step| self.predict(&record.queue, step));
         entry.accepted = Time::from_millis(now.as_millis().saturating_sub(worker::millis(age)));
         let chain = Duration::from_millis(chain).mul_f64(queue.stretch.clamp(0.0, 100.0));
-        entry.allowed = chain + queue.slack;
-        entry.begun_at = now;
+        entry.time_allowed = chain + queue.slack;
+        entry.known_since = now;
         if entry.schedule.is_none() {
-            entry.begin_due(now, 0);
+            entry.begin_due_occurrences(now, 0);
         }
         if let Some(progress) = progress {
             entry.restore(progress);
@@ -47,7 +47,7 @@
         let is_final = entry.state.is_final();
         if !entry.long_running && entry.schedule.is_none() {
             let work = self.work(&record.queue, &record.job.steps);
-            self.flow.note(entry.accepted, work);
+            self.flow.record(entry.accepted, work);
         }
         if is_final {
             entry.ended = Some(now);
@@ -56,29 +56,27 @@
         let key = self.jobs.insert(entry);
         self.by_job.insert(id, key);
         if !is_final {
-            self.check_finished(now, id, key);
+            self.complete_if_done(now, id, key);
         }
         self.adopt_orphans(now, id);
     }
 
-    /// What the tasks of steps take, as far as that can be predicted.
+    /// Returns the predicted work of the tasks of some steps.
     fn work(&self, queue: &str, steps: &[Step]) -> Work {
         let mut work = Work::default();
         for step in steps {
-            let takes = Duration::from_millis(self.predict(queue, step));
-            work.add(&Work::of(&step.room().times(step.count), takes));
+            let duration = Duration::from_millis(self.predict(queue, step));
+            work.add(&Work::of(&step.room().times(step.count), duration));
         }
         work
     }
 
-    /// Takes in that each job which was accepted before `at` has been told by
-    /// [`Pool::accept`]: a reading of the store that was asked for at `at` was
-    /// answered whole.
+    /// Records that every job accepted before `at` has been passed to [`Pool::accept`], because a
+    /// complete read of the store that was requested at `at` has been processed.
     ///
-    /// Until then an end or a run of a job that isn't known waits: that the job
-    /// wasn't heard of doesn't say that there is none. A worker that were let
-    /// forget the end meanwhile would leave nobody who knows that the task is done,
-    /// and it would run again once the store tells of its job.
+    /// Until then, exits and runs of unknown jobs are kept: the job may exist although it isn't
+    /// known here. If the worker were allowed to forget an exit meanwhile, nothing would record
+    /// that the task is done, and it would run again once its job becomes known.
     ///
     /// ```
     /// use std::time::Duration;
@@ -87,23 +85,23 @@
     /// use corianderfork_model::Time;
     ///
     /// let mut pool = Pool::new(Config::new(7, Time::ZERO));
-    /// let asked = Time::from_millis(2_000);
-    /// pool.set_jobs_known_until(asked);
-    /// // An answer that was overtaken changes nothing.
+    /// let requested_at = Time::from_millis(2_000);
+    /// pool.set_jobs_known_until(requested_at);
+    /// // An earlier read that is processed late changes nothing.
     /// pool.set_jobs_known_until(Time::from_millis(1_000));
-    /// assert!(!pool.may_lack_jobs(asked));
-    /// assert!(pool.may_lack_jobs(asked + Duration::from_millis(1)));
+    /// assert!(!pool.may_lack_jobs(requested_at));
+    /// assert!(pool.may_lack_jobs(requested_at + Duration::from_millis(1)));
     /// ```
     pub fn set_jobs_known_until(&mut self, at: Time) {
-        self.known = self.known.max(at);
+        self.jobs_known_until = self.jobs_known_until.max(at);
     }
 
-    /// Whether a job that was accepted before `at` may not have been told yet.
+    /// Returns whether a job accepted before `at` may still be unknown.
     pub fn may_lack_jobs(&self, at: Time) -> bool {
-        self.known < at
+        self.jobs_known_until < at
     }
 
-    /// Takes in that a job ended under an owner before.
+    /// Adds a job that ended under a previous owner.
     pub fn accept_ended(&mut self, now: Time, id: JobId, progress: &Progress) {
         if self.by_job.contains_key(&id) {
             return;
@@ -116,16 +114,19 @@
         self.by_job.insert(id, key);
     }
 
-    /// A job whose last end was written, but not that it is completed.
-    fn check_finished(&mut self, now: Time, id: JobId, key: JobKey) {
+    /// Completes a job whose last exit was written, but not that the job is completed.
+    fn complete_if_done(&mut self, now: Time, id: JobId, key: JobKey) {
         let Some(entry) = self.jobs.get(key) else { return };
-        let is_done = entry.occurrences.values().all(|o| o.steps.iter().all(|s| s.left == 0));
-        if entry.begun == entry.times && is_done && entry.times > 0 {
+        let is_done = entry.occurrences.values().all(|o| o.steps.iter().all(|s| s.unfinished == 0));
+        if entry.begun_occurrences == entry.occurrence_count
+            && is_done
+            && entry.occurrence_count > 0
+        {
             self.end_job(now, id, State::Completed);
         }
     }
 
-    /// Takes a job back. Whether there is such a job.
+    /// Cancels a job. Returns whether it is known.
     pub fn cancel(&mut self, now: Time, id: JobId) -> bool {
         let Some(entry) = self.entry(id) else { return false };
         if !entry.state.is_final() {
@@ -134,9 +135,9 @@
         true
     }
 
-    /// Whether all that is known of a job is written.
+    /// Returns whether all changes of a job are written.
     pub fn is_written(&self, id: JobId) -> bool {
-        self.entry(id).is_none_or(|entry| entry.written >= entry.version)
+        self.entry(id).is_none_or(|entry| entry.written_version >= entry.version)
     }
 
     pub(super) fn end_job(&mut self, now: Time, id: JobId, state: State) {
@@ -144,67 +145,69 @@
         entry.state = state;
         entry.ended = Some(now);
         let why = format!("{state:?}");
-        self.touch(now, id, true);
+        self.mark_dirty(now, id, true);
         let task = task::Name { job: id, occurrence: 0, step: 0, index: 0 };
         self.note("job ended", Some(task), None, why);
-        self.stop_all(now, id);
+        self.stop_runs(now, id);
     }
 
-    /// Asks for the stop of all that runs of a job.
-    fn stop_all(&mut self, now: Time, id: JobId) {
+    /// Requests the stop of all runs of a job.
+    fn stop_runs(&mut self, now: Time, id: JobId) {
         let Some(entry) = self.entry(id) else { return };
-        for name in entry.placed() {
-            self.ask_stop(now, name);
+        for name in entry.placed_tasks() {
+            self.request_stop(now, name);
         }
     }
 
-    pub(super) fn ask_stop(&mut self, now: Time, name: task::Name) {
+    pub(super) fn request_stop(&mut self, now: Time, name: task::Name) {
         let Some(task) = self.entry_mut(name.job).and_then(|entry| entry.task_mut(name)) else {
             return;
         };
-        if let At::On(place) = &mut task.at
-            && !matches!(place.phase, Phase::Stopping { .. })
+        if let TaskState::Placed(placement) = &mut task.state
+            && !matches!(placement.phase, Phase::Stopping { .. })
         {
-            place.phase = Phase::Stopping { again: now, confirmed: None };
+            placement.phase = Phase::Stopping { retry_at: now, confirmed: None };
         }
     }
 
-    /// Notes that a job has something to write: at once for what callers wait
-    /// for, else with what comes within [`super::batch::LINGER`].
-    pub(super) fn touch(&mut self, now: Time, id: JobId, urgent: bool) -> u64 {
+    /// Marks a job as changed and returns its new version. The write is due at once if
+    /// `urgent`, which is for changes that callers wait for, else within
+    /// [`super::batch::WRITE_DELAY`].
+    pub(super) fn mark_dirty(&mut self, now: Time, id: JobId, urgent: bool) -> u64 {
         let Some(entry) = self.entry_mut(id) else { return 0 };
-        let is_clean = entry.version == entry.written;
+        let is_clean = entry.version == entry.written_version;
         entry.version += 1;
         let version = entry.version;
         if urgent {
             self.dirty.retain(|(_, dirty)| *dirty != id);
             self.dirty.insert((Time::ZERO, id));
         } else if is_clean || !self.dirty.iter().any(|(_, dirty)| *dirty == id) {
-            self.dirty.insert((now + super::batch::LINGER, id));
+            self.dirty.insert((now + super::batch::WRITE_DELAY, id));
         }
         version
     }
 
-    /// Puts a task back that has no run any more.
+    /// Returns a task without a run to the waiting state.
     pub(super) fn requeue(&mut self, name: task::Name, not_before: Time) {
         let Some(entry) = self.entry_mut(name.job) else { return };
-        entry.put(name, At::Waiting);
+        entry.set_task_state(name, TaskState::Waiting);
         if let Some(task) = entry.task_mut(name) {
             task.not_before = not_before;
         }
     }
 
-    /// Takes in again the ends of a job that was not known when they came.
+    /// Handles the exits of a job that arrived before the job was known.
     fn adopt_orphans(&mut self, now: Time, id: JobId) {
         let keys: Vec<worker::Key> = self.workers.keys().collect();
         for key in keys {
             let Some(worker) = self.workers.get_mut(key) else { continue };
-            let (mine, others) =
-                std::mem::take(&mut worker.orphans).into_iter().partition(|e| e.task.job == id);
+            let (own, others) = std::mem::take(&mut worker.orphans)
+                .into_iter()
+                .partition(|exit| exit.task.job == id);
             worker.orphans = others;
-            let mine: Vec<task::Exit> = mine;
-            for ended in mine {
-                self.take_end(now, key, &ended);
+            let own: Vec<task::Exit> = own;
+            for exit in own {
+                self.handle_exit(now, key, &exit);
             }
         }
     }
