--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of one pool's work: brings the pure [`Pool`] and the world together.
+//! The owner of one pool's work: connects the pure [`Pool`] with the network and the store.
 
 mod advise;
 mod load;
@@ -21,77 +21,76 @@
 use tokio::time::timeout;
 
 use crate::clock;
-use crate::duty::Past;
+use crate::duty::HolderHistory;
 use crate::lookup::{job_key, run_key};
-use crate::node::{Granted, Node};
-use crate::peer::{Ask, Reply};
+use crate::node::{Node, RetiredGrants};
+use crate::peer::{Message, Reply};
 use crate::predecessor::Tracker;
 
-/// The prefix of where a pool's workers are.
-const ROSTERS: &str = "roster/";
-/// The prefix of the number of an owner's last write.
-const WRITES: &str = "write/";
+/// The key prefix of the roster of a pool's workers.
+const ROSTER_PREFIX: &str = "roster/";
+/// The key prefix of the number of an owner's last write.
+const WRITE_PREFIX: &str = "write/";
 
-/// How long a lease on a worker is: longer than a takeover takes, so that what
-/// runs survives the death of an owner, and no longer, since the tasks of a
-/// worker that falls silent wait for it.
-const LEASE: Duration = Duration::from_millis(4_500);
-/// How long a cancelling caller waits for the write.
-const CANCEL: Duration = Duration::from_millis(2_200);
-/// How long a worker stays vacated after the planner last asked.
-const VACATE: Duration = Duration::from_millis(2_500);
+/// The length of a lease on a worker: longer than a takeover, so that running tasks
+/// survive the death of an owner, and no longer, since the tasks of a worker that stops
+/// responding are only replaced when its lease has expired.
+const WORKER_LEASE: Duration = Duration::from_millis(4_500);
+/// How long a cancellation waits for its write.
+const CANCEL_WRITE_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// How long a worker stays vacated after the planner's last request.
+const VACATE_TTL: Duration = Duration::from_millis(2_500);
 
-/// How long workers are expected after the planner last said so.
-const EXPECTED: Duration = Duration::from_millis(500);
+/// How long workers are expected after the planner last announced them.
+const WORKERS_EXPECTED_TTL: Duration = Duration::from_millis(500);
 
 /// Owns the work of a pool.
 pub struct Owner {
     node: Rc<Node>,
     name: String,
-    /// What is known and decided.
+    /// The state of the pool and its decisions.
     pub pool: RefCell<Pool>,
-    /// Those that owned the pool before.
+    /// The former owners of the pool.
     predecessors: RefCell<Tracker>,
-    /// Told when there is something to plan for.
+    /// Notified when there is something to plan for.
     pub wake: Notify,
-    /// Whether the list of workers changed.
+    /// Whether the list of workers has changed.
     pub list_changed: Cell<bool>,
-    journal: Notify,
-    /// Whether nothing is ordered or asked any more, only written.
+    write_wake: Notify,
+    /// Whether orders and polls have stopped and only writes continue.
     halted: Cell<bool>,
-    /// Whether all is to be written, however fresh.
+    /// Whether everything is written at once, without waiting for more.
     flushing: Cell<bool>,
     loaded: Cell<bool>,
     retired: Cell<bool>,
-    looking: RefCell<HashSet<worker::Key>>,
-    /// Entry VMs by way of which a question is under way.
-    advising: RefCell<HashSet<advise::Adviser>>,
-    /// Entry VMs by way of which no answer came, and until when they are left
-    /// alone.
-    silent: RefCell<HashMap<advise::Adviser, Time>>,
-    waiting: RefCell<Vec<(JobId, oneshot::Sender<()>)>>,
-    /// The revision of the last write's number.
+    polled_workers: RefCell<HashSet<worker::Key>>,
+    /// Advisers with a request in flight.
+    busy_advisers: RefCell<HashSet<advise::Adviser>>,
+    /// Advisers whose last request failed, and until when they are avoided.
+    failed_advisers: RefCell<HashMap<advise::Adviser, Time>>,
+    cancel_waiters: RefCell<Vec<(JobId, oneshot::Sender<()>)>>,
+    /// The store's revision of the record of the last write's number.
     write_revision: Cell<u64>,
-    writes: Cell<u64>,
-    /// Jobs taken in.
-    taken: Cell<usize>,
+    last_write_number: Cell<u64>,
+    /// The number of jobs accepted.
+    accepted_count: Cell<usize>,
 }
 
 impl Owner {
-    /// Begins to own the work of the pool `name`, with `fence`.
-    pub fn start(node: &Rc<Node>, name: &str, fence: u64, past: Past) -> Rc<Self> {
-        let lease = LEASE.min(node.settings.max_lease);
-        let remember = node.settings.remember + Duration::from_secs(5);
+    /// Starts to own the work of the pool `name`, with `fence`.
+    pub fn start(node: &Rc<Node>, name: &str, fence: u64, history: HolderHistory) -> Rc<Self> {
+        let lease = WORKER_LEASE.min(node.settings.max_lease);
+        let retention = node.settings.job_retention + Duration::from_secs(5);
         let now = clock::now();
-        let Past { formers, is_complete, may_grant } = past;
-        let mut predecessors = Tracker::new(now, formers, is_complete, lease);
-        // This process has no other owner of the pool.
-        predecessors.end(now, &node.process());
-        node.granted.borrow_mut().remove(name);
+        let HolderHistory { former_holders, is_complete, may_grant } = history;
+        let mut predecessors = Tracker::new(now, former_holders, is_complete, lease);
+        // No other owner of the pool is left in this process.
+        predecessors.mark_ended(now, &node.process());
+        node.retired_grants.borrow_mut().remove(name);
         let config = Config::new(fence, now + may_grant + worker::max_lease_duration(lease))
             .lease(lease)
-            .remember(remember)
-            .remote_factor(node.settings.remote);
+            .remember(retention)
+            .remote_factor(node.settings.remote_factor);
         let owner = Rc::new(Self {
             node: node.clone(),
             name: name.to_owned(),
@@ -99,65 +98,65 @@
             predecessors: RefCell::new(predecessors),
             wake: Notify::new(),
             list_changed: Cell::new(true),
-            journal: Notify::new(),
+            write_wake: Notify::new(),
             halted: Cell::new(false),
             flushing: Cell::new(false),
             loaded: Cell::new(false),
             retired: Cell::new(false),
-            looking: RefCell::default(),
-            advising: RefCell::default(),
-            silent: RefCell::default(),
-            waiting: RefCell::default(),
+            polled_workers: RefCell::default(),
+            busy_advisers: RefCell::default(),
+            failed_advisers: RefCell::default(),
+            cancel_waiters: RefCell::default(),
             write_revision: Cell::new(0),
-            writes: Cell::new(0),
-            taken: Cell::new(0),
+            last_write_number: Cell::new(0),
+            accepted_count: Cell::new(0),
         });
         spawn_local(owner.clone().run());
         owner
     }
 
-    /// Whether it has read what was accepted before.
+    /// Whether it has loaded the jobs accepted before it and isn't retired.
     pub fn is_loaded(&self) -> bool {
         self.loaded.get() && !self.retired.get()
     }
 
-    /// The fence.
+    /// Returns the fence.
     pub fn fence(&self) -> u64 {
         self.pool.borrow().fence()
     }
 
-    /// Whether it gives no more orders.
+    /// Whether it has stopped giving orders.
     pub fn is_retired(&self) -> bool {
         self.retired.get()
     }
 
-    /// Gives no more orders.
+    /// Stops giving orders, and keeps the granted leases to report them to a successor.
     pub fn retire(&self, why: &str) {
         if !self.retired.replace(true) {
             self.node
                 .trace
                 .line("duty left", json!({ "duty": self.name, "fence": self.fence(), "why": why }));
             let at = clock::now();
-            if let Some(left_ms) = self.pool.borrow().granted_leases(at) {
-                let granted = Granted { fence: self.fence(), at, left_ms };
-                self.node.granted.borrow_mut().insert(self.name.clone(), granted);
+            if let Some(remaining_ms) = self.pool.borrow().granted_leases(at) {
+                let retired_grants = RetiredGrants { fence: self.fence(), at, remaining_ms };
+                self.node.retired_grants.borrow_mut().insert(self.name.clone(), retired_grants);
             }
             self.wake.notify_one();
-            self.journal.notify_one();
+            self.write_wake.notify_one();
         }
     }
 
     async fn run(self: Rc<Self>) {
-        let begun = clock::now();
+        let started = clock::now();
         self.load().await;
         if self.retired.get() {
             return;
         }
         self.loaded.set(true);
-        self.node.trace.key(
+        self.node.trace.unlimited(
             "duty begun",
-            json!({ "duty": self.name, "fence": self.fence(), "jobs": self.taken.get(),
-                "took_ms": ms(clock::now() - begun) }),
+            json!({ "duty": self.name, "fence": self.fence(), "jobs": self.accepted_count.get(),
+                "took_ms": ms(clock::now() - started) }),
         );
         spawn_local(self.clone().follow_predecessors());
         spawn_local(self.clone().write_loop());
@@ -165,77 +164,79 @@
         self.plan_loop().await;
     }
 
-    /// Answers a peer, or this process itself.
-    pub async fn answer(&self, ask: Ask) -> Reply {
-        match ask {
-            Ask::Accepted { id, record, revision, .. } => {
+    /// Handles a request of a peer or of this process itself.
+    pub async fn handle(&self, message: Message) -> Reply {
+        match message {
+            Message::Accepted { id, record, revision, .. } => {
                 if let Ok(id) = id.parse() {
                     self.accept(id, &record, None, revision);
                 }
                 Reply::Done
             }
-            Ask::State { id, .. } => self.state(&id),
-            Ask::Cancel { id, .. } => self.cancel(&id).await,
-            // An owner that may have been replaced doesn't hear of new jobs: its
-            // count would say that none wait while its successor has hundreds. Nor
-            // does it hear of tasks that its successor started on workers it names empty.
-            Ask::Queued { .. } | Ask::Vacate { .. } | Ask::Shrink { .. } if !self.is_sure() => {
+            Message::State { id, .. } => self.state(&id),
+            Message::Cancel { id, .. } => self.cancel(&id).await,
+            // An owner that may have been replaced doesn't hear of new jobs: it would
+            // count none as queued while its successor has hundreds. Nor does it hear of
+            // tasks that its successor started on workers that it would report as empty.
+            Message::Queued { .. } | Message::Vacate { .. } | Message::Shrink { .. }
+                if !self.is_sure() =>
+            {
                 Reply::NotOwner
             }
-            Ask::Queued { queue, .. } => {
+            Message::Queued { queue, .. } => {
                 Reply::Queued { jobs: self.pool.borrow().queued_jobs(&queue) }
             }
-            Ask::Vacate { workers, .. } => {
+            Message::Vacate { workers, .. } => {
                 let now = clock::now();
                 let mut pool = self.pool.borrow_mut();
-                let is_empty = |id: &String| pool.vacate(now, id, VACATE) == Some(true);
+                let is_empty = |id: &String| pool.vacate(now, id, VACATE_TTL) == Some(true);
                 let empty = workers.into_iter().filter(is_empty).collect();
                 self.wake.notify_one();
                 Reply::Vacated { empty }
             }
-            Ask::Load { arrived, expects, .. } => {
+            Message::Load { arrived, expects, .. } => {
                 if expects {
-                    self.node.expects_until.set(clock::now() + EXPECTED);
+                    self.node.workers_expected_until.set(clock::now() + WORKERS_EXPECTED_TTL);
                 }
                 let pool = self.pool.borrow();
                 let counted = arrived.into_iter().filter(|id| pool.is_counted(id)).collect();
                 Reply::Load { load: pool.load(clock::now()), counted }
             }
-            Ask::Shrink { keep, .. } => {
-                let workers = self.pool.borrow_mut().shrink(clock::now(), keep, VACATE);
+            Message::Shrink { keep, .. } => {
+                let workers = self.pool.borrow_mut().shrink(clock::now(), keep, VACATE_TTL);
                 self.wake.notify_one();
                 Reply::Spare { workers }
             }
-            Ask::Gone { workers, .. } => {
+            Message::Gone { workers, .. } => {
                 for worker in &workers {
                     self.pool.borrow_mut().remove_gone_worker(clock::now(), worker);
                 }
                 self.wake.notify_one();
                 Reply::Done
             }
-            Ask::Retire { .. }
-            | Ask::Advise { .. }
-            | Ask::Unsure { .. }
-            | Ask::Tried { .. }
-            | Ask::Store { .. } => Reply::NotOwner,
+            Message::Retire { .. }
+            | Message::Advise { .. }
+            | Message::Unsure { .. }
+            | Message::Tried { .. }
+            | Message::Store { .. } => Reply::NotOwner,
         }
     }
 
-    /// Whether the pool is still this owner's, as far as it can know.
+    /// Whether the pool is certain to be still this owner's, as far as it can know.
     fn is_sure(&self) -> bool {
         self.node.is_sure_of(&self.name, self.fence())
     }
 
-    /// Where a job stands. One whose end is decided and not known to be written is
-    /// told as such: another entry VM may have read that end in the store and told it,
-    /// and a caller would see a job that was completed run again.
+    /// Returns the state of a job. A job whose end is decided but not known to be written
+    /// is reported as ending: another entry VM may have read that end in the store and
+    /// reported it, and the caller would see a completed job run again.
     fn state(&self, id: &str) -> Reply {
         let Ok(id) = id.parse() else { return Reply::Unknown };
         let pool = self.pool.borrow();
         match pool.state(id) {
             Some(_) if pool.is_ending(id) => Reply::Ending,
-            // An end that is written stays; of anything else one that may have been
-            // replaced knows only what was. That the job was accepted stays true.
+            // A written end is final. Any other state may be out of date if this owner
+            // has been replaced; only that the job was accepted stays true.
             Some(state) if !state.is_final() && !self.is_sure() => Reply::Known,
             Some(state) => Reply::State { state },
             None => Reply::Unknown,
@@ -245,11 +246,11 @@
     async fn cancel(&self, text: &str) -> Reply {
         let Ok(id) = text.parse::<JobId>() else { return Reply::Unknown };
         if self.pool.borrow().state(id).is_none() {
-            // It may have been accepted a moment ago.
+            // It may have just been accepted.
             match self.node.store.get(&job_key(&self.name, text)).await {
                 Ok(Some(item)) => self.accept_item(&item.key, &item.value, None, item.revision),
                 Ok(None) => {
-                    if let Some(reply) = self.absence(id, text).await {
+                    if let Some(reply) = self.absence_reply(id, text).await {
                         return reply;
                     }
                 }
@@ -257,29 +258,29 @@
             }
         }
         self.pool.borrow_mut().cancel(clock::now(), id);
-        let (told, written) = oneshot::channel();
+        let (confirmation, written) = oneshot::channel();
         if self.pool.borrow().is_written(id) {
             return Reply::Done;
         }
-        self.waiting.borrow_mut().push((id, told));
+        self.cancel_waiters.borrow_mut().push((id, confirmation));
         self.wake.notify_one();
-        self.journal.notify_one();
-        // What runs is stopped all the same; the caller comes back for the word.
-        if self.node.store.is_away() {
+        self.write_wake.notify_one();
+        // Running tasks are stopped anyway; the caller retries for the confirmation.
+        if self.node.store.is_down() {
             return Reply::Later;
         }
-        match timeout(CANCEL, written).await {
+        match timeout(CANCEL_WRITE_TIMEOUT, written).await {
             Ok(Ok(())) => Reply::Done,
             _ => Reply::Later,
         }
     }
 
-    /// What is told of a job that isn't known here and whose acceptance isn't in
-    /// the store; nothing if it has become known.
+    /// Returns the reply for a job that is unknown here and has no acceptance record in
+    /// the store; `None` if it has become known meanwhile.
     ///
-    /// It may have become known and ended between the two looks, or another owner
-    /// took over and ended it: then the store has how far it is.
-    async fn absence(&self, id: JobId, text: &str) -> Option<Reply> {
+    /// It may have become known and ended between the two lookups, or ended under another
+    /// owner: then the store has a record of its progress.
+    async fn absence_reply(&self, id: JobId, text: &str) -> Option<Reply> {
         if self.pool.borrow().state(id).is_some() {
             return None;
         }
@@ -291,9 +292,9 @@
         }
     }
 
-    /// Ends for another holder with `fence`, unless that is an older one. Whether it has
-    /// ended.
-    pub fn give_way(&self, fence: u64) -> bool {
+    /// Retires in favour of another holder with `fence`, unless that fence is older.
+    /// Returns whether this owner has retired.
+    pub fn relinquish(&self, fence: u64) -> bool {
         if fence > self.fence() {
             self.retire("another holder says so");
         }
@@ -301,7 +302,7 @@
     }
 }
 
-/// Milliseconds, for the log.
+/// Converts to milliseconds, for the log.
 pub fn ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/entry/src/owner/advise.rs
+++ b/crates/entry/src/owner/advise.rs
@@ -1,8 +1,8 @@
-//! Questions about which workers may run a step.
+//! Requests for advice: which workers may run a step.
 //!
-//! The service that answers them takes one question at a time from each VM, so
-//! an owner asks by way of all entry VMs. *Measured:* a question takes 0.3 s and
-//! more; one VM alone asks three a second, seven ask twenty.
+//! The advice service handles one request at a time from each VM, so an owner sends its
+//! requests through all entry VMs. *Measured:* a request takes 0.3 s and more; one VM alone
+//! gets three answers a second, seven get twenty.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,31 +17,30 @@
 use super::{Owner, ms};
 use crate::clock;
 use crate::node::Node;
-use crate::peer::{self, Ask, Reply};
+use crate::peer::{self, Message, Reply};
 
-/// How long an entry VM is not asked through that brought no answer.
-const AVOID: Duration = Duration::from_millis(1_000);
-/// What a question may take beside the time that the service takes for it, on
-/// the way there and behind questions of other owners from the same VM.
+/// How long an entry VM is avoided after a request through it failed.
+const AVOID_TIME: Duration = Duration::from_millis(1_000);
+/// The time allowed for a request beyond the service's own: transfer, and waiting behind
+/// other owners' requests from the same VM.
 const SLACK: Duration = Duration::from_millis(500);
-/// Questions of other owners that may be before one's own at an entry VM.
-const BEFORE: u32 = 3;
+/// How many requests of other owners may be queued before this one at an entry VM.
+const MAX_QUEUED_BEFORE: u32 = 3;
 
-/// The entry VM by way of which a question goes; `None` for this one.
+/// The entry VM through which a request is sent; `None` for this one.
 pub(super) type Adviser = Option<SocketAddr>;
 
 impl Owner {
-    /// Sends as many questions as there are entry VMs without one of this
-    /// owner's.
+    /// Sends a request through each entry VM that has none of this owner's in flight.
     pub(super) fn ask_advice(self: &Rc<Self>) {
         if self.node.settings.advice.is_none() {
             return;
         }
         let free = self.free_advisers();
-        let questions = self.pool.borrow_mut().advice_queries(clock::now(), free.len());
-        for (question, adviser) in questions.into_iter().zip(free) {
-            self.advising.borrow_mut().insert(adviser);
-            spawn_local(self.clone().advise(question, adviser));
+        let queries = self.pool.borrow_mut().advice_queries(clock::now(), free.len());
+        for (query, adviser) in queries.into_iter().zip(free) {
+            self.busy_advisers.borrow_mut().insert(adviser);
+            spawn_local(self.clone().advise(query, adviser));
         }
     }
 
@@ -51,39 +50,41 @@
         let table = self.node.table.borrow();
         let others = table.members.iter().filter(|(name, _)| *name != me);
         let all = std::iter::once(None).chain(others.map(|(_, member)| Some(member.peers)));
-        let (busy, mut silent) = (self.advising.borrow(), self.silent.borrow_mut());
-        silent.retain(|_, until| now < *until);
-        all.filter(|adviser| !busy.contains(adviser) && !silent.contains_key(adviser)).collect()
+        let (busy, mut failed_advisers) =
+            (self.busy_advisers.borrow(), self.failed_advisers.borrow_mut());
+        failed_advisers.retain(|_, until| now < *until);
+        all.filter(|adviser| !busy.contains(adviser) && !failed_advisers.contains_key(adviser))
+            .collect()
     }
 
-    async fn advise(self: Rc<Self>, question: Query, adviser: Adviser) {
-        let begun = clock::now();
-        let workers: Vec<String> = question.workers.iter().map(|(_, id)| id.clone()).collect();
-        let within = self.within(workers.len());
+    async fn advise(self: Rc<Self>, query: Query, adviser: Adviser) {
+        let started = clock::now();
+        let workers: Vec<String> = query.workers.iter().map(|(_, id)| id.clone()).collect();
+        let within = self.advice_timeout(workers.len());
         let advice = match adviser {
-            None => self.node.advise(question.task, &workers, within).await,
-            Some(peer) => self.advise_through(peer, question.task, workers, within).await,
+            None => self.node.advise(query.task, &workers, within).await,
+            Some(peer) => self.advise_through(peer, query.task, workers, within).await,
         };
-        self.count("advice", begun, advice != Advice::Lost);
-        self.advising.borrow_mut().remove(&adviser);
+        self.count("advice", started, advice != Advice::Lost);
+        self.busy_advisers.borrow_mut().remove(&adviser);
         if advice == Advice::Lost {
-            self.silent.borrow_mut().insert(adviser, clock::now() + AVOID);
+            self.failed_advisers.borrow_mut().insert(adviser, clock::now() + AVOID_TIME);
             self.node.trace.line(
-                "advice not told",
-                json!({ "job": question.task.job.to_string(), "step": question.task.step,
-                    "through": adviser, "took_ms": ms(clock::now() - begun) }),
+                "advice request failed",
+                json!({ "job": query.task.job.to_string(), "step": query.task.step,
+                    "through": adviser, "took_ms": ms(clock::now() - started) }),
             );
         }
-        self.pool.borrow_mut().handle_advice(clock::now(), &question, &advice);
+        self.pool.borrow_mut().handle_advice(clock::now(), &query, &advice);
         self.wake.notify_one();
     }
 
-    fn within(&self, workers: usize) -> Duration {
-        let terms = self.node.config.borrow().as_ref().and_then(|config| config.advised());
+    fn advice_timeout(&self, workers: usize) -> Duration {
+        let terms = self.node.config.borrow().as_ref().and_then(|config| config.max_advice_cost());
         let terms = terms.unwrap_or_default();
         let workers = u32::try_from(workers).unwrap_or(u32::MAX);
         let each = terms.per_query + terms.per_worker.saturating_mul(workers);
-        each.saturating_mul(1 + BEFORE) + SLACK
+        each.saturating_mul(1 + MAX_QUEUED_BEFORE) + SLACK
     }
 
     async fn advise_through(
@@ -93,14 +94,14 @@
         workers: Vec<String>,
         within: Duration,
     ) -> Advice {
-        let ask = Ask::Advise {
+        let message = Message::Advise {
             job: task.job.to_string(),
             occurrence: task.occurrence,
             step: task.step,
             workers,
             within_ms: ms(within),
         };
-        match peer::ask(&self.node.peers, peer, &ask, within + SLACK).await {
+        match peer::send(&self.node.peers, peer, &message, within + SLACK).await {
             Ok(Reply::Advised { good: Some(good), valid_ms }) => {
                 Advice::Received { allowed: good, ttl: Duration::from_millis(valid_ms) }
             }
@@ -110,17 +111,17 @@
 }
 
 impl Node {
-    /// Asks which workers may run the step of `task`.
+    /// Asks the advice service which workers may run the step of `task`.
     pub async fn advise(&self, task: Name, workers: &[String], within: Duration) -> Advice {
         let Some(address) = self.settings.advice else { return Advice::Lost };
-        let call = wire::ask(task, workers);
+        let call = wire::query(task, workers);
         match self.client.call(address, &call, within).await {
-            Ok((status, body)) => wire::told(status, &body).unwrap_or(Advice::Lost),
+            Ok((status, body)) => wire::parse(status, &body).unwrap_or(Advice::Lost),
             Err(_) => Advice::Lost,
         }
     }
 
-    /// Asks for a peer.
+    /// Asks the advice service on behalf of a peer.
     pub async fn advise_peer(
         &self,
         (job, occurrence, step): (&str, u32, u32),
--- a/crates/jobs/src/pool/crash.rs
+++ b/crates/jobs/src/pool/crash.rs
@@ -11,7 +11,7 @@
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::entry::{Phase, Place};
+use super::entry::{Phase, Placement};
 use crate::record::State;
 use crate::task;
 use crate::worker;
@@ -60,7 +60,7 @@
                 self.fail_suspect(now, name);
             } else {
                 // Written at once, so that a successor knows of the crash.
-                self.touch(now, name.job, true);
+                self.mark_dirty(now, name.job, true);
             }
         }
     }
@@ -80,7 +80,7 @@
         self.end_job(now, name.job, State::Failed);
     }
 
-    /// The runs that may have crashed a worker: those that were starting, or if there are
+    /// Returns the runs that may have crashed a worker: those that were starting, or if there are
     /// none, those younger than [`MAX_SUSPECT_AGE`].
     fn crash_suspects(&self, key: worker::Key) -> Vec<(task::Name, u64)> {
         let mut suspects = self.runs_younger_than(key, STARTUP);
@@ -91,33 +91,35 @@
         suspects
     }
 
-    /// Runs on a worker that had been running for less than `age` when it last answered,
-    /// sorted. Each member of a gang is listed under the first member's name.
+    /// Returns the runs on a worker that had been running for less than `age` when it last
+    /// answered, sorted. Each member of a gang is listed under the first member's name.
     fn runs_younger_than(&self, key: worker::Key, age: Duration) -> Vec<(task::Name, u64)> {
         let Some(worker) = self.workers.get(key) else { return Vec::new() };
         let heard = worker.last_heard();
         let mut runs = Vec::new();
-        for name in worker.hosted.keys() {
+        for name in worker.allocations.keys() {
             let Some(entry) = self.entry(name.job).filter(|entry| !entry.state.is_final()) else {
                 continue;
             };
-            let place = entry.place(*name).filter(|place| place.worker == key);
-            if let Some(place) = place.filter(|place| place.running_for(heard) < age) {
-                runs.push((self.crash_counted_task(*name), place.run));
+            let placement = entry.placement(*name).filter(|placement| placement.worker == key);
+            if let Some(placement) =
+                placement.filter(|placement| placement.running_for(heard) < age)
+            {
+                runs.push((self.crash_counted_task(*name), placement.run));
             }
         }
         runs.sort_unstable();
         runs
     }
 
-    /// The task that crashes are counted for: for a member of a gang, its first member.
+    /// Returns the task that crashes are counted for: for a member of a gang, its first member.
     fn crash_counted_task(&self, name: task::Name) -> task::Name {
         let step = self.entry(name.job).and_then(|entry| entry.step(name));
         let index = if step.is_some_and(|step| step.gang) { 0 } else { name.index };
         task::Name { index, ..name }
     }
 
-    /// The number of worker crashes that a task is suspected of.
+    /// Returns the number of worker crashes that a task is suspected of.
     pub(super) fn crashes(&self, name: task::Name) -> usize {
         let name = self.crash_counted_task(name);
         let task = self.entry(name.job).and_then(|entry| entry.task(name));
@@ -141,7 +143,7 @@
         }
         self.suspects.insert(name, Suspect { worker: key, run, is_starting: true });
         self.set_starting_run(name, Some(run));
-        self.touch(now, name.job, true);
+        self.mark_dirty(now, name.job, true);
     }
 
     /// Removes a counted crash whose run was found on its worker, or ended there.
@@ -171,7 +173,7 @@
             }
             if suspect.is_starting {
                 self.set_starting_run(name, None);
-                self.touch(now, name.job, false);
+                self.mark_dirty(now, name.job, false);
             }
             match age {
                 Some(age) if age < MAX_SUSPECT_AGE => {
@@ -186,24 +188,24 @@
         }
     }
 
-    /// How long a suspect had been running when its worker last answered; `None` if it is
+    /// Returns how long a suspect had been running when its worker last answered; `None` if it is
     /// no longer on that worker.
     fn suspect_age(&self, name: task::Name, suspect: &Suspect) -> Option<Duration> {
-        let place = self.entry(name.job)?.place(name)?;
+        let placement = self.entry(name.job)?.placement(name)?;
         let heard = self.workers.get(suspect.worker)?.last_heard();
-        let is_same_run = place.worker == suspect.worker && place.run == suspect.run;
-        is_same_run.then(|| place.running_for(heard))
+        let is_same_run = placement.worker == suspect.worker && placement.run == suspect.run;
+        is_same_run.then(|| placement.running_for(heard))
     }
 
     fn clear_crashes(&mut self, now: Time, name: task::Name) {
         let counted = self.crash_counted_task(name);
         if let Some(task) = self.entry_mut(name.job).and_then(|entry| entry.task_mut(counted)) {
             task.crashed.clear();
-            self.touch(now, name.job, false);
+            self.mark_dirty(now, name.job, false);
         }
     }
 
-    /// Whether a task may start on a worker despite the suspects that are starting there.
+    /// Returns whether a task may start on a worker despite the suspects that are starting there.
     pub(super) fn may_start_beside_suspects(&self, name: task::Name, key: worker::Key) -> bool {
         if self.suspects.is_empty() {
             return true;
@@ -224,14 +226,14 @@
         }
     }
 
-    /// Whether no run on a worker is starting.
+    /// Returns whether no run on a worker is starting.
     pub(super) fn has_no_starting_run(&self, key: worker::Key) -> bool {
         self.runs_younger_than(key, STARTUP).is_empty()
     }
 }
 
-impl Place {
-    /// How long the run had been running when its worker last answered; zero if it isn't
+impl Placement {
+    /// Returns how long the run had been running when its worker last answered; zero if it isn't
     /// known to be running.
     fn running_for(&self, last_heard: Option<Time>) -> Duration {
         match (self.phase, last_heard) {
--- a/crates/jobs/src/pool/runs.rs
+++ b/crates/jobs/src/pool/runs.rs
@@ -1,36 +1,39 @@
-//! Runs that a worker lists, and those that it lists no more.
+//! Runs that a worker lists, and runs that it no longer lists.
 
 use std::rc::Rc;
 
 use corianderfork_model::Time;
 
 use super::Pool;
-use super::entry::{At, Entry, Phase, Place};
+use super::entry::{Entry, Phase, Placement, TaskState};
 use super::poll::Report;
 use crate::record::State;
 use crate::task::{self, Run};
-use crate::worker::{self, Hosted, Stray};
+use crate::worker::{self, Allocation, Stray};
 
 impl Pool {
-    pub(super) fn take_running(&mut self, now: Time, key: worker::Key, running: &Run) {
+    /// Handles a run that a worker lists.
+    pub(super) fn handle_running(&mut self, now: Time, key: worker::Key, running: &Run) {
         let name = running.task;
         let Some(entry) = self.entry_mut(name.job) else {
-            return self.take_stray(now, key, running);
+            return self.track_stray(now, key, running);
         };
         let is_final = entry.state.is_final();
         let Some(task) = entry.task_mut(name) else {
-            return self.take_stray(now, key, running);
+            return self.track_stray(now, key, running);
         };
-        match &mut task.at {
-            At::On(place) if place.worker == key && place.run == running.run => {
-                place.listed(now, running);
+        match &mut task.state {
+            TaskState::Placed(placement)
+                if placement.worker == key && placement.run == running.run =>
+            {
+                placement.update(now, running);
                 if !running.saved.is_empty() && *task.saved != *running.saved {
                     task.saved = Rc::from(running.saved.as_str());
                 }
                 self.mark_running(name);
             }
-            At::Waiting if !is_final => self.adopt(now, key, running),
-            _ => self.take_stray(now, key, running),
+            TaskState::Waiting if !is_final => self.adopt(now, key, running),
+            _ => self.track_stray(now, key, running),
         }
     }
 
@@ -41,65 +44,80 @@
         }
     }
 
-    /// Takes over a run that a predecessor started.
+    /// Adopts a run that a predecessor started.
     fn adopt(&mut self, now: Time, key: worker::Key, running: &Run) {
         let name = running.task;
         self.remove_crash(name, running.run);
         let Some(entry) = self.entry_mut(name.job) else { return };
         let Some(room) = entry.step(name).map(super::super::job::Step::room) else { return };
-        let mut place = Place::new(key, running.run, now, Phase::Running { confirmed: now });
-        place.listed(now, running);
-        entry.put(name, At::On(place));
+        let mut placement =
+            Placement::new(key, running.run, now, Phase::Running { confirmed: now });
+        placement.update(now, running);
+        entry.set_task_state(name, TaskState::Placed(placement));
         if let Some(worker) = self.workers.get_mut(key) {
             worker.strays.remove(&name);
-            worker.host(name, running.run, room);
+            worker.allocate(name, running.run, room);
         }
         self.mark_running(name);
         self.track_suspect(now, name, key, running.run);
         self.note("task adopted", Some(name), Some(key), format!("run {}", running.run));
     }
 
-    /// A run that nobody asked for: its job is over, or not known yet. It takes
-    /// room all the same.
-    fn take_stray(&mut self, now: Time, key: worker::Key, running: &Run) {
+    /// Tracks a run that this owner didn't order: its job has ended or isn't known yet. The run
+    /// occupies room nevertheless.
+    fn track_stray(&mut self, now: Time, key: worker::Key, running: &Run) {
         let step = self.entry(running.task.job).and_then(|entry| entry.step(running.task));
-        let known = step.map(super::super::job::Step::room);
-        let room = known.unwrap_or_default();
-        let is_over = self.entry(running.task.job).is_some_and(|entry| entry.state.is_final());
+        let known_room = step.map(super::super::job::Step::room);
+        let room = known_room.unwrap_or_default();
+        let is_job_over = self.entry(running.task.job).is_some_and(|entry| entry.state.is_final());
         let Some(worker) = self.workers.get_mut(key) else { return };
-        let fresh =
-            Stray { run: running.run, since: now, asked: None, is_sized: known.is_some(), is_over };
-        let stray = worker.strays.entry(running.task).or_insert(fresh);
+        let new = Stray {
+            run: running.run,
+            since: now,
+            stop_sent: None,
+            is_room_known: known_room.is_some(),
+            is_job_over,
+        };
+        let stray = worker.strays.entry(running.task).or_insert(new);
         if stray.run != running.run {
-            *stray = fresh;
+            *stray = new;
         }
-        stray.is_over |= is_over;
-        let is_hosted = worker.hosted.get(&running.task).is_some_and(|h| h.run == running.run);
-        if !is_hosted {
-            worker.host(running.task, running.run, room);
+        stray.is_job_over |= is_job_over;
+        let is_allocated = worker
+            .allocations
+            .get(&running.task)
+            .is_some_and(|allocation| allocation.run == running.run);
+        if !is_allocated {
+            worker.allocate(running.task, running.run, room);
         }
     }
 
-    /// Frees what the worker neither runs nor lists as ended, though it was
-    /// confirmed before the look was sent: its end was forgotten, or its job is
-    /// over.
-    pub(super) fn drop_absent(&mut self, now: Time, sent: Time, key: worker::Key, report: &Report) {
+    /// Releases the runs that the worker lists neither as running nor as ended, although they
+    /// were confirmed before the poll was sent: the worker has forgotten their end, or their
+    /// job has ended.
+    pub(super) fn release_unlisted(
+        &mut self,
+        now: Time,
+        sent: Time,
+        key: worker::Key,
+        report: &Report,
+    ) {
         let Some(worker) = self.workers.get(key) else { return };
         let is_listed = |name: &task::Name, run: u64| {
             report.running.iter().any(|r| r.task == *name && r.run == run)
         };
-        let absent: Vec<(task::Name, Hosted)> = worker
-            .hosted
+        let unlisted: Vec<(task::Name, Allocation)> = worker
+            .allocations
             .iter()
-            .filter(|(name, hosted)| !is_listed(name, hosted.run))
-            .map(|(name, hosted)| (*name, *hosted))
+            .filter(|(name, allocation)| !is_listed(name, allocation.run))
+            .map(|(name, allocation)| (*name, *allocation))
             .collect();
-        for (name, hosted) in absent {
-            self.drop_if_over(now, sent, key, name, hosted.run);
+        for (name, allocation) in unlisted {
+            self.release_if_ended(now, sent, key, name, allocation.run);
         }
     }
 
-    fn drop_if_over(
+    fn release_if_ended(
         &mut self,
         now: Time,
         sent: Time,
@@ -107,15 +125,15 @@
         name: task::Name,
         run: u64,
     ) {
-        let place = self.entry(name.job).and_then(|entry| entry.place(name));
-        let current = place.filter(|place| place.worker == key && place.run == run);
-        let is_over = match current.map(|place| place.phase) {
+        let placement = self.entry(name.job).and_then(|entry| entry.placement(name));
+        let current = placement.filter(|placement| placement.worker == key && placement.run == run);
+        let has_ended = match current.map(|placement| placement.phase) {
             Some(Phase::Starting { .. }) => false,
             Some(Phase::Running { confirmed }) => confirmed < sent,
             Some(Phase::Stopping { confirmed, .. }) => confirmed.is_some_and(|at| at < sent),
             None => true,
         };
-        if !is_over {
+        if !has_ended {
             return;
         }
         let is_current = current.is_some();
@@ -131,44 +149,44 @@
 }
 
 impl Entry {
-    pub(super) fn place(&self, name: task::Name) -> Option<&Place> {
-        match &self.task(name)?.at {
-            At::On(place) => Some(place),
+    pub(super) fn placement(&self, name: task::Name) -> Option<&Placement> {
+        match &self.task(name)?.state {
+            TaskState::Placed(placement) => Some(placement),
             _ => None,
         }
     }
 
-    pub(super) fn place_mut(&mut self, name: task::Name) -> Option<&mut Place> {
-        match &mut self.task_mut(name)?.at {
-            At::On(place) => Some(place),
+    pub(super) fn placement_mut(&mut self, name: task::Name) -> Option<&mut Placement> {
+        match &mut self.task_mut(name)?.state {
+            TaskState::Placed(placement) => Some(placement),
             _ => None,
         }
     }
 }
 
-impl Place {
+impl Placement {
     pub(super) fn new(worker: worker::Key, run: u64, now: Time, phase: Phase) -> Self {
         Self {
             worker,
             run,
             since: now,
             phase,
-            lost: false,
+            is_start_unconfirmed: false,
             percent: 0,
-            moved: now,
+            progressed: now,
             pace: 100,
-            pace_asked: Time::ZERO,
+            pace_sent: Time::ZERO,
             gauge: 0,
         }
     }
 
-    fn listed(&mut self, now: Time, running: &Run) {
+    fn update(&mut self, now: Time, running: &Run) {
         if let Phase::Starting { .. } = self.phase {
             self.phase = Phase::Running { confirmed: now };
         }
         if running.percent != self.percent {
             self.percent = running.percent;
-            self.moved = now;
+            self.progressed = now;
         }
         self.gauge = running.gauge;
     }
