--- a/crates/routing/benches/limits/main.rs
+++ b/crates/routing/benches/limits/main.rs
@@ -1,15 +1,17 @@
-//! Measures the policies of `limits` with pure routers in front of small fakes.
+//! Compares the policies of `limits`, with routers in front of simulated
+//! backend servers.
 //!
-//! Eight proxies and ten runners of one service, driven by one event queue from
-//! fixed seeds. A runner has 8 slots and no queue; it refuses what is too much
-//! as busy, with the promise that it was not run. Requests take 20 ms on
-//! average (exponential) and 1 ms each way; half of them are idempotent. A load
-//! is a percentage of the slots of the runners that stay. Each line is of several
-//! runs that differ by their seed.
+//! Eight proxies and ten runners of one service are driven by one event queue
+//! from fixed seeds. A runner has 8 slots and no queue, and rejects excess
+//! requests as busy, with the guarantee that they were not run. Requests take
+//! 20 ms on average (exponential) plus 1 ms per direction; half of them are
+//! idempotent. The load is a percentage of the slots of the runners that
+//! remain. Each line combines several runs with different seeds.
 //!
-//! `refused` and `failed` are requests that ended so, `retried` the retries,
-//! all per 1000 requests; the waits are of requests that got a slot; `fairness`
-//! is Jain's index over the proxies' shares of requests answered well.
+//! `refused`, `failed` and `retried` count requests that were refused, requests
+//! that failed, and retries, per 1000 requests. The waiting times are those of
+//! requests that got a slot. `fairness` is Jain's index over the proxies'
+//! shares of successful requests.
 
 use corianderfork_routing::limits::{Borrowing, Fixed, LeastOfTwo, Policy, Proportional};
 
@@ -18,37 +20,37 @@
 mod simulation;
 mod totals;
 
-use scenario::Case;
-use simulation::World;
+use scenario::Scenario;
+use simulation::Simulation;
 use totals::Totals;
 
 const SEEDS: [u64; 3] = [7, 8, 9];
 
 fn main() {
-    type Make = fn() -> Box<dyn Policy>;
-    let policies: [(&str, Make); 5] = [
+    type PolicyFactory = fn() -> Box<dyn Policy>;
+    let policies: [(&str, PolicyFactory); 5] = [
         ("fixed", || Box::new(Fixed)),
         ("least-of-two", || Box::new(LeastOfTwo)),
         ("lent", || Box::new(Proportional::default())),
         ("fixed+borrowing", || Box::new(Borrowing::new(Fixed))),
         ("lent+borrowing", || Box::new(Borrowing::new(Proportional::default()))),
     ];
-    let fails = |detector, budget| Case::RunnerFails { detector, budget };
-    let whole = [Case::Even, Case::Skewed, Case::ProxyDies, Case::HalfDrains];
+    let fails = |detector, budget| Scenario::RunnerFails { detector, budget };
+    let common = [Scenario::Even, Scenario::Skewed, Scenario::ProxyDies, Scenario::HalfDrains];
     let failing = [(true, true), (true, false), (false, true), (false, false)];
-    let cases = whole.into_iter().chain(failing.map(|(d, b)| fails(d, b)));
+    let scenarios = common.into_iter().chain(failing.map(|(d, b)| fails(d, b)));
     println!(
         "case,policy,refused_per_mille,retried_per_mille,queued_p50_ms,queued_p99_ms,\
          fairness,tries_per_request,failed_per_mille"
     );
-    for case in cases {
+    for scenario in scenarios {
         for load in [60, 85, 110] {
-            for (policy, make) in policies {
+            for (policy, factory) in policies {
                 let mut totals = Totals::default();
                 for seed in SEEDS {
-                    World::new(case, load, make, seed).run(&mut totals);
+                    Simulation::new(scenario, load, factory, seed).run(&mut totals);
                 }
-                totals.print(case, load, policy);
+                totals.print(scenario, load, policy);
             }
         }
     }
--- a/crates/routing/benches/limits/proxy.rs
+++ b/crates/routing/benches/limits/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy: the pure parts that its daemon puts together.
+//! One proxy, composed of the state machines that its daemon uses.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use corianderfork_routing::router::{Config, Router, RunnerKey, Ticket};
 use corianderfork_routing::{outlier, queue, retry};
 
-use crate::scenario::Case;
+use crate::scenario::Scenario;
 
 pub fn name(prefix: &str, i: usize) -> Name {
     Name::new(&format!("{prefix}-{i:02}")).expect("a valid name")
@@ -34,9 +34,9 @@
 }
 
 impl Proxy {
-    pub fn new(case: Case, policy: Box<dyn Policy>, i: usize) -> Self {
-        let (detector, budget) = match case {
-            Case::RunnerFails { detector, budget } => (detector, budget),
+    pub fn new(scenario: Scenario, policy: Box<dyn Policy>, i: usize) -> Self {
+        let (detector, budget) = match scenario {
+            Scenario::RunnerFails { detector, budget } => (detector, budget),
             _ => (true, true),
         };
         let outlier = outlier::Config::default().enabled(detector);
--- a/crates/routing/benches/limits/scenario.rs
+++ b/crates/routing/benches/limits/scenario.rs
@@ -1,16 +1,16 @@
-//! What goes wrong, and when, in milliseconds.
+//! Scenarios and the times of their events, in milliseconds.
 
-/// The fault comes, and measuring begins.
+/// The fault occurs, and measuring starts.
 pub const FAULT: u64 = 5_000;
 pub const END: u64 = 20_000;
-/// The records say what the backend servers have known since the fault.
-pub const RECORDS: u64 = 7_000;
-/// The membership says that the dead proxy is gone.
-pub const FORGET: u64 = 15_000;
+/// The records show what the backend servers have known since the fault.
+pub const RECORD_UPDATE: u64 = 7_000;
+/// The membership removes the dead proxy.
+pub const MEMBER_REMOVAL: u64 = 15_000;
 
-/// A case that is measured.
+/// A measured scenario.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Case {
+pub enum Scenario {
     Even,
     Skewed,
     ProxyDies,
@@ -18,17 +18,17 @@
     RunnerFails { detector: bool, budget: bool },
 }
 
-impl Case {
+impl Scenario {
     pub fn name(self) -> &'static str {
         match self {
-            Case::Even => "even",
-            Case::Skewed => "one-proxy-80%",
-            Case::ProxyDies => "proxy-dies",
-            Case::HalfDrains => "half-drains",
-            Case::RunnerFails { detector: true, budget: true } => "runner-fails",
-            Case::RunnerFails { detector: true, budget: false } => "runner-fails/no-budget",
-            Case::RunnerFails { detector: false, budget: true } => "runner-fails/no-detector",
-            Case::RunnerFails { .. } => "runner-fails/neither",
+            Scenario::Even => "even",
+            Scenario::Skewed => "one-proxy-80%",
+            Scenario::ProxyDies => "proxy-dies",
+            Scenario::HalfDrains => "half-drains",
+            Scenario::RunnerFails { detector: true, budget: true } => "runner-fails",
+            Scenario::RunnerFails { detector: true, budget: false } => "runner-fails/no-budget",
+            Scenario::RunnerFails { detector: false, budget: true } => "runner-fails/no-detector",
+            Scenario::RunnerFails { .. } => "runner-fails/neither",
         }
     }
 }
--- a/crates/routing/benches/limits/simulation.rs
+++ b/crates/routing/benches/limits/simulation.rs
@@ -1,4 +1,4 @@
-//! Fake callers, fake backend servers and the event queue between them.
+//! Simulated callers and backend servers, and the event queue between them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use rand::{Rng, SeedableRng};
 
 use crate::proxy::{Proxy, Request, name};
-use crate::scenario::{Case, END, FAULT, FORGET, RECORDS};
+use crate::scenario::{END, FAULT, MEMBER_REMOVAL, RECORD_UPDATE, Scenario};
 use crate::totals::Totals;
 
 const PROXIES: usize = 8;
 const RUNNERS: usize = 10;
 const SLOTS: u32 = 8;
-const RUN_MILLIS: f64 = 20.0;
+const MEAN_SERVICE_MILLIS: f64 = 20.0;
 const HOP_MILLIS: u64 = 1;
 const REPORT_MILLIS: u64 = 250;
 const SWEEP_MILLIS: u64 = 50;
@@ -27,23 +27,23 @@
 const MAX_TRIES: u32 = 3;
 enum Event {
     Fault,
-    Records,
-    Forget,
+    RecordUpdate,
+    MemberRemoval,
     Report(usize),
     Sweep(usize),
     Arrive,
     Try(usize),
-    Reach(usize, usize),
+    Deliver(usize, usize),
     Free(usize),
     End(usize, Attempt),
 }
 
-pub struct World {
-    case: Case,
-    per_milli: f64,
+pub struct Simulation {
+    scenario: Scenario,
+    requests_per_milli: f64,
     rng: SmallRng,
     now: u64,
-    next: u64,
+    next_event: u64,
     events: BTreeMap<(u64, u64), Event>,
     proxies: Vec<Proxy>,
     requests: Vec<Request>,
@@ -53,46 +53,50 @@
     totals: Totals,
 }
 
-impl World {
-    pub fn new(case: Case, load: u32, policy: fn() -> Box<dyn Policy>, seed: u64) -> Self {
-        let stay = if case == Case::HalfDrains { RUNNERS / 2 } else { RUNNERS };
-        let slots = stay as f64 * f64::from(SLOTS);
-        let mut world = Self {
-            case,
-            per_milli: slots / RUN_MILLIS * f64::from(load) / 100.0,
+impl Simulation {
+    pub fn new(scenario: Scenario, load: u32, policy: fn() -> Box<dyn Policy>, seed: u64) -> Self {
+        let remaining = if scenario == Scenario::HalfDrains { RUNNERS / 2 } else { RUNNERS };
+        let slots = remaining as f64 * f64::from(SLOTS);
+        let mut simulation = Self {
+            scenario,
+            requests_per_milli: slots / MEAN_SERVICE_MILLIS * f64::from(load) / 100.0,
             rng: SmallRng::seed_from_u64(seed),
             now: 0,
-            next: 0,
+            next_event: 0,
             events: BTreeMap::new(),
-            proxies: (0..PROXIES).map(|i| Proxy::new(case, policy(), i)).collect(),
+            proxies: (0..PROXIES).map(|i| Proxy::new(scenario, policy(), i)).collect(),
             requests: Vec::new(),
             busy: vec![0; RUNNERS],
             leaving: vec![false; RUNNERS],
             service: name("transfer", 0),
             totals: Totals::default(),
         };
-        (0..RUNNERS).for_each(|runner| world.record(runner, 1, true));
+        (0..RUNNERS).for_each(|runner| simulation.publish_record(runner, 1, true));
         for i in 0..PROXIES {
             let at = REPORT_MILLIS * i as u64 / PROXIES as u64;
-            world.at(at, Event::Report(i));
-            world.at(at, Event::Sweep(i));
+            simulation.schedule(at, Event::Report(i));
+            simulation.schedule(at, Event::Sweep(i));
         }
-        let planned = [(FAULT, Event::Fault), (RECORDS, Event::Records), (FORGET, Event::Forget)];
-        planned.into_iter().for_each(|(at, event)| world.at(at, event));
-        world.at(2_000, Event::Arrive);
-        world
+        let planned = [
+            (FAULT, Event::Fault),
+            (RECORD_UPDATE, Event::RecordUpdate),
+            (MEMBER_REMOVAL, Event::MemberRemoval),
+        ];
+        planned.into_iter().for_each(|(at, event)| simulation.schedule(at, event));
+        simulation.schedule(2_000, Event::Arrive);
+        simulation
     }
 
-    fn at(&mut self, at: u64, event: Event) {
-        self.next += 1;
-        self.events.insert((at, self.next), event);
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.next_event += 1;
+        self.events.insert((at, self.next_event), event);
     }
 
     fn time(&self) -> Time {
         Time::from_millis(self.now)
     }
 
-    fn record(&mut self, runner: usize, epoch: u64, serving: bool) {
+    fn publish_record(&mut self, runner: usize, epoch: u64, serving: bool) {
         let address = ([127, 0, 0, 1], 9000 + runner as u16).into();
         let copy = view::Runner::new(self.service.clone(), address, true);
         let vm = view::Vm::new(name("vm", runner), epoch).epoch(epoch).serving(serving);
@@ -100,7 +104,7 @@
         self.proxies.iter_mut().for_each(|p| _ = p.router.apply_record(now, vm.clone()));
     }
 
-    /// Runs to the end and adds what was counted to `totals`.
+    /// Runs to the end and adds the counts to `totals`.
     pub fn run(mut self, totals: &mut Totals) {
         std::mem::swap(totals, &mut self.totals);
         while let Some(((at, _), event)) = self.events.pop_first() {
@@ -108,7 +112,7 @@
                 break;
             }
             self.now = at;
-            self.on(event);
+            self.handle(event);
         }
         let shares = self.proxies.iter().filter(|p| p.offered > 0);
         let shares: Vec<f64> = shares.map(|p| p.served as f64 / p.offered as f64).collect();
@@ -117,34 +121,34 @@
     }
 
     fn is_dead(&self, proxy: usize) -> bool {
-        self.case == Case::ProxyDies && proxy == PROXIES - 1 && self.now >= FAULT
+        self.scenario == Scenario::ProxyDies && proxy == PROXIES - 1 && self.now >= FAULT
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Fault if self.case == Case::HalfDrains => {
+            Event::Fault if self.scenario == Scenario::HalfDrains => {
                 self.leaving[..RUNNERS / 2].fill(true);
             }
-            Event::Records if self.case == Case::HalfDrains => {
-                (0..RUNNERS / 2).for_each(|runner| self.record(runner, 2, false));
+            Event::RecordUpdate if self.scenario == Scenario::HalfDrains => {
+                (0..RUNNERS / 2).for_each(|runner| self.publish_record(runner, 2, false));
             }
-            Event::Forget if self.case == Case::ProxyDies => {
+            Event::MemberRemoval if self.scenario == Scenario::ProxyDies => {
                 let dead = name("proxy", PROXIES - 1);
                 self.proxies.iter_mut().for_each(|p| p.router.remove_member(&dead));
             }
-            Event::Fault | Event::Records | Event::Forget => {}
+            Event::Fault | Event::RecordUpdate | Event::MemberRemoval => {}
             Event::Report(i) => self.report(i),
             Event::Sweep(i) => self.sweep(i),
             Event::Arrive => self.arrive(),
             Event::Try(request) => self.try_once(request),
-            Event::Reach(request, runner) => self.reach(request, runner),
+            Event::Deliver(request, runner) => self.deliver(request, runner),
             Event::Free(runner) => self.busy[runner] -= 1,
             Event::End(request, result) => self.end(request, result),
         }
     }
 
     fn report(&mut self, i: usize) {
-        self.at(self.now + REPORT_MILLIS, Event::Report(i));
+        self.schedule(self.now + REPORT_MILLIS, Event::Report(i));
         if self.is_dead(i) {
             return;
         }
@@ -155,19 +159,19 @@
     }
 
     fn sweep(&mut self, i: usize) {
-        self.at(self.now + SWEEP_MILLIS, Event::Sweep(i));
+        self.schedule(self.now + SWEEP_MILLIS, Event::Sweep(i));
         let now = self.time();
         let refused = self.proxies[i].queue.sweep(now);
         refused.into_iter().for_each(|r| self.refused(r.item));
         self.serve_queue(i);
     }
 
-    /// The arrivals of one millisecond.
+    /// Generates the arrivals of one millisecond.
     fn arrive(&mut self) {
-        self.at(self.now + 1, Event::Arrive);
-        let mut passed = self.exponential(1.0 / self.per_milli);
-        while passed < 1.0 {
-            passed += self.exponential(1.0 / self.per_milli);
+        self.schedule(self.now + 1, Event::Arrive);
+        let mut elapsed = self.exponential(1.0 / self.requests_per_milli);
+        while elapsed < 1.0 {
+            elapsed += self.exponential(1.0 / self.requests_per_milli);
             self.admit();
         }
     }
@@ -178,7 +182,7 @@
 
     fn admit(&mut self) {
         let mut proxy = self.rng.random_range(0..PROXIES);
-        if self.case == Case::Skewed {
+        if self.scenario == Scenario::Skewed {
             let first = self.rng.random_bool(0.8);
             proxy = if first { 0 } else { self.rng.random_range(1..PROXIES) };
         }
@@ -199,7 +203,8 @@
 
     fn try_once(&mut self, id: usize) {
         let (now, request) = (self.time(), &mut self.requests[id]);
-        if self.case == Case::ProxyDies && request.proxy == PROXIES - 1 && self.now >= FAULT {
+        if self.scenario == Scenario::ProxyDies && request.proxy == PROXIES - 1 && self.now >= FAULT
+        {
             return;
         }
         let proxy = &mut self.proxies[request.proxy];
@@ -207,8 +212,8 @@
             Ok(ticket) => self.send(id, ticket),
             Err(refusal) if refusal.reason == Reason::Busy => {
                 let deadline = Time::from_millis(request.arrived) + DEADLINE;
-                let wait = queue::Request::new(Class::Normal, self.service.clone(), deadline, id);
-                let refused = proxy.queue.push(now, wait).is_err();
+                let queued = queue::Request::new(Class::Normal, self.service.clone(), deadline, id);
+                let refused = proxy.queue.push(now, queued).is_err();
                 if refused {
                     self.refused(id);
                 }
@@ -225,24 +230,24 @@
         request.ticket = Some(ticket);
         request.started.get_or_insert(self.now);
         request.tries += 1;
-        self.at(self.now + HOP_MILLIS, Event::Reach(id, runner));
+        self.schedule(self.now + HOP_MILLIS, Event::Deliver(id, runner));
     }
 
-    /// The fake backend server.
-    fn reach(&mut self, id: usize, runner: usize) {
-        let back = self.now + HOP_MILLIS;
-        let fails = matches!(self.case, Case::RunnerFails { .. }) && runner == 0;
+    /// Handles a request at the simulated backend server.
+    fn deliver(&mut self, id: usize, runner: usize) {
+        let answer_at = self.now + HOP_MILLIS;
+        let fails = matches!(self.scenario, Scenario::RunnerFails { .. }) && runner == 0;
         if self.leaving[runner] {
-            self.at(back, Event::End(id, Attempt::Rejected(Rejection::Leaving)));
+            self.schedule(answer_at, Event::End(id, Attempt::Rejected(Rejection::Leaving)));
         } else if fails && self.now >= FAULT {
-            self.at(back, Event::End(id, Attempt::Failed));
+            self.schedule(answer_at, Event::End(id, Attempt::Failed));
         } else if self.busy[runner] >= SLOTS {
-            self.at(back, Event::End(id, Attempt::Rejected(Rejection::Busy)));
+            self.schedule(answer_at, Event::End(id, Attempt::Rejected(Rejection::Busy)));
         } else {
-            let run = self.exponential(RUN_MILLIS).round() as u64;
+            let service_time = self.exponential(MEAN_SERVICE_MILLIS).round() as u64;
             self.busy[runner] += 1;
-            self.at(self.now + run, Event::Free(runner));
-            self.at(back + run, Event::End(id, Attempt::Answered));
+            self.schedule(self.now + service_time, Event::Free(runner));
+            self.schedule(answer_at + service_time, Event::End(id, Attempt::Answered));
         }
     }
 
@@ -251,10 +256,10 @@
         let Some(ticket) = request.ticket.take() else { return };
         let proxy = &mut self.proxies[request.proxy];
         proxy.router.done(now, ticket, result);
-        let may = request.tries < MAX_TRIES && result.may_retry(request.idempotent);
-        if may && proxy.budget.retry(now) {
+        let can_retry = request.tries < MAX_TRIES && result.may_retry(request.idempotent);
+        if can_retry && proxy.budget.retry(now) {
             let delay = proxy.delay.next(request.tries - 1).as_millis() as u64;
-            self.at(self.now + delay, Event::Try(id));
+            self.schedule(self.now + delay, Event::Try(id));
         } else if result.is_not_run() {
             self.refused(id);
         } else {
@@ -282,13 +287,13 @@
         self.count(id, |totals| totals.refused += 1);
     }
 
-    fn answered(&mut self, id: usize, well: bool) {
+    fn answered(&mut self, id: usize, success: bool) {
         self.proxies[self.requests[id].proxy].served +=
-            u64::from(well && self.requests[id].arrived >= FAULT);
-        self.count(id, |totals| totals.failed += u64::from(!well));
+            u64::from(success && self.requests[id].arrived >= FAULT);
+        self.count(id, |totals| totals.failed += u64::from(!success));
     }
 
-    /// Counts a request that ended, if it came after the fault.
+    /// Counts a request that has ended, if it arrived after the fault.
     fn count(&mut self, id: usize, add: impl FnOnce(&mut Totals)) {
         let request = &self.requests[id];
         if request.arrived < FAULT {
--- a/crates/routing/src/hash.rs
+++ b/crates/routing/src/hash.rs
@@ -1,14 +1,14 @@
-//! A hash that is the same in every process and every release.
+//! A hash that is identical in every process and release.
 //!
-//! The proxies divide slots by it without talking to each other; the standard
-//! library's hasher may change between releases, and during a roll-out the old
-//! and the new proxies would then hand the same slot out twice.
+//! The proxies divide slots by this hash without communicating. The standard
+//! library's hasher may change between releases, and during a rolling update
+//! old and new proxies would then assign the same slot twice.
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A hash of `parts`, each with its end marked. FNV-1a with a final mix, since
-/// plain FNV hardly spreads the last byte, in which our names differ.
+/// Hashes `parts`, marking the end of each. FNV-1a with a final mix, because
+/// plain FNV hardly spreads the last byte, in which the names differ.
 pub(crate) fn of(parts: &[&str]) -> u64 {
     let bytes = parts.iter().flat_map(|part| part.bytes().chain([0]));
     mix(bytes.fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,19 +1,21 @@
-//! Which runner a request goes to, and when it is refused instead.
+//! Routing decisions of a proxy: which runner receives a request, and when a
+//! request is refused instead.
 //!
-//! Seven to nine proxies stand in front of backend servers that have a few
-//! slots each, and no proxy sees another's load. This crate makes a proxy's
-//! decisions and nothing else: time and events go in, decisions come out. It
-//! reads no clock, opens no socket and starts no thread.
+//! Seven to nine proxies share backend servers that have a few slots each, and
+//! no proxy sees the load of another. This crate makes one proxy's decisions
+//! and does nothing else: time and events go in, decisions come out. It reads
+//! no clock, opens no socket and starts no thread.
 //!
-//! * [`router`] picks a runner for a request and keeps the proxy's own counts.
-//!   The newest drain epoch wins, whichever way and in whichever order the news
-//!   came.
-//! * [`limits`] divides the slots of every runner among the proxies.
-//! * [`outlier`] keeps runners that fail everything from attracting work.
-//! * [`queue`] holds requests that wait for a slot, the most urgent first.
-//! * [`retry`] bounds retries to a share of first tries.
-//! * [`outcome`] keeps answered, not run and unknown apart.
-//! * [`report`] is what proxies tell each other.
+//! * [`router`] picks a runner for a request and counts the proxy's own load.
+//!   The newest drain epoch wins, whatever the source and order of the
+//!   messages.
+//! * [`limits`] divides the slots of each runner among the proxies.
+//! * [`outlier`] ejects runners that fail all requests, so that they do not
+//!   attract work.
+//! * [`queue`] holds requests that wait for a slot, most urgent first.
+//! * [`retry`] limits retries to a share of the first tries.
+//! * [`outcome`] distinguishes answered, not run and unknown.
+//! * [`report`] defines what proxies report to each other.
 //!
 //! # Example
 //!
@@ -31,7 +33,7 @@
 //!     .runner(Runner::new(transfer.clone(), "127.0.0.1:9000".parse()?, true));
 //! router.apply_record(Time::ZERO, vm);
 //!
-//! // A share that grew is used after a settle time.
+//! // A larger share may be used only after the settle time.
 //! let now = Time::from_millis(2_000);
 //! let ticket = router.pick(now, &transfer, &[])?;
 //! assert_eq!(ticket.address().port(), 9000);
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,50 +1,60 @@
-//! How the slots of each runner are divided among the proxies.
+//! Policies that divide the slots of each runner among the proxies.
 //!
-//! A runner has a few slots and connections, and the proxies in front of it
-//! don't see each other's load. A [`Policy`] says which share of them this proxy
+//! A runner has few slots and connections, and the proxies in front of it do
+//! not see each other's load. A [`Policy`] determines which share this proxy
 //! may use. It is a pure function of a [`Situation`] that every proxy can
 //! compute, so no coordinator is needed.
 //!
 //! * [`Fixed`]: equal shares.
-//! * [`LeastOfTwo`]: no division of slots; the less loaded of two runners by own
-//!   counts, and the backend server refuses what is too much.
-//! * [`Proportional`]: shares in proportion to the demand that proxies report.
-//! * [`Borrowing`]: one of these, and slots beyond the share by trying.
+//! * [`LeastOfTwo`]: slots are not divided. The proxy picks the less loaded of
+//!   two runners by its own counts, and the backend server rejects excess
+//!   requests.
+//! * [`Proportional`]: shares in proportion to the reported demand of the
+//!   proxies.
+//! * [`Borrowing`]: one of the above, plus slots beyond the share, which are
+//!   found by trying.
 //!
-//! # Which, and why
+//! # Comparison
 //!
-//! `Borrowing<Proportional>` is the default. The bench `limits` compares them with eight
-//! proxies and ten runners at 60%, 85% and 110% of capacity; of 1000 requests:
+//! `Borrowing<Proportional>` is the default. The bench `limits` compares the
+//! policies with eight proxies and ten runners at 60%, 85% and 110% of
+//! capacity. The figures are per 1000 requests:
 //!
-//! * Equal shares are a little better while every proxy has as many callers (at
-//!   85% they refuse less than 1, `Borrowing<Proportional>` 3), since nothing moves.
-//!   With 80% of the callers at one proxy they refuse 610 at 60% of capacity and
-//!   668 at 85%, where `Borrowing<Proportional>` refuses none and 16. After
-//!   a proxy died, at 85%, they refuse 46 to its 11.
-//! * `LeastOfTwo` hardly waits, but at 85% and even load it refuses 56 and uses
-//!   up the retry budget (199 retries), to 3 and 18 of `Borrowing<Proportional>`. When a
-//!   runner fails and there is no budget, its retries grow to 462.
-//! * `Proportional` alone has requests wait in one proxy while slots of another are
-//!   idle: at 60% and even load the 99th percentile of waiting is 16 ms, and
-//!   less than 1 ms with `Borrowing`. Trying costs 9 retries.
-//! * `Borrowing<Fixed>` does without reports. It is as good at even load, but
-//!   with 80% of the callers at one proxy it refuses 137 at 85% and 293 at 110%,
-//!   to 16 and 193.
-//! * Over capacity nothing helps; what differs is how much is tried in vain: 200
-//!   retries for `LeastOfTwo` at 110% and even load, 10 for `Borrowing<Proportional>`.
+//! * Equal shares are slightly better while all proxies have equally many
+//!   callers (at 85% they refuse less than 1, `Borrowing<Proportional>` 3),
+//!   because no slots move. With 80% of the callers at one proxy they refuse
+//!   610 at 60% of capacity and 668 at 85%, where `Borrowing<Proportional>`
+//!   refuses none and 16. After the death of a proxy, at 85%, they refuse 46
+//!   and it refuses 11.
+//! * `LeastOfTwo` has almost no waiting, but at 85% and even load it refuses 56
+//!   and exhausts the retry budget (199 retries), compared with 3 and 18 for
+//!   `Borrowing<Proportional>`. When a runner fails and there is no budget, its
+//!   retries grow to 462.
+//! * `Proportional` alone makes requests wait in one proxy while slots of
+//!   another are idle: at 60% and even load the 99th percentile of the waiting
+//!   time is 16 ms, compared with less than 1 ms with `Borrowing`. The extra
+//!   tries cost 9 retries.
+//! * `Borrowing<Fixed>` needs no reports. It is as good at even load, but with
+//!   80% of the callers at one proxy it refuses 137 at 85% and 293 at 110%,
+//!   compared with 16 and 193.
+//! * Above capacity no policy helps; they differ in the number of futile tries:
+//!   200 retries for `LeastOfTwo` at 110% and even load, 10 for
+//!   `Borrowing<Proportional>`.
 //!
-//! What it costs: with 80% of the callers at one proxy and a load of 85%, the few
-//! requests of the other proxies wait long (the 99th percentile of all waits is
-//! 376 ms, to 23 ms with `LeastOfTwo`, which refuses 72 there).
+//! The cost of the default: with 80% of the callers at one proxy and a load of
+//! 85%, the few requests of the other proxies wait long. The 99th percentile of
+//! all waiting times is 376 ms, compared with 23 ms for `LeastOfTwo`, which
+//! refuses 72 there.
 //!
-//! With `Borrowing<Proportional>`, a runner that fails everything at once fails 165 at
-//! 85% without [`outlier`](crate::outlier) ejection and less than 1 with it.
+//! With `Borrowing<Proportional>`, a runner that immediately fails all requests
+//! fails 165 at 85% without [`outlier`](crate::outlier) ejection and less than
+//! 1 with it.
 //!
-//! Two forms of `Proportional` were tried and dropped. With waiting requests counted as
-//! demand, a proxy that was short for a moment took its peers' slots, which were
-//! then short themselves: even load at 60% had 99 refused. With demands in whole
-//! slots and the mean of few requests, shares that were wrong by a slot stood
-//! for long: 87 refused at 85%.
+//! Two variants of `Proportional` were tried and dropped. With waiting requests
+//! counted as demand, a proxy that was briefly short of slots took those of its
+//! peers, which then ran short themselves: 99 were refused at 60% and even
+//! load. With demands in whole slots averaged over few requests, shares that
+//! were wrong by one slot persisted: 87 were refused at 85%.
 
 use std::fmt;
 use std::time::Duration;
@@ -64,63 +74,65 @@
 pub use least_of_two::LeastOfTwo;
 pub use proportional::Proportional;
 
-/// A division of the runners of one service among the proxies.
+/// Divides the runners of one service among the proxies.
 pub trait Policy: fmt::Debug + Send {
-    /// This proxy's share of each seat of `situation`, in the same order.
+    /// Returns this proxy's share of each backend of `situation`, in the same
+    /// order.
     fn divide(&self, situation: &Situation<'_>) -> Vec<Share>;
 
-    /// How long a larger share rests before it is used: long enough for the
-    /// proxy that had it to hear the same news.
-    fn settle(&self) -> Duration;
+    /// Returns how long to wait before a larger share is used. The proxy that
+    /// gives slots up must have received the same reports by then.
+    fn settle_time(&self) -> Duration;
 
-    /// How many runners are looked at, at random, for the best one.
+    /// Returns how many runners are sampled at random to pick the best one
+    /// from.
     fn candidates(&self) -> usize {
         usize::MAX
     }
 }
 
-/// What a division is computed from.
+/// The input of a division.
 #[derive(Clone, Copy, Debug)]
 pub struct Situation<'a> {
     /// This proxy.
     pub me: &'a Name,
-    /// Every known proxy with this one, sorted by name.
+    /// All known proxies including this one, sorted by name.
     pub members: &'a [Member],
-    /// The runners of one service that take work, sorted by VM.
-    pub seats: &'a [Seat],
+    /// The available runners of one service, sorted by VM.
+    pub backends: &'a [Backend],
 }
 
-/// A proxy among which slots are divided.
+/// A proxy that shares the slots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// The proxy's name.
     pub name: Name,
-    /// The slots of the service that it needs, in tenths, as it last reported.
+    /// The slots of the service that it needs according to its last report, in
+    /// tenths.
     pub demand: u32,
-    /// Whether no report has come from it for a while, though nobody said that
-    /// it is gone.
+    /// Whether it has stopped reporting although the membership still lists it.
     pub silent: bool,
 }
 
 /// A runner whose slots are divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seat {
-    /// A hash of its VM and its service, the same at every proxy.
+pub struct Backend {
+    /// A hash of its VM and service, identical at every proxy.
     pub hash: u64,
-    /// The requests that it works on at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// The connections that it holds at once.
+    /// How many connections it accepts at once.
     pub connections: u32,
 }
 
-/// What one proxy may use of one runner.
+/// The part of one runner that one proxy may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
-    /// Requests in flight at once.
+    /// The maximum number of requests in flight.
     pub slots: u32,
-    /// Connections open at once, idle ones too.
+    /// The maximum number of open connections, including idle ones.
     pub connections: u32,
-    /// Requests in flight beyond `slots`, each on a connection that may be open
-    /// beyond `connections` until the request has ended.
+    /// The maximum number of requests in flight beyond `slots`. Each of them
+    /// may use a connection beyond `connections` until it ends.
     pub borrow: u32,
 }
--- a/crates/routing/src/limits/borrowing.rs
+++ b/crates/routing/src/limits/borrowing.rs
@@ -1,26 +1,27 @@
-//! Slots beyond the own share.
+//! Slots beyond a proxy's own share.
 
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-use super::{Policy, Seat, Share, Situation};
+use super::{Backend, Policy, Share, Situation};
 
-/// Lets a proxy go beyond the share that another policy gives it, as far as the
-/// backend servers' refusals leave it.
+/// Lets a proxy exceed the share that another policy assigns, as far as the
+/// backend servers accept it.
 ///
-/// A share is sized for the mean, while a proxy's load swings: one proxy's
-/// requests wait while another's slots are idle. Since a refusal as busy
-/// promises that nothing was run, an idle slot can be found by trying. Tries
-/// beyond the share are bounded by an allowance that grows with each one
-/// that was taken and shrinks with each one that was refused.
+/// A share is sized for the average load, while the actual load fluctuates:
+/// requests wait at one proxy while slots of another are idle. A backend server
+/// that rejects a request as busy guarantees that it did not run it, so idle
+/// slots can be found by trying. Tries beyond the share are limited by an
+/// allowance that grows with each accepted try and shrinks with each rejected
+/// one.
 #[derive(Clone, Copy, Debug)]
 pub struct Borrowing<P> {
     division: P,
 }
 
 impl<P: Policy> Borrowing<P> {
-    /// Borrows beyond the shares that `division` gives.
+    /// Creates a policy that borrows beyond the shares of `division`.
     pub fn new(division: P) -> Self {
         Self { division }
     }
@@ -30,11 +31,14 @@
     fn divide(&self, situation: &Situation<'_>) -> Vec<Share> {
         let members = situation.members.len() as u32;
         let shares = self.division.divide(situation).into_iter();
-        shares.zip(situation.seats).map(|(share, seat)| lend(share, seat, members)).collect()
+        shares
+            .zip(situation.backends)
+            .map(|(share, backend)| reserve_for_borrowing(share, backend, members))
+            .collect()
     }
 
-    fn settle(&self) -> Duration {
-        self.division.settle()
+    fn settle_time(&self) -> Duration {
+        self.division.settle_time()
     }
 
     fn candidates(&self) -> usize {
@@ -42,39 +46,39 @@
     }
 }
 
-/// Sets about half of the connections of a runner aside for borrowing, equally
-/// for all members. A backend server that has all its connections doesn't refuse
-/// one more with a promise: it cuts it or leaves it hanging.
-fn lend(share: Share, seat: &Seat, members: u32) -> Share {
-    let per_slot = (seat.connections / 2 / seat.slots.max(1)).max(1);
-    let aside = seat.connections.saturating_sub(seat.slots * per_slot);
+/// Reserves about half of a runner's connections for borrowing, equally for all
+/// members. A backend server without free connections does not reject another
+/// connection with a guarantee: it closes it or leaves it hanging.
+fn reserve_for_borrowing(share: Share, backend: &Backend, members: u32) -> Share {
+    let per_slot = (backend.connections / 2 / backend.slots.max(1)).max(1);
+    let reserved = backend.connections.saturating_sub(backend.slots * per_slot);
     Share {
         connections: share.connections.min(share.slots * per_slot),
-        borrow: aside / members,
+        borrow: reserved / members,
         ..share
     }
 }
 
-/// How much of the allowance a refused try takes.
+/// The decrease of the allowance after a rejected try.
 const LOSS: f64 = 1.0;
-/// How much a try that was taken gives: so that in the long run about one
-/// borrowed try in nine is refused.
+/// The increase after an accepted try. In the long run about one borrowed try
+/// in nine is rejected.
 const GAIN: f64 = LOSS / 8.0;
-/// What time alone gives, a second: without it an allowance below one would
-/// never be tried again.
+/// The increase per second without tries. Without it, an allowance below one
+/// would never be used again.
 const GAIN_PER_SECOND: f64 = 2.0;
 
-/// How many requests may be in flight beyond the own share of a service's
-/// slots.
+/// The number of requests that may be in flight beyond the own share of a
+/// service's slots.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Allowance {
     level: f64,
-    at: Time,
+    updated: Time,
     in_flight: u32,
 }
 
 impl Allowance {
-    /// Whether one more request may be sent beyond the share.
+    /// Whether another request may be sent beyond the share.
     pub(crate) fn has_room(&self, now: Time) -> bool {
         f64::from(self.in_flight + 1) <= self.level(now)
     }
@@ -83,22 +87,24 @@
         self.in_flight += 1;
     }
 
-    /// Gives one back that was taken by the backend server, refused as busy, or
-    /// neither. `most` is the number of slots that there are.
-    pub(crate) fn give_back(&mut self, now: Time, taken: Option<bool>, most: u32) {
+    /// Releases a borrowed slot. `accepted` tells whether the backend server
+    /// took the request or rejected it as busy, `None` if neither;
+    /// `total_slots` limits the allowance.
+    pub(crate) fn release(&mut self, now: Time, accepted: Option<bool>, total_slots: u32) {
         self.in_flight -= 1;
-        let change = match taken {
+        let change = match accepted {
             Some(true) => GAIN,
             Some(false) => -LOSS,
             None => 0.0,
         };
-        self.level = (self.level(now) + change).clamp(0.0, f64::from(most));
-        self.at = now;
+        self.level = (self.level(now) + change).clamp(0.0, f64::from(total_slots));
+        self.updated = now;
     }
 
     fn level(&self, now: Time) -> f64 {
-        // Time helps up to one request at a time; the rest is earned.
-        let rested = (now - self.at).as_secs_f64() * GAIN_PER_SECOND;
-        self.level.max((self.level + rested).min(1.0))
+        // Time alone restores at most one request; the rest depends on accepted
+        // tries.
+        let recovered = (now - self.updated).as_secs_f64() * GAIN_PER_SECOND;
+        self.level.max((self.level + recovered).min(1.0))
     }
 }
--- a/crates/routing/src/limits/fixed.rs
+++ b/crates/routing/src/limits/fixed.rs
@@ -5,38 +5,39 @@
 use super::{Policy, Share, Situation};
 use crate::hash;
 
-/// How long a larger share rests: the time in which proxies hear that one of
-/// them is gone.
-const SETTLE: Duration = Duration::from_millis(500);
+/// How long to wait before a larger share is used: the time until the proxies
+/// have learned that one of them is gone.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Every proxy has the same share of each runner, in whole slots. Which proxies
-/// get the slots that are left over is decided by rendezvous hashing, so that a
-/// proxy that comes or goes moves few of them.
+/// Every proxy has the same share of each runner, in whole slots. The remaining
+/// slots are assigned by rendezvous hashing, so that adding or removing a proxy
+/// moves few of them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fixed;
 
 impl Policy for Fixed {
     fn divide(&self, situation: &Situation<'_>) -> Vec<Share> {
-        let n = situation.members.len() as u32;
-        let divide = |all: u32, rank: u32| all / n + u32::from(rank < all % n);
-        let share = |seat: &super::Seat| {
-            let rank = rank(situation, seat.hash);
-            let slots = divide(seat.slots, rank);
-            let connections = divide(seat.connections, rank);
+        let member_count = situation.members.len() as u32;
+        let divide =
+            |total: u32, rank: u32| total / member_count + u32::from(rank < total % member_count);
+        let share = |backend: &super::Backend| {
+            let rank = rank(situation, backend.hash);
+            let slots = divide(backend.slots, rank);
+            let connections = divide(backend.connections, rank);
             Share { slots, connections, borrow: 0 }
         };
-        situation.seats.iter().map(share).collect()
+        situation.backends.iter().map(share).collect()
     }
 
-    fn settle(&self) -> Duration {
-        SETTLE
+    fn settle_time(&self) -> Duration {
+        SETTLE_TIME
     }
 }
 
-/// This proxy's place in the order of the members at one seat.
-fn rank(situation: &Situation<'_>, seat: u64) -> u32 {
-    let seat = seat.to_string();
-    let key = |name| (hash::of(&[&seat, name]), name);
-    let mine = key(situation.me.as_str());
-    situation.members.iter().filter(|m| key(m.name.as_str()) < mine).count() as u32
+/// Returns this proxy's rank among the members at one backend.
+fn rank(situation: &Situation<'_>, backend: u64) -> u32 {
+    let backend = backend.to_string();
+    let key = |name| (hash::of(&[&backend, name]), name);
+    let own = key(situation.me.as_str());
+    situation.members.iter().filter(|m| key(m.name.as_str()) < own).count() as u32
 }
--- a/crates/routing/src/limits/grant.rs
+++ b/crates/routing/src/limits/grant.rs
@@ -1,15 +1,15 @@
-//! A share in force.
+//! The share that is in force.
 
 use corianderfork_model::Time;
 use std::time::Duration;
 
 use super::Share;
 
-/// What is in force of a share that changes: less at once, more after a rest.
+/// A share that decreases immediately and increases after the settle time.
 ///
-/// Proxies hear reports at different moments. Were a larger share used at once,
-/// it would overlap with that of a proxy that has yet to hear that it lends, and
-/// the runner would refuse some of both proxies' requests as busy.
+/// Proxies receive reports at different times. If a larger share were used at
+/// once, it would overlap with that of a proxy that does not know yet that it
+/// has to give slots up, and the runner would reject requests of both as busy.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Grant {
     target: Share,
@@ -19,7 +19,7 @@
 }
 
 impl Grant {
-    /// Sets what the policy says now.
+    /// Sets the share that the policy assigns now.
     pub(crate) fn set(&mut self, now: Time, target: Share, settle: Duration) {
         self.target = target;
         self.slots.set(now, target.slots, settle);
@@ -27,7 +27,7 @@
         self.borrow.set(now, target.borrow, settle);
     }
 
-    /// What may be used.
+    /// Returns the share that may be used.
     pub(crate) fn get(&mut self, now: Time, settle: Duration) -> Share {
         self.set(now, self.target, settle);
         Share {
@@ -41,12 +41,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Level {
     usable: u32,
-    rising: Option<Rise>,
+    pending: Option<Increase>,
 }
 
-/// A level above the usable one, and since when the target was never below it.
+/// The lowest target since `since`, during which the target has stayed above
+/// the usable level.
 #[derive(Clone, Copy, Debug)]
-struct Rise {
+struct Increase {
     since: Time,
     to: u32,
 }
@@ -54,15 +55,15 @@
 impl Level {
     fn set(&mut self, now: Time, target: u32, settle: Duration) {
         if target <= self.usable {
-            *self = Self { usable: target, rising: None };
+            *self = Self { usable: target, pending: None };
             return;
         }
-        let rise = self.rising.get_or_insert(Rise { since: now, to: target });
-        rise.to = rise.to.min(target);
-        if now - rise.since < settle {
+        let increase = self.pending.get_or_insert(Increase { since: now, to: target });
+        increase.to = increase.to.min(target);
+        if now - increase.since < settle {
             return;
         }
-        self.usable = rise.to;
-        self.rising = (target > self.usable).then_some(Rise { since: now, to: target });
+        self.usable = increase.to;
+        self.pending = (target > self.usable).then_some(Increase { since: now, to: target });
     }
 }
--- a/crates/routing/src/limits/least_of_two.rs
+++ b/crates/routing/src/limits/least_of_two.rs
@@ -1,29 +1,30 @@
-//! Own counts only.
+//! The less loaded of two runners, by own counts.
 
 use std::time::Duration;
 
 use super::{Fixed, Policy, Share, Situation};
 
-/// Takes the less loaded of two runners drawn at random, by this proxy's own
-/// counts, and lets the backend server refuse what is too much. Slots are not
-/// divided; connections are, equally, since a connection above the bound is not
-/// refused with a promise but cut or left hanging.
+/// Picks the less loaded of two random runners by this proxy's own counts, and
+/// leaves it to the backend server to reject excess requests. Slots are not
+/// divided. Connections are divided equally, because a backend server does not
+/// reject excess connections with a guarantee but closes them or leaves them
+/// hanging.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOfTwo;
 
 impl Policy for LeastOfTwo {
     fn divide(&self, situation: &Situation<'_>) -> Vec<Share> {
         let equal = Fixed.divide(situation);
-        let share = |(seat, equal): (&super::Seat, Share)| Share {
-            slots: seat.slots.min(equal.connections),
+        let share = |(backend, equal): (&super::Backend, Share)| Share {
+            slots: backend.slots.min(equal.connections),
             connections: equal.connections,
             borrow: 0,
         };
-        situation.seats.iter().zip(equal).map(share).collect()
+        situation.backends.iter().zip(equal).map(share).collect()
     }
 
-    fn settle(&self) -> Duration {
-        Fixed.settle()
+    fn settle_time(&self) -> Duration {
+        Fixed.settle_time()
     }
 
     fn candidates(&self) -> usize {
--- a/crates/routing/src/limits/proportional.rs
+++ b/crates/routing/src/limits/proportional.rs
@@ -1,44 +1,46 @@
-//! Shares lent on peers' reports.
+//! Shares in proportion to reported demand.
 
 use std::time::Duration;
 
-use super::{Fixed, Member, Policy, Seat, Share, Situation};
+use super::{Backend, Fixed, Member, Policy, Share, Situation};
 
-/// Slots of a service that every proxy keeps, whatever it reports, so that its
-/// first request does not wait for a round of reports.
-const FLOOR: u32 = 2;
+/// The slots of a service that every proxy keeps, whatever it reports, so that
+/// its first request need not wait for a round of reports.
+const MIN_SLOTS: u32 = 2;
 
-/// Demands are in tenths of a slot.
+/// Demands are measured in tenths of a slot.
 const TENTHS: u32 = 10;
 
-/// How long a larger share rests before it is used.
-const SETTLE: Duration = Duration::from_millis(500);
+/// The default settle time.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Every proxy computes the same division of a service's slots from the demands
-/// that all of them reported. Each gets a floor; then what it needs, or its part
-/// of it if there is not enough; what is then left is divided by the square root
-/// of the demands, since the demand of a proxy swings by about its square root.
+/// Divides a service's slots by the demands that all proxies reported, with the
+/// same result at every proxy. Each proxy receives the minimum, then its
+/// demand, or a proportional part if there are not enough slots. The remaining
+/// slots are divided by the square root of the demands, because a demand
+/// fluctuates by about its square root.
 ///
-/// A proxy that went silent keeps the floor: it may be alive on the far side of
-/// a fault and still use its share. If most peers are silent, this proxy is the
-/// one that is cut off, and it falls back to equal shares: it would otherwise
+/// A silent proxy keeps the minimum, because it may be alive behind a network
+/// fault and still use its share. If most peers are silent, this proxy is the
+/// one that is cut off. It falls back to equal shares, since it would otherwise
 /// take every slot.
 #[derive(Clone, Copy, Debug)]
 pub struct Proportional {
-    settle: Duration,
+    settle_time: Duration,
 }
 
 impl Default for Proportional {
     fn default() -> Self {
-        Self { settle: SETTLE }
+        Self { settle_time: SETTLE_TIME }
     }
 }
 
 impl Proportional {
-    /// Sets how long a larger share rests before it is used: longer than the
-    /// interval of reports and their way to the slowest peer.
+    /// Sets how long to wait before a larger share is used. This must exceed
+    /// the report interval plus the time for a report to reach the slowest
+    /// peer.
     pub fn settle_after(mut self, time: Duration) -> Self {
-        self.settle = time;
+        self.settle_time = time;
         self
     }
 }
@@ -48,17 +50,17 @@
         if is_cut_off(situation.members) {
             return Fixed.divide(situation);
         }
-        let total = situation.seats.iter().map(|seat| seat.slots).sum();
-        let parts = allot(total, situation.members);
+        let total = situation.backends.iter().map(|backend| backend.slots).sum();
+        let parts = allocate(total, situation.members);
         let me = situation.members.iter().position(|m| m.name == *situation.me);
-        let Some(me) = me else { return vec![Share::default(); situation.seats.len()] };
+        let Some(me) = me else { return vec![Share::default(); situation.backends.len()] };
         let start = parts[..me].iter().sum::<u32>() as usize;
-        let mine = start..start + parts[me] as usize;
-        share_out(situation.seats, mine)
+        let range = start..start + parts[me] as usize;
+        place(situation.backends, range)
     }
 
-    fn settle(&self) -> Duration {
-        self.settle
+    fn settle_time(&self) -> Duration {
+        self.settle_time
     }
 }
 
@@ -68,34 +70,36 @@
     silent * 2 > peers
 }
 
-/// How many of `total` slots each member gets. They add up to `total`.
-fn allot(total: u32, members: &[Member]) -> Vec<u32> {
-    let n = members.len() as u32;
-    let floor = FLOOR.min(total / n);
-    let rest = total - floor * n;
+/// Returns how many of `total` slots each member receives. The parts add up to
+/// `total`.
+fn allocate(total: u32, members: &[Member]) -> Vec<u32> {
+    let member_count = members.len() as u32;
+    let floor = MIN_SLOTS.min(total / member_count);
+    let remaining = total - floor * member_count;
     let demands = members.iter().map(|m| if m.silent { None } else { Some(m.demand) });
     let above_floor =
         |demand: Option<u32>| u64::from(demand.unwrap_or(0).saturating_sub(floor * TENTHS));
     let needs: Vec<u64> = demands.clone().map(above_floor).collect();
     let needed: u64 = needs.iter().sum();
-    let spare = u64::from(rest * TENTHS).saturating_sub(needed);
-    let swings: Vec<u64> = demands.map(|demand| demand.map_or(0, swing)).collect();
-    let all_swings: u64 = swings.iter().sum();
-    let weight = |(need, swing): (&u64, &u64)| need * all_swings + spare * swing;
-    let weights: Vec<u64> = needs.iter().zip(&swings).map(weight).collect();
-    proportional(rest, &weights).into_iter().map(|part| part + floor).collect()
+    let spare = u64::from(remaining * TENTHS).saturating_sub(needed);
+    let fluctuations: Vec<u64> = demands.map(|demand| demand.map_or(0, fluctuation)).collect();
+    let total_fluctuation: u64 = fluctuations.iter().sum();
+    let weight = |(need, fluctuation): (&u64, &u64)| need * total_fluctuation + spare * fluctuation;
+    let weights: Vec<u64> = needs.iter().zip(&fluctuations).map(weight).collect();
+    proportional(remaining, &weights).into_iter().map(|part| part + floor).collect()
 }
 
-/// By how much a demand swings: its square root, of no unit, since only the
-/// proportions matter. A proxy without demand counts as one that needs a slot.
-fn swing(demand: u32) -> u64 {
+/// Returns the expected fluctuation of a demand, its square root, in arbitrary
+/// units because only the proportions matter. A demand of zero counts as one
+/// slot.
+fn fluctuation(demand: u32) -> u64 {
     const SCALE: u64 = 256;
     (u64::from(demand + TENTHS) * SCALE).isqrt()
 }
 
-/// Divides `total` in whole numbers in proportion to `weights`, by the largest
-/// remainder. In integers: a rounding that differed between two machines would
-/// hand a slot out twice.
+/// Divides `total` into whole numbers in proportion to `weights` by the largest
+/// remainder method. It uses integers because rounding differences between two
+/// machines would assign a slot twice.
 fn proportional(total: u32, weights: &[u64]) -> Vec<u32> {
     let sum: u128 = weights.iter().map(|w| u128::from(*w)).sum::<u128>().max(1);
     let scaled = |weight: &u64| u128::from(total) * u128::from(*weight);
@@ -109,21 +113,25 @@
     parts
 }
 
-/// Places slots `mine` of the row of all slots on their seats. The row goes
-/// round the seats, one slot of each at a time, so that every member's slots are
-/// spread over as many runners as there can be; and a part that grows by one
-/// moves one slot of each later member, not all of them.
-fn share_out(seats: &[Seat], mine: std::ops::Range<usize>) -> Vec<Share> {
-    let rounds = seats.iter().map(|seat| seat.slots).max().unwrap_or(0);
-    let row = (0..rounds).flat_map(|round| {
-        seats.iter().enumerate().filter(move |(_, seat)| round < seat.slots).map(|(i, _)| i)
+/// Places the slots `range` of the sequence of all slots on their backends. The
+/// sequence goes round the backends, one slot of each at a time. So each
+/// member's slots are spread over as many backends as possible, and when a part
+/// grows by one, only one slot of each later member moves.
+fn place(backends: &[Backend], range: std::ops::Range<usize>) -> Vec<Share> {
+    let rounds = backends.iter().map(|backend| backend.slots).max().unwrap_or(0);
+    let slot_order = (0..rounds).flat_map(|round| {
+        backends
+            .iter()
+            .enumerate()
+            .filter(move |(_, backend)| round < backend.slots)
+            .map(|(i, _)| i)
     });
-    let mut shares = vec![Share::default(); seats.len()];
-    for seat in row.skip(mine.start).take(mine.len()) {
-        shares[seat].slots += 1;
+    let mut shares = vec![Share::default(); backends.len()];
+    for backend in slot_order.skip(range.start).take(range.len()) {
+        shares[backend].slots += 1;
     }
-    for (share, seat) in shares.iter_mut().zip(seats) {
-        share.connections = share.slots * (seat.connections / seat.slots.max(1));
+    for (share, backend) in shares.iter_mut().zip(backends) {
+        share.connections = share.slots * (backend.connections / backend.slots.max(1));
     }
     shares
 }
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -1,36 +1,35 @@
-//! How a request ended for its caller, and how one try at a backend server did.
+//! Outcomes of requests, and results of single tries at backend servers.
 //!
-//! Three outcomes are kept apart as types, since mixing them up breaks a
-//! promise: a caller that is told [`Outcome::NotRun`] asks again, so "not run"
-//! for a request that did run is a doubled transfer. Only two results of a try
-//! are proof that nothing ran: the backend server's own promise
-//! ([`Attempt::Rejected`]) and a connection on which no byte was sent
-//! ([`Attempt::NotSent`]).
+//! The three outcomes are distinct because confusing them breaks a guarantee: a
+//! caller that receives [`Outcome::NotRun`] retries, so reporting "not run" for
+//! a request that did run doubles a transfer. Only two results of a try prove
+//! that nothing ran: the backend server's own guarantee ([`Attempt::Rejected`])
+//! and a connection on which no byte was sent ([`Attempt::NotSent`]).
 
 use std::time::Duration;
 
-/// How a request ended for its caller.
+/// The outcome of a request for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller has the backend server's whole answer.
+    /// The caller has received the complete answer of the backend server.
     Answered,
-    /// The request was not run anywhere and won't be.
+    /// The request was not run and will not be.
     NotRun(Refusal),
     /// The request may have run.
     Unknown(Doubt),
 }
 
-/// A request refused at once: not run, and when to come back.
+/// The refusal of a request that was not run, with the time to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}; ask again in {} ms", retry_after.as_millis())]
 pub struct Refusal {
-    /// When it makes sense to ask again.
+    /// When to retry.
     pub retry_after: Duration,
-    /// Why it was refused.
+    /// The reason of the refusal.
     pub reason: Reason,
 }
 
-/// Why a request was refused before it ran.
+/// The reason why a request was refused before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 #[non_exhaustive]
 pub enum Reason {
@@ -40,7 +39,7 @@
     /// Every runner is cold, draining or leaving.
     #[error("every runner of the service is starting or leaving; wait for the wave to go on")]
     NoneServing,
-    /// Every runner was tried already or is ejected as failing.
+    /// Every runner was tried already or is ejected.
     #[error("every runner of the service fails or was tried; look at its runners' health")]
     NoneHealthy,
     /// This proxy's share of every runner's slots is in use.
@@ -49,57 +48,59 @@
     /// The waiting queue is full.
     #[error("the waiting queue is full; wait, or raise the service's copies")]
     QueueFull,
-    /// The request would wait past its deadline.
+    /// The request would wait beyond its deadline.
     #[error("the request would wait past its deadline; wait, or raise the service's copies")]
     DeadlineTooSoon,
-    /// Another request of a more urgent class took its place in the queue.
+    /// A request of a more urgent class took its place in the queue.
     #[error("more urgent work took the place in the queue; ask again later")]
     Displaced,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     #[error("the retry budget is spent; look at the runners' failures")]
     RetryBudget,
 }
 
-/// Why nobody can say whether a request ran.
+/// The reason why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 #[non_exhaustive]
 pub enum Doubt {
-    /// No answer came in time.
+    /// No answer arrived in time.
     #[error("no answer came in time; look for the request's effect before asking again")]
     Timeout,
-    /// The connection was reset after a byte of the request may have left.
+    /// The connection was reset after a byte of the request may have been sent.
     #[error("the connection was cut; look for the request's effect before asking again")]
     Reset,
-    /// The answer ended early.
+    /// The answer was truncated.
     #[error("the answer was cut short; look for the request's effect before asking again")]
     Truncated,
-    /// The answer carried another request's id.
+    /// The answer has the id of another request.
     #[error("another request's answer came; look for the request's effect before asking again")]
     Mismatch,
 }
 
-/// Why a backend server refused, promising that it did not run the request.
+/// The reason why a backend server rejected a request, with the guarantee that
+/// it did not run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rejection {
     /// Its slots and its queue are full.
     Busy,
-    /// It is leaving and takes no new work.
+    /// The server is leaving and takes no new work.
     Leaving,
-    /// It does not carry the service (any longer).
+    /// The server does not run the service (any more).
     NotHere,
 }
 
 /// The result of one try at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Attempt {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered,
-    /// A whole answer came and says that the backend server itself failed
-    /// (status 500 or above, without the promise of [`Attempt::Rejected`]).
+    /// A complete answer arrived and reports that the backend server itself
+    /// failed (status 500 or above, without the guarantee of
+    /// [`Attempt::Rejected`]).
     Failed,
-    /// The backend server promises that it did not run the request.
+    /// The backend server guarantees that it did not run the request.
     Rejected(Rejection),
-    /// No byte of the request left, since no connection could be made.
+    /// No byte of the request was sent because no connection could be made.
     NotSent,
     /// The request may have run.
     Unknown(Doubt),
@@ -111,8 +112,8 @@
         matches!(self, Self::Rejected(_) | Self::NotSent)
     }
 
-    /// Whether the request may be tried at another runner, if the
-    /// [retry budget](crate::retry::Budget) allows it.
+    /// Whether the request may be retried at another runner, if the [retry
+    /// budget](crate::retry::Budget) permits it.
     ///
     /// ```
     /// use corianderfork_routing::outcome::{Attempt, Doubt, Rejection};
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Whether the runner did its part: `None` for a refusal, which says
-    /// nothing about the health of the runner.
+    /// Whether the runner succeeded. `None` for a rejection, which says nothing
+    /// about the runner's health.
     pub fn is_success(self) -> Option<bool> {
         match self {
             Self::Answered => Some(true),
@@ -140,8 +141,8 @@
         }
     }
 
-    /// The outcome for the caller if this was the last try. A refused request
-    /// is to come back after `retry_after`.
+    /// Returns the outcome for the caller if this was the last try. A rejected
+    /// request may be retried after `retry_after`.
     pub fn outcome(self, retry_after: Duration) -> Outcome {
         let not_run = |reason| Outcome::NotRun(Refusal { retry_after, reason });
         match self {
--- a/crates/routing/src/outlier/config.rs
+++ b/crates/routing/src/outlier/config.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     pub(super) enabled: bool,
-    pub(super) consecutive: u32,
+    pub(super) failures_to_eject: u32,
     pub(super) min_tries: u32,
     pub(super) margin: Share,
     pub(super) base: Duration,
@@ -19,14 +19,14 @@
 }
 
 impl Default for Config {
-    /// Five failures in a row, or 30% below the median over at least ten
-    /// tries; 5 s doubling up to 2 min; at most 30% of the runners out; three
-    /// probes to come back.
+    /// Five consecutive failures, or a success rate 30% below the median over
+    /// at least ten tries; 5 s doubling up to 2 min; at most 30% of the runners
+    /// ejected; three successful probes for readmission.
     fn default() -> Self {
         let share = Share::from_per_mille(300).expect("below 1000");
         Self {
             enabled: true,
-            consecutive: 5,
+            failures_to_eject: 5,
             min_tries: 10,
             margin: share,
             base: Duration::from_secs(5),
@@ -45,21 +45,22 @@
         self
     }
 
-    /// Sets how many failures in a row eject a runner.
-    pub fn consecutive(mut self, failures: u32) -> Self {
-        self.consecutive = failures;
+    /// Sets how many consecutive failures eject a runner.
+    pub fn failures_to_eject(mut self, failures: u32) -> Self {
+        self.failures_to_eject = failures;
         self
     }
 
-    /// Sets how long the first ejection lasts and what later ones grow to.
+    /// Sets the duration of the first ejection and the maximum to which
+    /// repeated ones grow.
     pub fn ejection(mut self, base: Duration, cap: Duration) -> Self {
         self.base = base;
         self.cap = cap;
         self
     }
 
-    /// Sets the share of a service's runners that may be out at once, rounded
-    /// down; a service of two or more runners may always miss one.
+    /// Sets the share of a service's runners that may be ejected at once,
+    /// rounded down. One of two or more runners may always be ejected.
     pub fn max_share(mut self, share: Share) -> Self {
         self.max_share = share;
         self
--- a/crates/routing/src/outlier/window.rs
+++ b/crates/routing/src/outlier/window.rs
@@ -5,10 +5,10 @@
 /// The length of one half of the window, in milliseconds.
 const HALF_MILLIS: u64 = 5_000;
 
-/// A window of two halves: the one that fills and the one before it.
+/// A window of two halves: the current one and the one before.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Window {
-    half: u64,
+    half_index: u64,
     current: Counts,
     previous: Counts,
 }
@@ -21,30 +21,30 @@
 
 impl Window {
     pub(super) fn record(&mut self, now: Time, success: bool) {
-        *self = self.at(now);
+        *self = self.as_of(now);
         self.current.tries += 1;
         self.current.successes += u32::from(success);
     }
 
     pub(super) fn tries(&self, now: Time) -> u32 {
-        let at = self.at(now);
-        at.current.tries + at.previous.tries
+        let window = self.as_of(now);
+        window.current.tries + window.previous.tries
     }
 
-    /// The share of tries that succeeded, with one success assumed beforehand:
-    /// a single failure is no rate of 0.
+    /// Returns the share of tries that succeeded, assuming one additional
+    /// success so that a single failure does not yield a rate of 0.
     pub(super) fn rate(&self, now: Time) -> f64 {
-        let at = self.at(now);
-        let successes = at.current.successes + at.previous.successes + 1;
+        let window = self.as_of(now);
+        let successes = window.current.successes + window.previous.successes + 1;
         f64::from(successes) / f64::from(self.tries(now) + 1)
     }
 
-    fn at(&self, now: Time) -> Self {
-        let half = now.as_millis() / HALF_MILLIS;
-        match half.saturating_sub(self.half) {
+    fn as_of(&self, now: Time) -> Self {
+        let half_index = now.as_millis() / HALF_MILLIS;
+        match half_index.saturating_sub(self.half_index) {
             0 => *self,
-            1 => Self { half, current: Counts::default(), previous: self.current },
-            _ => Self { half, ..Self::default() },
+            1 => Self { half_index, current: Counts::default(), previous: self.current },
+            _ => Self { half_index, ..Self::default() },
         }
     }
 }
--- a/crates/routing/src/report.rs
+++ b/crates/routing/src/report.rs
@@ -1,20 +1,19 @@
-//! What a proxy tells its peers about its load and what it learned.
+//! What a proxy reports to its peers about its load and its observations.
 //!
-//! Reports speak in names, since keys mean nothing in another process. They
-//! hold first-hand knowledge only: were hearsay passed on as one's own, two
-//! proxies could keep an old hint alive between them for good.
+//! Reports use names because keys are meaningless in another process. They
+//! contain only the proxy's own observations: if hints of others were repeated,
+//! two proxies could keep an outdated hint alive between them forever.
 
 use corianderfork_model::Name;
 
 /// One proxy's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// What it needs, a service each; services without any are left out.
+    /// Its demand for each service; services without demand are omitted.
     pub demands: Vec<Demand>,
-    /// What it does and learned, a runner each; runners with nothing to tell
-    /// are left out.
+    /// Its observations of each runner; runners without any are omitted.
     pub runners: Vec<Runner>,
-    /// The drains it knows that have not ended.
+    /// The drains that it knows and that have not ended.
     pub drains: Vec<Drain>,
 }
 
@@ -23,25 +22,25 @@
 pub struct Demand {
     /// The service.
     pub service: Name,
-    /// Tenths of a slot: what its callers' requests would use on average if each
-    /// got a slot at once.
+    /// The demand in tenths of a slot: what its callers' requests would use on
+    /// average if each got a slot immediately.
     pub tenths: u32,
 }
 
-/// What a proxy knows about one runner.
+/// A proxy's observations of one runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Runner {
-    /// The VM on which it runs.
+    /// The VM on which the runner is placed.
     pub vm: Name,
-    /// The service that it carries.
+    /// The service that it runs.
     pub service: Name,
-    /// Whether the runner refused the proxy's work as leaving.
+    /// Whether the runner rejected the proxy's requests as leaving.
     pub leaving: bool,
-    /// Whether the proxy itself ejected it as failing.
+    /// Whether the proxy ejected it because of its own results.
     pub ejected: bool,
 }
 
-/// A drain that has begun.
+/// A drain that has started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
     /// The VM.
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,10 +1,11 @@
-//! How many retries there may be, and when.
+//! Retry budgets and retry delays.
 //!
-//! A wave of failures makes every request a candidate for a second try, which
-//! doubles the load just when there is the least room for it. A [`Budget`]
-//! bounds retries to a share of the first tries of a sliding window, with a
-//! small floor so that a quiet service can retry at all. Only the proxy retries,
-//! and it retries first tries: nothing retries a retry of another layer.
+//! A burst of failures makes every request a candidate for a retry, which
+//! doubles the load when there is the least capacity for it. A [`Budget`]
+//! limits retries to a share of the first tries in a sliding window, with a
+//! small minimum so that a quiet service can retry at all. Only the proxy
+//! retries, and it retries only first tries: no layer retries the retries of
+//! another.
 //!
 //! ```
 //! use corianderfork_model::{Share, Time};
@@ -27,7 +28,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Buckets of a sliding window.
+/// The number of buckets of the sliding window.
 const BUCKETS: u32 = 10;
 
 /// Settings of a [`Budget`].
@@ -39,7 +40,7 @@
 }
 
 impl Default for Config {
-    /// A fifth of the first tries of the last ten seconds, and three at least.
+    /// A fifth of the first tries of the last ten seconds, but at least three.
     fn default() -> Self {
         let share = Share::from_per_mille(200).expect("below 1000");
         Self { share, floor: 3, window: Duration::from_secs(10) }
@@ -53,20 +54,20 @@
         self
     }
 
-    /// Sets how many retries a window has in any case.
+    /// Sets the minimum number of retries per window.
     pub fn floor(mut self, retries: u32) -> Self {
         self.floor = retries;
         self
     }
 
-    /// Sets how far back tries are counted.
+    /// Sets the length of the window in which tries are counted.
     pub fn window(mut self, window: Duration) -> Self {
         self.window = window;
         self
     }
 }
 
-/// Counts first tries and retries of a sliding window.
+/// Counts the first tries and retries of a sliding window.
 #[derive(Debug)]
 pub struct Budget {
     config: Config,
@@ -81,7 +82,7 @@
 }
 
 impl Budget {
-    /// A budget without a try so far.
+    /// Creates a budget without tries.
     pub fn new(config: Config) -> Self {
         Self { config, buckets: VecDeque::new() }
     }
@@ -91,13 +92,13 @@
         self.bucket(now).first_tries += 1;
     }
 
-    /// Takes one retry, if the budget has one left.
+    /// Takes one retry from the budget. Returns `false` if none is left.
     #[must_use]
     pub fn retry(&mut self, now: Time) -> bool {
-        self.forget_old(now);
+        self.drop_expired_buckets(now);
         let first_tries: u32 = self.buckets.iter().map(|b| b.first_tries).sum();
         let retries: u32 = self.buckets.iter().map(|b| b.retries).sum();
-        // Rounded down, unlike `Share::of`: the share is an upper bound.
+        // Rounds down, unlike `Share::of`, because the share is an upper bound.
         let share = u64::from(first_tries) * u64::from(self.config.share.per_mille()) / 1000;
         if u64::from(retries) >= share.max(u64::from(self.config.floor)) {
             return false;
@@ -107,7 +108,7 @@
     }
 
     fn bucket(&mut self, now: Time) -> &mut Bucket {
-        self.forget_old(now);
+        self.drop_expired_buckets(now);
         let index = self.index(now);
         if self.buckets.back().is_none_or(|last| last.index < index) {
             self.buckets.push_back(Bucket { index, first_tries: 0, retries: 0 });
@@ -115,10 +116,10 @@
         self.buckets.back_mut().expect("a bucket was pushed if there was none")
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn drop_expired_buckets(&mut self, now: Time) {
         let index = self.index(now);
-        let old = |b: &Bucket| b.index + u64::from(BUCKETS) <= index;
-        while self.buckets.front().is_some_and(old) {
+        let expired = |b: &Bucket| b.index + u64::from(BUCKETS) <= index;
+        while self.buckets.front().is_some_and(expired) {
             self.buckets.pop_front();
         }
     }
@@ -129,7 +130,7 @@
     }
 }
 
-/// Jittered delays before retries, from a seed.
+/// Jittered delays before retries, drawn from a seed.
 #[derive(Debug)]
 pub struct Delay {
     base: Duration,
@@ -138,17 +139,17 @@
 }
 
 impl Delay {
-    /// Delays that double from `base` up to `cap`.
+    /// Creates delays that double from `base` up to `cap`.
     pub fn new(base: Duration, cap: Duration, seed: u64) -> Self {
         Self { base, cap, rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// The delay before retry number `retry` (from 0): anything from nothing to
-    /// the doubled base. The whole range is drawn from, since requests that
-    /// failed at the same moment would meet again otherwise.
+    /// Returns the delay before retry number `retry` (from 0), between zero and
+    /// the doubled base. It is drawn from the whole range because requests that
+    /// failed at the same moment would otherwise collide again.
     pub fn next(&mut self, retry: u32) -> Duration {
         let doubled = self.base.saturating_mul(1 << retry.min(16));
-        let most = doubled.min(self.cap).as_millis() as u64;
-        Duration::from_millis(self.rng.random_range(0..=most))
+        let limit = doubled.min(self.cap).as_millis() as u64;
+        Duration::from_millis(self.rng.random_range(0..=limit))
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,21 +1,22 @@
-//! Picks runners for requests and keeps this proxy's own counts.
+//! Picks runners for requests and counts this proxy's own load.
 //!
-//! # What a runner needs to be picked
+//! # Eligible runners
 //!
-//! It is listed by the newest record of its VM, warm, on a VM that serves, not
-//! known to be leaving, not ejected, and below this proxy's share of its slots.
-//! Among those, the one with the least own load for its share goes first, with
-//! the load divided by the square of its recent success: by load alone, a runner
-//! that fails everything at once would look free and draw most of the work.
+//! A runner is eligible if the newest record of its VM lists it, it is warm,
+//! its VM serves, it is not known to be leaving, it is not ejected, and it is
+//! below this proxy's share of its slots. The eligible runner with the lowest
+//! cost is picked. The cost is this proxy's own load on the runner, divided by
+//! the square of its recent success rate: by load alone, a runner that
+//! immediately fails everything would look free and attract most of the work.
 //!
 //! # Drains
 //!
-//! News of a drain comes on several ways (the record, peers, the backend server
-//! itself), in any order and more than once. A VM's state is therefore the
-//! maximum of what was heard: the record of the highest revision, and the
-//! highest drain epoch. A record admits work only if its epoch is no lower than
-//! any drain heard of. A late message can lose against newer ones but never
-//! undo them.
+//! A proxy learns of a drain from several sources (the record, peers, the
+//! backend server itself), in any order and repeatedly. The state of a VM is
+//! therefore the maximum of what was received: the record with the highest
+//! revision, and the highest drain epoch. A record admits work only if its
+//! epoch is at least that of every known drain. A late message may be ignored,
+//! but it never undoes newer ones.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -50,22 +51,22 @@
 use vm::Vm;
 
 slotmap::new_key_type! {
-    /// A runner of a [`Router`]. Never used again for another runner.
+    /// The key of a runner in a [`Router`]. Keys are never reused.
     pub struct RunnerKey;
-    /// A service of a [`Router`].
+    /// The key of a service in a [`Router`].
     pub struct ServiceKey;
 }
 
-/// Slots and connections of a service that nobody declared yet.
-const UNDECLARED: Share = Share { slots: 8, connections: 64, borrow: 0 };
-/// When to ask again while no runner is listed at all.
+/// The capacity per runner of a service that was not declared.
+const DEFAULT_CAPACITY: Share = Share { slots: 8, connections: 64, borrow: 0 };
+/// When to retry if no runner is listed.
 const RETRY_NO_RUNNER: Duration = Duration::from_secs(5);
-/// When to ask again while runners start or leave.
+/// When to retry while runners start or leave.
 const RETRY_NONE_SERVING: Duration = Duration::from_secs(2);
-/// When to ask again in all other cases.
+/// When to retry in all other cases.
 const RETRY_SOON: Duration = Duration::from_secs(1);
 
-/// A proxy's view of the runners. See the [crate] for an example.
+/// A proxy's view of the runners. See the [crate docs](crate) for an example.
 #[derive(Debug)]
 pub struct Router {
     me: Name,
@@ -82,7 +83,7 @@
 }
 
 impl Router {
-    /// A router of the proxy `me` that knows no runner and no peer.
+    /// Creates a router for the proxy `me` without runners and peers.
     pub fn new(me: Name, config: Config) -> Self {
         let mut rng = SmallRng::seed_from_u64(config.seed);
         let detector = Detector::new(config.outlier, rng.random());
@@ -101,17 +102,17 @@
         }
     }
 
-    /// Declares how many requests and connections each runner of a service
-    /// holds at once.
+    /// Sets how many requests and connections each runner of a service accepts
+    /// at once.
     pub fn set_service(&mut self, service: &Name, slots: u16, connections: u16) {
         let key = self.service(service);
         let capacity = Share { slots: slots.into(), connections: connections.into(), borrow: 0 };
         self.services[key].set_capacity(capacity);
     }
 
-    /// Applies a VM's record and says whether it was newer than all before. A
-    /// runner that it no longer lists gets no new work; its requests in flight
-    /// are still counted.
+    /// Applies a VM's record and returns whether it was newer than all previous
+    /// ones. A runner that is no longer listed receives no new work; its
+    /// requests in flight are still counted.
     pub fn apply_record(&mut self, now: Time, record: view::Vm) -> bool {
         let vm = self.vms.entry(record.name.clone()).or_default();
         let new_epoch = record.epoch > vm.epoch();
@@ -127,7 +128,7 @@
             let key = known.unwrap_or_else(|| self.add_runner(now, &record.name, runner));
             self.runners[key].warm = runner.warm;
             if new_epoch {
-                self.runners[key].forget_leaving();
+                self.runners[key].clear_leaving();
             }
             if !listed.contains(&key) {
                 listed.push(key);
@@ -135,53 +136,55 @@
         }
         for key in before.iter().chain(&listed) {
             let service = self.runners[*key].service;
-            self.services[service].divide_again();
+            self.services[service].invalidate_shares();
         }
         for key in before.into_iter().filter(|key| !listed.contains(key)) {
             self.unlist(key);
         }
         self.vms.entry(record.name).or_default().runners = listed;
-        self.divide_all(now);
+        self.update_all_shares(now);
         true
     }
 
-    /// Applies that a VM's record was deleted, as of the store's `revision`.
+    /// Applies the deletion of a VM's record as of the store's `revision`.
+    /// Returns whether it was newer than all previous records.
     pub fn remove_vm(&mut self, now: Time, vm: &Name, revision: u64) -> bool {
         let epoch = self.vms.get(vm).map_or(0, Vm::epoch);
         self.apply_record(now, view::Vm::new(vm.clone(), revision).epoch(epoch))
     }
 
-    /// Notes that a drain of `vm` began, and says whether that was news. Records
-    /// of an earlier epoch don't admit work any more, in whichever order they
-    /// come; a record of this epoch that serves says that the drain has ended.
+    /// Records that a drain of `vm` has started, and returns whether that was
+    /// unknown. Records of an earlier epoch then admit no work, whatever the
+    /// order in which they arrive. A record of this epoch that serves means
+    /// that the drain has ended.
     pub fn drain(&mut self, vm: &Name, epoch: u64) -> bool {
         let known = self.vms.entry(vm.clone()).or_default();
-        let news = known.drain(epoch);
-        for key in known.runners.iter().filter(|_| news) {
+        let is_new = known.drain(epoch);
+        for key in known.runners.iter().filter(|_| is_new) {
             let service = self.runners[*key].service;
-            self.services[service].divide_again();
+            self.services[service].invalidate_shares();
         }
-        news
+        is_new
     }
 
-    /// Notes that the backend server itself refused work as leaving, or as not
-    /// carrying the service. This is ahead of the records, so it holds until a
-    /// newer epoch or another address is recorded, or until the hold time of
-    /// [`Config::leaving_hold`] is over.
+    /// Records that the backend server itself rejected work because it is
+    /// leaving or does not run the service. This information is newer than the
+    /// records, so it applies until a newer epoch or another address is
+    /// recorded, or until [`Config::leaving_hold`] is over.
     pub fn mark_leaving(&mut self, now: Time, runner: RunnerKey) {
         let until = now + self.leaving_hold;
         if let Some(runner) = self.runners.get_mut(runner) {
             runner.leaving_until = until;
-            self.services[runner.service].divide_again();
+            self.services[runner.service].invalidate_shares();
         }
     }
 
-    /// Picks a runner of `service` other than those of `exclude`, which the
-    /// request has been tried at.
+    /// Picks a runner of `service`, except those in `exclude`, at which the
+    /// request was tried already.
     ///
     /// # Errors
     ///
-    /// Refuses if there is none; the request was not run.
+    /// Returns a refusal if no runner is available; the request was not run.
     pub fn pick(
         &mut self,
         now: Time,
@@ -191,7 +194,7 @@
         let Some(&service) = self.service_names.get(service) else {
             return Err(Refusal { retry_after: RETRY_NO_RUNNER, reason: Reason::NoRunner });
         };
-        self.divide(now, service);
+        self.update_shares(now, service);
         let not_tried = |key: &RunnerKey| !exclude.contains(key);
         let free = self.free(now, service).into_iter().filter(not_tried).collect();
         let own = self.best(now, free);
@@ -199,7 +202,7 @@
         let Some(key) = own.or_else(|| self.borrow(now, service, exclude)) else {
             return Err(self.refusal(now, service, exclude));
         };
-        self.detector.picked(now, key);
+        self.detector.on_pick(now, key);
         if borrowed {
             self.services[service].allowance.take();
         }
@@ -209,17 +212,17 @@
             vm.in_flight += 1;
         }
         let (address, vm) = (runner.address, runner.vm.clone());
-        Ok(Ticket { runner: key, address, vm, since: now, borrowed })
+        Ok(Ticket { runner: key, address, vm, started: now, borrowed })
     }
 
     /// Whether [`Router::pick`] would find a runner for a first try.
     pub fn has_room(&mut self, now: Time, service: &Name) -> bool {
         let Some(&service) = self.service_names.get(service) else { return false };
-        self.divide(now, service);
+        self.update_shares(now, service);
         !self.free(now, service).is_empty() || self.borrow(now, service, &[]).is_some()
     }
 
-    /// Takes back a ticket with the result of its try.
+    /// Releases a ticket with the result of its try.
     pub fn done(&mut self, now: Time, ticket: Ticket, result: Attempt) {
         let key = ticket.runner;
         let jitter = self.jitter();
@@ -230,17 +233,17 @@
         }
         let service = &mut self.services[runner.service];
         if ticket.borrowed {
-            service.give_back(now, result);
+            service.release_borrowed(now, result);
         }
         if !result.is_not_run() {
-            service.demand.held(now - ticket.since);
+            service.demand.record_hold(now - ticket.started);
         }
         match result {
-            Attempt::Rejected(Rejection::Busy) => runner.refused_busy(now, jitter),
+            Attempt::Rejected(Rejection::Busy) => runner.rejected_busy(now, jitter),
             Attempt::Rejected(Rejection::Leaving | Rejection::NotHere) => {
                 self.mark_leaving(now, key)
             }
-            _ => runner.taken(),
+            _ => runner.accepted(),
         }
         if let Some(success) = result.is_success() {
             self.detector.record(now, key, success);
@@ -248,21 +251,21 @@
         self.remove_if_gone(key);
     }
 
-    /// Counts a request that a caller made, to be called once for each, whether
-    /// it gets a slot or not: this proxy's demand is made of these.
+    /// Counts a request of a caller. Call this once for each request, whether
+    /// or not it gets a slot: this proxy's demand is computed from these.
     pub fn count_request(&mut self, now: Time, service: &Name) {
-        // An unknown name is not kept: callers may ask for any.
+        // Unknown names are not stored, because callers can send any name.
         if let Some(key) = self.service_names.get(service) {
-            self.services[*key].demand.offered(now);
+            self.services[*key].demand.count_request(now);
         }
     }
 
-    /// The key of a service, added if there is none yet.
+    /// Returns the key of a service, adding the service if necessary.
     fn service(&mut self, name: &Name) -> ServiceKey {
         if let Some(key) = self.service_names.get(name) {
             return *key;
         }
-        let key = self.services.insert(Service::new(name.clone(), UNDECLARED));
+        let key = self.services.insert(Service::new(name.clone(), DEFAULT_CAPACITY));
         self.service_names.insert(name.clone(), key);
         key
     }
@@ -282,7 +285,7 @@
         self.remove_if_gone(key);
     }
 
-    /// Removes a runner that is neither listed nor has requests in flight.
+    /// Removes a runner that is not listed and has no requests in flight.
     fn remove_if_gone(&mut self, key: RunnerKey) {
         let gone = |runner: &Runner| !runner.listed && runner.in_flight == 0;
         if self.runners.get(key).is_some_and(gone) {
@@ -291,13 +294,13 @@
         }
     }
 
-    fn divide_service_again(&mut self, name: &Name) {
+    fn invalidate_service_shares(&mut self, name: &Name) {
         if let Some(key) = self.service_names.get(name) {
-            self.services[*key].divide_again();
+            self.services[*key].invalidate_shares();
         }
     }
 
-    fn divide_all_again(&mut self) {
-        self.services.values_mut().for_each(Service::divide_again);
+    fn invalidate_all_shares(&mut self) {
+        self.services.values_mut().for_each(Service::invalidate_shares);
     }
 }
--- a/crates/routing/src/router/config.rs
+++ b/crates/routing/src/router/config.rs
@@ -16,8 +16,9 @@
 }
 
 impl Default for Config {
-    /// Shares lent on peers' reports, with borrowing; a runner that said it leaves is left alone
-    /// for a minute; a peer is silent after two seconds without a report.
+    /// Proportional shares with borrowing; a runner that rejected work as
+    /// leaving gets no work for a minute; a peer is silent after two seconds
+    /// without a report.
     fn default() -> Self {
         Self {
             policy: Box::new(Borrowing::new(Proportional::default())),
@@ -30,7 +31,7 @@
 }
 
 impl Config {
-    /// Sets how slots are divided among the proxies.
+    /// Sets the policy that divides slots among the proxies.
     pub fn policy(mut self, policy: Box<dyn Policy>) -> Self {
         self.policy = policy;
         self
@@ -42,23 +43,25 @@
         self
     }
 
-    /// Sets for how long a backend server that refused as leaving gets no work
-    /// if no record says more. After it, it is tried again: were there no end, a
-    /// refusal by mistake would cost the copy for good, and a copy that still
-    /// leaves refuses once more with nothing run.
+    /// Sets for how long a backend server that rejected work as leaving
+    /// receives no work, unless a record says otherwise. Then it is tried
+    /// again. Without this limit, an erroneous rejection would lose the copy
+    /// forever, whereas a copy that is still leaving only rejects another
+    /// request without running it.
     pub fn leaving_hold(mut self, time: Duration) -> Self {
         self.leaving_hold = time;
         self
     }
 
-    /// Sets after how long without a report a peer counts as silent and its
-    /// hints lapse.
+    /// Sets how long after its last report a peer counts as silent and its
+    /// hints expire.
     pub fn peer_timeout(mut self, time: Duration) -> Self {
         self.peer_timeout = time;
         self
     }
 
-    /// Sets the seed of choices and jitter; give each proxy its own.
+    /// Sets the seed of random choices and jitter. Give each proxy its own
+    /// seed.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
--- a/crates/routing/src/router/gossip.rs
+++ b/crates/routing/src/router/gossip.rs
@@ -1,14 +1,14 @@
-//! What is told to peers and heard from them.
+//! Reports to and from peers.
 
 use corianderfork_model::{Name, Time};
 
-use super::peers::News;
+use super::peers::Affected;
 use super::{Router, RunnerKey};
 use crate::report::{Demand, Drain, Report, Runner};
 
 impl Router {
-    /// What to tell peers. The demand of the report is also what this proxy
-    /// divides by from now on, so that it computes what its peers compute.
+    /// Returns the report for the peers. From now on this proxy divides by the
+    /// demand in this report, so that it computes the same shares as its peers.
     pub fn report(&mut self, now: Time) -> Report {
         let mut report = Report::default();
         for service in self.services.values_mut() {
@@ -17,32 +17,35 @@
                 report.demands.push(Demand { service: service.name.clone(), tenths });
             }
         }
-        self.divide_all(now);
+        self.update_all_shares(now);
         let listed = self.vms.values().flat_map(|vm| &vm.runners);
-        report.runners = listed.filter_map(|key| self.learned(now, *key)).collect();
-        let drains = self.vms.iter().filter_map(|(vm, state)| Some((vm, state.draining()?)));
+        report.runners = listed.filter_map(|key| self.runner_report(now, *key)).collect();
+        let drains = self.vms.iter().filter_map(|(vm, state)| Some((vm, state.active_drain()?)));
         report.drains = drains.map(|(vm, epoch)| Drain { vm: vm.clone(), epoch }).collect();
         report
     }
 
-    /// Notes that `member` is a proxy, as the membership says, though it may not
-    /// have reported yet. It is left its floor share from now on.
+    /// Adds `member`, which the membership lists as a proxy but which may not
+    /// have reported yet. It is assigned its minimum share from now on.
     pub fn add_member(&mut self, now: Time, member: &Name) {
-        if *member != self.me && self.peers.meet(now, member) {
-            self.divide_all_again();
-            self.divide_all(now);
+        if *member != self.me && self.peers.add(now, member) {
+            self.invalidate_all_shares();
+            self.update_all_shares(now);
         }
     }
 
-    /// Applies a peer's report. Only the services that it changes are divided
-    /// anew: peers report several times a second, mostly the same.
+    /// Applies a peer's report. Only the shares of services that it changes are
+    /// recomputed, because peers report several times a second, mostly without
+    /// changes.
     pub fn apply_report(&mut self, now: Time, member: &Name, report: &Report) {
         if *member == self.me {
             return;
         }
-        match self.peers.report(now, member, report) {
-            News::All => self.divide_all_again(),
-            News::Services(names) => names.iter().for_each(|name| self.divide_service_again(name)),
+        match self.peers.update(now, member, report) {
+            Affected::All => self.invalidate_all_shares(),
+            Affected::Services(names) => {
+                names.iter().for_each(|name| self.invalidate_service_shares(name))
+            }
         }
         for drain in &report.drains {
             self.drain(&drain.vm, drain.epoch);
@@ -50,23 +53,24 @@
         for runner in &report.runners {
             self.apply_hint(now, member, runner);
         }
-        self.divide_all(now);
+        self.update_all_shares(now);
     }
 
-    /// Forgets a proxy that the membership says is gone: its share is divided.
+    /// Removes a proxy that the membership reports as gone; its share is
+    /// redistributed.
     pub fn remove_member(&mut self, member: &Name) {
         self.peers.forget(member);
-        self.divide_all_again();
+        self.invalidate_all_shares();
     }
 
-    /// What this proxy itself learned about a runner, if anything.
-    fn learned(&self, now: Time, key: RunnerKey) -> Option<Runner> {
+    /// Returns this proxy's own observations of a runner, if there are any.
+    fn runner_report(&self, now: Time, key: RunnerKey) -> Option<Runner> {
         let runner = &self.runners[key];
         let leaving = now < runner.leaving_until;
         let ejected = self.detector.is_failing_first_hand(key);
         let service = self.services[runner.service].name.clone();
-        let told = Runner { vm: runner.vm.clone(), service, leaving, ejected };
-        (leaving || ejected).then_some(told)
+        let entry = Runner { vm: runner.vm.clone(), service, leaving, ejected };
+        (leaving || ejected).then_some(entry)
     }
 
     fn apply_hint(&mut self, now: Time, member: &Name, hint: &Runner) {
@@ -78,8 +82,8 @@
                 continue;
             }
             if hint.leaving {
-                runner.hinted_until = now + self.hint_timeout;
-                self.services[*service].divide_again();
+                runner.leaving_hint_until = now + self.hint_timeout;
+                self.services[*service].invalidate_shares();
             }
             if hint.ejected {
                 self.detector.hint(now, member, key);
--- a/crates/routing/src/router/runner.rs
+++ b/crates/routing/src/router/runner.rs
@@ -1,4 +1,4 @@
-//! One runner as this proxy sees it.
+//! A runner as this proxy sees it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use super::ServiceKey;
 use crate::limits::Grant;
 
-/// How long a runner is left alone after it refused as busy, doubled with each
-/// refusal in a row. Without a rest, a full runner looks free by own counts and
-/// is asked again and again.
-const BUSY_REST: Duration = Duration::from_millis(10);
-/// The longest rest, in doublings.
+/// How long a runner gets no work after it rejected a request as busy. The
+/// pause doubles with each consecutive rejection. Without it, a full runner
+/// would look free by own counts and be tried again and again.
+const BUSY_PAUSE: Duration = Duration::from_millis(10);
+/// The number of doublings of the longest pause.
 const BUSY_DOUBLINGS: u32 = 4;
 
-/// One runner, listed or with requests in flight.
+/// A runner that is listed or has requests in flight.
 #[derive(Debug)]
 pub(super) struct Runner {
     pub(super) vm: Name,
     pub(super) service: ServiceKey,
     pub(super) address: SocketAddr,
-    /// Whether the newest record of its VM has it.
+    /// Whether the newest record of its VM lists it.
     pub(super) listed: bool,
     pub(super) warm: bool,
     pub(super) in_flight: u32,
     pub(super) grant: Grant,
-    /// Until when its own refusal holds.
+    /// When its own rejection as leaving expires.
     pub(super) leaving_until: Time,
-    /// Until when a peer's word that it leaves holds.
-    pub(super) hinted_until: Time,
+    /// When a peer's report that it is leaving expires.
+    pub(super) leaving_hint_until: Time,
     pub(super) busy_until: Time,
-    busy_in_row: u32,
+    consecutive_busy: u32,
 }
 
 impl Runner {
@@ -45,9 +45,9 @@
             in_flight: 0,
             grant: Grant::default(),
             leaving_until: Time::ZERO,
-            hinted_until: Time::ZERO,
+            leaving_hint_until: Time::ZERO,
             busy_until: Time::ZERO,
-            busy_in_row: 0,
+            consecutive_busy: 0,
         }
     }
 
@@ -55,25 +55,27 @@
         self.service == service && self.address == address
     }
 
-    /// Until when it counts as leaving: not at all if this is past.
+    /// Returns until when it counts as leaving; a past time means that it does
+    /// not.
     pub(super) fn leaves_until(&self) -> Time {
-        self.leaving_until.max(self.hinted_until)
+        self.leaving_until.max(self.leaving_hint_until)
     }
 
-    pub(super) fn forget_leaving(&mut self) {
+    pub(super) fn clear_leaving(&mut self) {
         self.leaving_until = Time::ZERO;
-        self.hinted_until = Time::ZERO;
+        self.leaving_hint_until = Time::ZERO;
     }
 
-    /// Notes a refusal as busy. `jitter` is the part of the rest to take.
-    pub(super) fn refused_busy(&mut self, now: Time, jitter: f64) {
-        let rest = BUSY_REST * (1 << self.busy_in_row.min(BUSY_DOUBLINGS));
-        self.busy_until = now + rest.mul_f64(jitter);
-        self.busy_in_row += 1;
+    /// Records a rejection as busy. `jitter` is the fraction of the pause to
+    /// apply.
+    pub(super) fn rejected_busy(&mut self, now: Time, jitter: f64) {
+        let pause = BUSY_PAUSE * (1 << self.consecutive_busy.min(BUSY_DOUBLINGS));
+        self.busy_until = now + pause.mul_f64(jitter);
+        self.consecutive_busy += 1;
     }
 
-    /// Notes that it took a request.
-    pub(super) fn taken(&mut self) {
-        self.busy_in_row = 0;
+    /// Records that it accepted a request.
+    pub(super) fn accepted(&mut self) {
+        self.consecutive_busy = 0;
     }
 }
--- a/crates/routing/src/router/vm.rs
+++ b/crates/routing/src/router/vm.rs
@@ -1,24 +1,25 @@
-//! What was heard of a VM.
+//! The known state of a VM.
 
 use super::RunnerKey;
 
-/// The newest record and the newest drain of a VM. Only ever raised, so the
-/// order in which news comes makes no difference.
+/// The newest record and the newest drain of a VM. Both only increase, so the
+/// order in which messages arrive does not matter.
 #[derive(Debug, Default)]
 pub(super) struct Vm {
     revision: Option<u64>,
     epoch: u64,
     serving: bool,
-    /// The highest epoch of which a drain was heard.
-    drained: u64,
+    /// The highest epoch of a known drain.
+    drain_epoch: u64,
     /// The runners that the newest record lists.
     pub(super) runners: Vec<RunnerKey>,
-    /// This proxy's requests in flight there, at runners no longer listed too.
+    /// This proxy's requests in flight there, including those at runners that
+    /// are no longer listed.
     pub(super) in_flight: u32,
 }
 
 impl Vm {
-    /// Takes a record's state and says whether the record was newer.
+    /// Applies a record and returns whether it was newer.
     pub(super) fn apply(&mut self, revision: u64, epoch: u64, serving: bool) -> bool {
         if self.revision.is_some_and(|newest| revision <= newest) {
             return false;
@@ -29,11 +30,12 @@
         true
     }
 
-    /// Takes a drain's epoch and says whether it was newer than all heard of.
+    /// Applies a drain's epoch and returns whether it was newer than all known
+    /// ones.
     pub(super) fn drain(&mut self, epoch: u64) -> bool {
-        let news = epoch > self.newest();
-        self.drained = self.drained.max(epoch);
-        news
+        let is_new = epoch > self.newest_epoch();
+        self.drain_epoch = self.drain_epoch.max(epoch);
+        is_new
     }
 
     pub(super) fn epoch(&self) -> u64 {
@@ -41,20 +43,20 @@
     }
 
     pub(super) fn admits(&self) -> bool {
-        self.serving && self.epoch >= self.drained
+        self.serving && self.epoch >= self.drain_epoch
     }
 
-    /// Whether the drain `epoch`, or a later one, holds.
+    /// Whether the drain `epoch` or a later one is in force.
     pub(super) fn is_drained(&self, epoch: u64) -> bool {
-        !self.admits() && self.newest() >= epoch
+        !self.admits() && self.newest_epoch() >= epoch
     }
 
-    /// The epoch of the drain that holds, to be passed on.
-    pub(super) fn draining(&self) -> Option<u64> {
-        (!self.admits() && self.newest() > 0).then_some(self.newest())
+    /// Returns the epoch of the drain in force, to be reported to peers.
+    pub(super) fn active_drain(&self) -> Option<u64> {
+        (!self.admits() && self.newest_epoch() > 0).then_some(self.newest_epoch())
     }
 
-    fn newest(&self) -> u64 {
-        self.epoch.max(self.drained)
+    fn newest_epoch(&self) -> u64 {
+        self.epoch.max(self.drain_epoch)
     }
 }
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -1,10 +1,10 @@
-//! What the records say of a VM and its runners.
+//! VMs and runners as the records state them.
 
 use std::net::SocketAddr;
 
 use corianderfork_model::Name;
 
-/// One VM as its record in the platform's service states it.
+/// A VM as stated by its record in the platform's service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vm {
     pub(crate) name: Name,
@@ -15,13 +15,13 @@
 }
 
 impl Vm {
-    /// The VM `name` as of a record's `revision`: not serving, in epoch 0,
-    /// without runners.
+    /// Creates the VM `name` as of a record's `revision`: not serving, in epoch
+    /// 0, without runners.
     pub fn new(name: Name, revision: u64) -> Self {
         Self { name, revision, epoch: 0, serving: false, runners: Vec::new() }
     }
 
-    /// Sets the drain epoch, which grows at each drain.
+    /// Sets the drain epoch, which increases with each drain.
     pub fn epoch(mut self, epoch: u64) -> Self {
         self.epoch = epoch;
         self
@@ -40,7 +40,7 @@
     }
 }
 
-/// One licensed copy of a service on a VM.
+/// A licensed copy of a service on a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Runner {
     pub(crate) service: Name,
@@ -49,7 +49,8 @@
 }
 
 impl Runner {
-    /// A copy of `service` that listens at `address`; it gets work once `warm`.
+    /// Creates a copy of `service` that listens at `address`. It receives work
+    /// once it is `warm`.
     pub fn new(service: Name, address: SocketAddr, warm: bool) -> Self {
         Self { service, address, warm }
     }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Helpers for the tests.
 
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 #![allow(dead_code, reason = "each test file uses a part")]
@@ -20,15 +20,15 @@
     name(&format!("vm-{i:02}"))
 }
 
-/// VM `i` with one warm copy of `transfer`.
+/// Returns VM `i` with one warm copy of `transfer`.
 pub fn vm(i: u16, revision: u64, epoch: u64, serving: bool) -> Vm {
     let address = ([127, 0, 0, 1], 9000 + i).into();
     let runner = Runner::new(name("transfer"), address, true);
     Vm::new(vm_name(i), revision).epoch(epoch).serving(serving).runner(runner)
 }
 
-/// A router that knows `runners` VMs since time 0, with all shares in force
-/// from one second on.
+/// Returns a router that has known `runners` VMs since time 0. All shares are
+/// usable from one second on.
 pub fn router(config: Config, runners: u16) -> Router {
     let mut router = Router::new(name("proxy-0"), config);
     router.set_service(&name("transfer"), 8, 64);
--- a/crates/routing/tests/drain.rs
+++ b/crates/routing/tests/drain.rs
@@ -1,4 +1,5 @@
-//! Drains: the newest epoch wins, whichever way and in whichever order.
+//! Drains: the newest epoch wins, whatever the source and order of the
+//! messages.
 
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -10,7 +11,7 @@
 use corianderfork_routing::router::{Config, Router};
 use proptest::prelude::*;
 
-/// News of one VM, as it may be heard.
+/// A message about one VM, from any source.
 #[derive(Clone, Copy, Debug)]
 enum News {
     Record { revision: u64, epoch: u64, serving: bool },
@@ -18,8 +19,8 @@
     Peer { epoch: u64 },
 }
 
-/// The true history of a VM: each step is a drain or its end; news of any step
-/// may be told any number of times on any way.
+/// Generates the history of a VM, in which each step is a drain or its end. The
+/// message of each step is delivered twice, and all messages are shuffled.
 fn history() -> impl Strategy<Value = (Vec<News>, bool)> {
     let steps = prop::collection::vec(any::<bool>(), 1..6);
     steps.prop_flat_map(|steps| {
@@ -39,7 +40,7 @@
     })
 }
 
-fn tell(router: &mut Router, news: News) {
+fn deliver(router: &mut Router, news: News) {
     match news {
         News::Record { revision, epoch, serving } => {
             router.apply_record(at(0), vm(0, revision, epoch, serving));
@@ -61,16 +62,16 @@
 
 proptest! {
     #[test]
-    fn set_runners_any_order_newest_wins((news, serving) in history()) {
+    fn apply_record_any_order_newest_wins((news, serving) in history()) {
         let mut router = router(Config::default(), 0);
-        news.into_iter().for_each(|n| tell(&mut router, n));
+        news.into_iter().for_each(|n| deliver(&mut router, n));
         router.report(at(0));
         prop_assert_eq!(takes_work(&mut router, 1000), serving);
     }
 
     #[test]
-    fn drain_no_pick_until_record_of_epoch(late in prop::collection::vec((2u64..50, 0u64..3), 0..10)) {
-        // However many records of earlier epochs come late.
+    fn drain_blocks_picks_until_record_of_its_epoch(late in prop::collection::vec((2u64..50, 0u64..3), 0..10)) {
+        // Any number of records of earlier epochs arrive late.
         let mut router = router(Config::default(), 1);
         prop_assert!(takes_work(&mut router, 1000));
         router.drain(&vm_name(0), 3);
@@ -84,10 +85,10 @@
 }
 
 #[test]
-fn drain_late_news_of_an_ended_drain() {
-    // Symptom: a VM that is back gets no work for good.
-    // Sequence: drain 2 ends; then a peer's old word of drain 2 comes.
-    // Cause: the last message heard won instead of the newest epoch.
+fn drain_late_message_of_ended_drain_is_ignored() {
+    // A peer's old report of drain 2 arrives after that drain has ended. If the
+    // last message won instead of the newest epoch, the VM would never get work
+    // again.
     let mut router = router(Config::default(), 1);
     router.apply_record(at(0), vm(0, 5, 2, true));
     assert!(!router.drain(&vm_name(0), 2));
@@ -95,26 +96,25 @@
 }
 
 #[test]
-fn done_leaving_refusal_is_ahead_of_records() {
-    // Symptom: requests go on being sent to a backend server that leaves.
-    // Sequence: the list and the records lag; the backend server refuses.
-    // Cause: its own refusal was treated as a failure of one request.
+fn done_leaving_rejection_overrides_older_records() {
+    // A backend server rejects requests as leaving before the list and the
+    // records show it. If the rejection counted only as a failure of one
+    // request, more requests would be sent to it.
     let mut router = router(Config::default(), 1);
     let ticket = router.pick(at(1000), &name("transfer"), &[]).unwrap();
     router.done(at(1000), ticket, Attempt::Rejected(Rejection::Leaving));
     let refusal = router.pick(at(1001), &name("transfer"), &[]).unwrap_err();
     assert_eq!(refusal.reason, Reason::NoneServing);
     router.apply_record(at(2000), vm(0, 2, 1, true));
-    assert!(!takes_work(&mut router, 4000), "the record may be older than the refusal");
+    assert!(!takes_work(&mut router, 4000), "the record may be older than the rejection");
     router.apply_record(at(4000), vm(0, 3, 2, true));
-    assert!(takes_work(&mut router, 6000), "a new epoch is newer than the refusal");
+    assert!(takes_work(&mut router, 6000), "a new epoch is newer than the rejection");
 }
 
 #[test]
-fn learned_leaving_ends_without_records() {
-    // Symptom: a copy is lost for good although it works.
-    // Sequence: it refuses as leaving once, by mistake; no record changes.
-    // Cause: what was learned has no end.
+fn mark_leaving_expires_without_records() {
+    // A copy rejects one request as leaving by mistake, and no record changes.
+    // Without an expiry it would be lost forever although it works.
     let mut router = router(Config::default(), 1);
     let runner = router.runners(&name("transfer"))[0];
     router.mark_leaving(at(1000), runner);
@@ -124,33 +124,32 @@
 }
 
 #[test]
-fn peer_load_leaving_hint() {
-    // Symptom: every proxy has to be refused before it stops.
-    // Sequence: one proxy is refused as leaving and reports it.
-    // Cause: what one learned was not passed on.
-    let mut teller = router(Config::default(), 1);
-    let ticket = teller.pick(at(1000), &name("transfer"), &[]).unwrap();
-    teller.done(at(1000), ticket, Attempt::Rejected(Rejection::NotHere));
-    let report = teller.report(at(1000));
-    let mut hearer = Router::new(name("proxy-2"), Config::default());
-    hearer.apply_record(at(0), vm(0, 1, 1, true));
-    assert!(takes_work(&mut hearer, 1000));
-    hearer.apply_report(at(1000), &name("proxy-0"), &report);
-    assert!(!takes_work(&mut hearer, 1001));
-    assert!(hearer.report(at(1001)).runners.is_empty(), "hearsay is not passed on");
-    assert!(!takes_work(&mut hearer, 2999));
-    hearer.report(at(3001));
-    assert!(takes_work(&mut hearer, 4000), "the hint lapses with its teller's silence");
+fn apply_report_leaving_hint_stops_work() {
+    // One proxy is rejected as leaving and reports it. Without the report,
+    // every proxy would have to be rejected before it stops.
+    let mut sender = router(Config::default(), 1);
+    let ticket = sender.pick(at(1000), &name("transfer"), &[]).unwrap();
+    sender.done(at(1000), ticket, Attempt::Rejected(Rejection::NotHere));
+    let report = sender.report(at(1000));
+    let mut receiver = Router::new(name("proxy-2"), Config::default());
+    receiver.apply_record(at(0), vm(0, 1, 1, true));
+    assert!(takes_work(&mut receiver, 1000));
+    receiver.apply_report(at(1000), &name("proxy-0"), &report);
+    assert!(!takes_work(&mut receiver, 1001));
+    assert!(receiver.report(at(1001)).runners.is_empty(), "hints of others are not passed on");
+    assert!(!takes_work(&mut receiver, 2999));
+    receiver.report(at(3001));
+    assert!(takes_work(&mut receiver, 4000), "the hint expires when its sender is silent");
 }
 
 #[test]
-fn is_drained_waits_for_in_flight() {
-    // Symptom: a VM is rebooted under a request.
-    // Sequence: a request is in flight; the VM drains; its record drops the copy.
-    // Cause: the request was no longer counted once the copy was not listed.
+fn is_drained_waits_for_requests_in_flight() {
+    // A VM drains while a request is in flight there, and its record drops the
+    // copy. If the request were no longer counted, the VM would be rebooted
+    // under it.
     let mut router = router(Config::default(), 1);
     let ticket = router.pick(at(1000), &name("transfer"), &[]).unwrap();
-    assert!(!router.is_drained(&vm_name(0), 2), "not heard of");
+    assert!(!router.is_drained(&vm_name(0), 2), "the drain is not known");
     router.drain(&vm_name(0), 2);
     let empty = corianderfork_routing::view::Vm::new(vm_name(0), 2).epoch(2);
     router.apply_record(at(1001), empty);
@@ -159,11 +158,11 @@
     router.done(at(1002), ticket, Attempt::Answered);
     assert_eq!(router.in_flight(&vm_name(0)), 0);
     assert!(router.is_drained(&vm_name(0), 2));
-    assert!(!router.is_drained(&vm_name(0), 3), "that drain was not heard of");
+    assert!(!router.is_drained(&vm_name(0), 3), "that drain is not known");
 }
 
 #[test]
-fn remove_vm_no_more_work() {
+fn remove_vm_gets_no_more_work() {
     let mut router = router(Config::default(), 1);
     assert!(router.remove_vm(at(1000), &vm_name(0), 9));
     assert!(!router.apply_record(at(1000), vm(0, 8, 1, true)), "older than the removal");
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Divisions of slots, and that picks keep to them.
+//! Divisions of slots, and picks within them.
 
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -9,7 +9,7 @@
 use common::{at, name, router, vm, with_policy};
 
 use corianderfork_routing::limits::{
-    Borrowing, Fixed, LeastOfTwo, Member, Policy, Proportional, Seat, Share, Situation,
+    Backend, Borrowing, Fixed, LeastOfTwo, Member, Policy, Proportional, Share, Situation,
 };
 use corianderfork_routing::outcome::{Attempt, Reason, Rejection};
 use corianderfork_routing::report::{Demand, Report};
@@ -25,14 +25,14 @@
     demands.iter().enumerate().map(member).collect()
 }
 
-fn seats(n: u64, slots: u32) -> Vec<Seat> {
-    (0..n).map(|i| Seat { hash: i * 7919 + 1, slots, connections: slots * 8 }).collect()
+fn backends(count: u64, slots: u32) -> Vec<Backend> {
+    (0..count).map(|i| Backend { hash: i * 7919 + 1, slots, connections: slots * 8 }).collect()
 }
 
-/// The shares of every member, in the order of members.
-fn divide(policy: &dyn Policy, members: &[Member], seats: &[Seat]) -> Vec<Vec<Share>> {
-    let of = |me: &Member| policy.divide(&Situation { me: &me.name, members, seats });
-    members.iter().map(of).collect()
+/// Returns the shares of all members, in the order of the members.
+fn divide(policy: &dyn Policy, members: &[Member], backends: &[Backend]) -> Vec<Vec<Share>> {
+    let shares_of = |me: &Member| policy.divide(&Situation { me: &me.name, members, backends });
+    members.iter().map(shares_of).collect()
 }
 
 fn demand(tenths: u32) -> Report {
@@ -44,35 +44,35 @@
     #[test]
     fn divide_every_slot_once(
         demands in prop::collection::vec((0u32..2000, prop::bool::weighted(0.1)), 1..14),
-        n in 0u64..14,
+        backend_count in 0u64..14,
         slots in 0u32..12,
     ) {
-        let (members, seats) = (members(&demands), seats(n, slots));
+        let (members, backends) = (members(&demands), backends(backend_count, slots));
         for policy in [&Fixed as &dyn Policy, &Proportional::default(), &Borrowing::new(Proportional::default())] {
-            let shares = divide(policy, &members, &seats);
-            for (i, seat) in seats.iter().enumerate() {
+            let shares = divide(policy, &members, &backends);
+            for (i, backend) in backends.iter().enumerate() {
                 let slots: u32 = shares.iter().map(|s| s[i].slots).sum();
                 let connections: u32 = shares.iter().map(|s| s[i].connections).sum();
-                prop_assert_eq!(slots, seat.slots);
+                prop_assert_eq!(slots, backend.slots);
                 let borrowed: u32 = shares.iter().map(|s| s[i].borrow).sum();
-                prop_assert!(connections + borrowed <= seat.connections);
+                prop_assert!(connections + borrowed <= backend.connections);
             }
         }
     }
 
     #[test]
-    fn divide_lent_follows_demand(
+    fn divide_proportional_follows_demand(
         demands in prop::collection::vec((0u32..300, Just(false)), 2..9),
     ) {
-        let (members, seats) = (members(&demands), seats(10, 8));
-        let shares = divide(&Proportional::default(), &members, &seats);
+        let (members, backends) = (members(&demands), backends(10, 8));
+        let shares = divide(&Proportional::default(), &members, &backends);
         let slots: Vec<u32> = shares.iter().map(|s| s.iter().map(|s| s.slots).sum()).collect();
         let needed: u32 = demands.iter().map(|d| d.0).sum();
         for (i, (demand, _)) in demands.iter().enumerate() {
-            prop_assert!(slots[i] >= 2, "the floor");
+            prop_assert!(slots[i] >= 2, "the minimum");
             let part = demand * 80 / needed.max(800);
             prop_assert!(slots[i] + 3 >= part / 10 * 8 / 10, "{} for {demand}", slots[i]);
-            // Spread: no two seats of one member differ by more than one slot.
+            // Spread: no two shares of one member differ by more than one slot.
             let most = shares[i].iter().map(|s| s.slots).max();
             let least = shares[i].iter().map(|s| s.slots).min();
             prop_assert!(most <= least.map(|l| l + 1));
@@ -83,7 +83,7 @@
     }
 
     #[test]
-    fn pick_never_above_share(
+    fn pick_never_exceeds_share(
         steps in prop::collection::vec((0u64..60, 0u8..10, 0u32..900), 1..300),
         borrows in any::<bool>(),
     ) {
@@ -111,8 +111,8 @@
                     let Ok(ticket) = router.pick(at(now), &name("transfer"), &[]) else { continue };
                     let share = router.share(at(now), ticket.runner());
                     let in_flight = router.in_flight(ticket.vm());
-                    let most = 8.min(share.slots + share.borrow);
-                    prop_assert!(in_flight <= most, "{in_flight} of {most}");
+                    let limit = 8.min(share.slots + share.borrow);
+                    prop_assert!(in_flight <= limit, "{in_flight} of {limit}");
                     tickets.push(ticket);
                 }
             }
@@ -126,31 +126,31 @@
 }
 
 #[test]
-fn share_more_after_settling_less_at_once() {
-    // Symptom: runners refuse requests as busy whenever shares change.
-    // Sequence: a proxy hears that it is lent more before the lender hears it.
-    // Cause: both use the slots for a moment.
+fn share_grows_after_settle_time_and_shrinks_at_once() {
+    // A proxy learns that it may use more slots before the proxy that gives
+    // them up does. If it used them at once, both would, and runners would
+    // reject requests as busy whenever shares change.
     let mut router = router(with_policy(Proportional::default()), 10);
-    assert_eq!(usable(&mut router, 499), 0, "no one may use slots that others may still use");
+    assert_eq!(usable(&mut router, 499), 0, "no proxy may use slots that others may still use");
     assert_eq!(usable(&mut router, 1000), 80);
     router.apply_report(at(1000), &name("proxy-1"), &demand(600));
-    let lent = usable(&mut router, 1000);
-    assert!(lent < 30, "{lent}");
+    let reduced = usable(&mut router, 1000);
+    assert!(reduced < 30, "{reduced}");
     router.remove_member(&name("proxy-1"));
-    assert_eq!(usable(&mut router, 1200), lent);
+    assert_eq!(usable(&mut router, 1200), reduced);
     assert_eq!(usable(&mut router, 1701), 80);
 }
 
 #[test]
-fn divide_silent_member_keeps_the_floor() {
+fn divide_silent_member_keeps_minimum() {
     let members = members(&[(250, false), (250, true), (250, false), (250, false)]);
-    let shares = divide(&Proportional::default(), &members, &seats(10, 8));
+    let shares = divide(&Proportional::default(), &members, &backends(10, 8));
     let slots: Vec<u32> = shares.iter().map(|s| s.iter().map(|s| s.slots).sum()).collect();
     assert_eq!(slots, [26, 2, 26, 26]);
 }
 
 #[test]
-fn peer_load_silent_peer_lends_its_share() {
+fn apply_report_silent_peer_loses_its_share() {
     let mut router = router(with_policy(Proportional::default()), 10);
     router.apply_report(at(0), &name("proxy-3"), &demand(600));
     let report = |router: &mut Router, now| {
@@ -166,41 +166,40 @@
 }
 
 #[test]
-fn divide_cut_off_takes_equal_shares() {
-    // Symptom: a proxy that the network cut off from its peers, but not from the
-    // runners, fills every slot.
-    // Sequence: no report comes any more; all peers seem to need nothing.
-    // Cause: silence of all was taken for the absence of all.
+fn divide_cut_off_proxy_takes_equal_shares() {
+    // The network cuts a proxy off from its peers but not from the runners, so
+    // all peers are silent and seem to need nothing. The proxy must not take
+    // every slot.
     let members = members(&[(100, false), (100, true), (100, true), (100, false)]);
-    let shares = divide(&Proportional::default(), &members, &seats(10, 8));
+    let shares = divide(&Proportional::default(), &members, &backends(10, 8));
     let mine: u32 = shares[0].iter().map(|s| s.slots).sum();
     assert_eq!(mine, 20);
 }
 
 #[test]
-fn divide_fixed_moves_little() {
+fn divide_fixed_removed_proxy_moves_few_slots() {
     let nine = members(&[(0, false); 9]);
-    let seats = seats(100, 8);
-    let before = divide(&Fixed, &nine, &seats);
-    let after = divide(&Fixed, &nine[..8], &seats);
+    let backends = backends(100, 8);
+    let before = divide(&Fixed, &nine, &backends);
+    let after = divide(&Fixed, &nine[..8], &backends);
     let taken: u32 = (0..8)
         .flat_map(|m| before[m].iter().zip(&after[m]))
         .map(|(b, a)| b.slots.saturating_sub(a.slots))
         .sum();
-    assert_eq!(taken, 0, "a proxy that goes takes no slot from those that stay");
+    assert_eq!(taken, 0, "removing a proxy takes no slot from the others");
 }
 
 #[test]
-fn divide_least_of_two_keeps_connections() {
-    let shares = divide(&LeastOfTwo, &members(&[(0, false); 9]), &seats(10, 8));
-    for seat in 0..10 {
-        assert_eq!(shares.iter().map(|s| s[seat].connections).sum::<u32>(), 64);
-        assert!(shares.iter().all(|s| s[seat].slots == 7 || s[seat].slots == 8));
+fn divide_least_of_two_divides_connections() {
+    let shares = divide(&LeastOfTwo, &members(&[(0, false); 9]), &backends(10, 8));
+    for backend in 0..10 {
+        assert_eq!(shares.iter().map(|s| s[backend].connections).sum::<u32>(), 64);
+        assert!(shares.iter().all(|s| s[backend].slots == 7 || s[backend].slots == 8));
     }
 }
 
-/// A router that is lent few slots, since a peer needs many.
-fn crowded() -> Router {
+/// Returns a router with few slots, because a peer needs many.
+fn router_with_small_share() -> Router {
     let mut router = router(with_policy(Borrowing::new(Proportional::default())), 10);
     router.apply_report(at(1000), &name("proxy-1"), &demand(2000));
     router
@@ -213,11 +212,11 @@
 
 #[test]
 fn pick_borrows_while_slots_are_idle() {
-    let mut router = crowded();
+    let mut router = router_with_small_share();
     let mut now = 2000;
     let share = usable(&mut router, now) as usize;
     let first = pick_all(&mut router, now);
-    assert_eq!(first.len(), share + 1, "one is tried");
+    assert_eq!(first.len(), share + 1, "one borrowed slot is tried");
     first.into_iter().for_each(|t| router.done(at(now), t, Attempt::Answered));
     for _ in 0..200 {
         now += 1;
@@ -230,16 +229,16 @@
 }
 
 #[test]
-fn pick_borrows_little_while_refused() {
-    // Symptom: runners are flooded with tries that they refuse.
-    // Sequence: every slot is in use; the proxy has more work than its share.
-    // Cause: borrowing goes on however often it is refused.
-    let mut router = crowded();
+fn pick_borrows_little_while_rejected() {
+    // Every slot is in use, and the proxy has more work than its share. If
+    // borrowing continued regardless of rejections, runners would be flooded
+    // with tries that they reject.
+    let mut router = router_with_small_share();
     let share = usable(&mut router, 2000) as usize;
     let mut kept = pick_all(&mut router, 2000);
-    let beyond = kept.split_off(share);
+    let excess = kept.split_off(share);
     let refused = Attempt::Rejected(Rejection::Busy);
-    beyond.into_iter().for_each(|ticket| router.done(at(2000), ticket, refused));
+    excess.into_iter().for_each(|ticket| router.done(at(2000), ticket, refused));
     let mut tries = 0;
     for now in 2001..12_001 {
         router.apply_report(at(now), &name("proxy-1"), &demand(2000));
@@ -248,12 +247,12 @@
             router.done(at(now), ticket, refused);
         }
     }
-    assert!((5..=25).contains(&tries), "{tries} in ten seconds");
+    assert!((5..=25).contains(&tries), "{tries} tries in ten seconds");
     assert_eq!(router.pick(at(12_000), &name("transfer"), &[]).unwrap_err().reason, Reason::Busy);
 }
 
 #[test]
-fn load_demand_by_littles_law() {
+fn report_demand_follows_littles_law() {
     let mut router = router(with_policy(Proportional::default()), 10);
     for now in (1000..6000).step_by(10) {
         router.count_request(at(now), &name("transfer"));
@@ -262,17 +261,17 @@
         }
     }
     let tenths = router.report(at(6000)).demands[0].tenths;
-    assert!((45..=55).contains(&tenths), "100 a second for 50 ms each, not {tenths}");
-    assert!(router.report(at(60_000)).demands.is_empty(), "nobody asks any more");
+    assert!((45..=55).contains(&tenths), "100 requests per second of 50 ms each, not {tenths}");
+    assert!(router.report(at(60_000)).demands.is_empty(), "there are no requests any more");
 }
 
 #[test]
-fn set_runners_new_member_of_the_row() {
+fn apply_record_new_runner_slots_settle_first() {
     let mut router = router(with_policy(Fixed), 1);
     router.add_member(at(0), &name("proxy-1"));
     assert_eq!(usable(&mut router, 1000), 4);
     router.apply_record(at(1000), vm(1, 1, 1, true));
-    assert_eq!(usable(&mut router, 1001), 4, "the new runner's slots rest first");
-    assert_eq!(usable(&mut router, 1000 + Fixed.settle().as_millis() as u64), 8);
-    assert!(Fixed.settle() < Duration::from_secs(2));
+    assert_eq!(usable(&mut router, 1001), 4, "the new runner's slots have to settle first");
+    assert_eq!(usable(&mut router, 1000 + Fixed.settle_time().as_millis() as u64), 8);
+    assert!(Fixed.settle_time() < Duration::from_secs(2));
 }
--- a/crates/routing/tests/outcome.rs
+++ b/crates/routing/tests/outcome.rs
@@ -1,28 +1,28 @@
-//! What may be retried, and what the caller is told.
+//! Rules for retries, and outcomes for callers.
 
 use std::time::Duration;
 
 use corianderfork_routing::outcome::{Attempt, Doubt, Outcome, Rejection};
 
 const DOUBTS: [Doubt; 4] = [Doubt::Timeout, Doubt::Reset, Doubt::Truncated, Doubt::Mismatch];
-const REFUSALS: [Rejection; 3] = [Rejection::Busy, Rejection::Leaving, Rejection::NotHere];
+const REJECTIONS: [Rejection; 3] = [Rejection::Busy, Rejection::Leaving, Rejection::NotHere];
 
 #[test]
-fn may_retry_non_idempotent() {
-    // Symptom: a balance is moved twice.
-    // Sequence: the request is sent, the connection is reset, it is sent again.
-    // Cause: a try that may have run was retried although it is not idempotent.
+fn may_retry_non_idempotent_only_with_proof() {
+    // A request is sent and the connection is reset. If it were sent again
+    // although it may have run and is not idempotent, a balance would be moved
+    // twice.
     for doubt in DOUBTS {
         assert!(!Attempt::Unknown(doubt).may_retry(false));
     }
     assert!(!Attempt::Failed.may_retry(false));
     assert!(!Attempt::Answered.may_retry(false));
     assert!(Attempt::NotSent.may_retry(false));
-    assert!(REFUSALS.iter().all(|r| Attempt::Rejected(*r).may_retry(false)));
+    assert!(REJECTIONS.iter().all(|r| Attempt::Rejected(*r).may_retry(false)));
 }
 
 #[test]
-fn may_retry_idempotent() {
+fn may_retry_idempotent_unless_answered() {
     assert!(DOUBTS.iter().all(|doubt| Attempt::Unknown(*doubt).may_retry(true)));
     assert!(Attempt::Failed.may_retry(true));
     assert!(!Attempt::Answered.may_retry(true));
@@ -31,7 +31,7 @@
 #[test]
 fn outcome_not_run_only_with_proof() {
     let after = Duration::from_secs(3);
-    let proofs = REFUSALS.map(Attempt::Rejected).into_iter().chain([Attempt::NotSent]);
+    let proofs = REJECTIONS.map(Attempt::Rejected).into_iter().chain([Attempt::NotSent]);
     for proof in proofs {
         let Outcome::NotRun(refusal) = proof.outcome(after) else { panic!("{proof:?}") };
         assert_eq!(refusal.retry_after, after);
--- a/crates/routing/tests/queue.rs
+++ b/crates/routing/tests/queue.rs
@@ -36,7 +36,7 @@
     }
 
     #[test]
-    fn push_never_above_capacity(
+    fn push_never_exceeds_capacity(
         classes in prop::collection::vec(class(), 1..60),
         capacity in 1usize..10,
     ) {
@@ -50,11 +50,12 @@
             prop_assert!(queue.len() <= capacity);
         }
         let kept: Vec<u32> = std::iter::from_fn(|| queue.take(at(1), |_| true)).collect();
-        // Nothing is lost, and no refused request is more urgent than a kept one.
+        // No request is lost, and no refused request is more urgent than a kept
+        // one.
         prop_assert_eq!(kept.len() + refused.len(), classes.len());
         let class_of = |i: &u32| classes[*i as usize];
-        let least = kept.iter().map(class_of).min();
-        prop_assert!(refused.iter().map(class_of).max() <= least || refused.is_empty());
+        let least_kept = kept.iter().map(class_of).min();
+        prop_assert!(refused.iter().map(class_of).max() <= least_kept || refused.is_empty());
     }
 }
 
@@ -81,10 +82,11 @@
 }
 
 #[test]
-fn push_hopeless_by_measured_rate() {
-    // Symptom: callers wait for their whole deadline and are then refused.
-    // Sequence: the backlog drains at 10 a second; a request comes behind 40.
-    // Cause: the queue took it in although its turn comes after its deadline.
+fn push_beyond_deadline_at_measured_rate_is_refused() {
+    // The backlog drains at 10 requests per second, and a request arrives
+    // behind 40 others. If it were queued although its turn comes after its
+    // deadline, its caller would wait for the whole deadline and then be
+    // refused.
     let mut queue = Queue::new(Config::default());
     for i in 0..60 {
         queue.push(at(0), request(Class::Normal, 60_000, i)).unwrap();
@@ -93,19 +95,22 @@
         queue.take(at(i * 100), |_| true).unwrap();
         queue.count_start(at(i * 100), &name("transfer"));
     }
-    let hopeless = queue.push(at(2000), request(Class::Normal, 4000, 99)).unwrap_err();
-    assert_eq!(hopeless.refusal.reason, Reason::DeadlineTooSoon);
-    let retry_after = hopeless.refusal.retry_after.as_secs_f64();
-    assert!((3.0..5.0).contains(&retry_after), "40 at 10 a second, not {retry_after}");
+    let late = queue.push(at(2000), request(Class::Normal, 4000, 99)).unwrap_err();
+    assert_eq!(late.refusal.reason, Reason::DeadlineTooSoon);
+    let retry_after = late.refusal.retry_after.as_secs_f64();
+    assert!((3.0..5.0).contains(&retry_after), "40 requests at 10 per second, not {retry_after}");
     assert!(queue.push(at(2000), request(Class::Normal, 8000, 99)).is_ok());
-    assert!(queue.push(at(2000), request(Class::First, 4000, 99)).is_ok(), "goes ahead");
+    assert!(
+        queue.push(at(2000), request(Class::First, 4000, 99)).is_ok(),
+        "a more urgent request goes first"
+    );
 }
 
 #[test]
-fn sweep_stalled_before_deadline() {
-    // Symptom: as above, for requests that were already waiting.
-    // Sequence: ten wait; then nothing gets a slot any more.
-    // Cause: the wait is judged only when a request comes.
+fn sweep_stalled_backlog_is_refused_before_deadline() {
+    // Ten requests wait, and then no request gets a slot any more. If waiting
+    // times were estimated only on arrival, these callers would wait for their
+    // whole deadline.
     let mut queue = Queue::new(Config::default());
     for i in 0..10 {
         queue.push(at(0), request(Class::Normal, 2000, i)).unwrap();
@@ -120,10 +125,10 @@
 }
 
 #[test]
-fn push_burst_after_quiet_is_not_hopeless() {
-    // Symptom: the first burst of the morning is refused.
-    // Sequence: no request for hours, then thirty in a tenth of a second.
-    // Cause: the rate of the quiet time was taken for the rate of the backlog.
+fn push_burst_after_quiet_time_is_accepted() {
+    // Thirty requests arrive within a tenth of a second after hours without
+    // any. If the rate of the quiet time counted as the rate of the backlog,
+    // the burst would be refused.
     let mut queue = Queue::new(Config::default());
     queue.push(at(0), request(Class::Normal, 1000, 0)).unwrap();
     queue.take(at(1), |_| true).unwrap();
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -12,7 +12,7 @@
 
 proptest! {
     #[test]
-    fn retry_never_above_budget(
+    fn retry_never_exceeds_budget(
         steps in prop::collection::vec((0u64..400, any::<bool>()), 1..600),
         per_mille in 0u16..=500,
         floor in 0u32..5,
@@ -34,16 +34,16 @@
             let start = (now / (WINDOW / 10) + 1).saturating_sub(10) * (WINDOW / 10);
             let since = |times: &[u64]| times.iter().filter(|t| **t >= start).count() as u64;
             let share = since(&first_tries) * u64::from(per_mille) / 1000;
-            let most = share.max(u64::from(floor));
+            let limit = share.max(u64::from(floor));
             if retries.last() == Some(&now) {
-                prop_assert!(since(&retries) <= most, "{} of {most}", since(&retries));
+                prop_assert!(since(&retries) <= limit, "{} of {limit}", since(&retries));
             }
         }
     }
 }
 
 #[test]
-fn retry_floor_when_quiet() {
+fn retry_quiet_service_has_minimum() {
     let mut budget = Budget::new(Config::default().floor(2));
     let now = Time::ZERO;
     budget.first_try(now);
@@ -53,10 +53,9 @@
 }
 
 #[test]
-fn retry_wave_of_failures() {
-    // Symptom: a wave of failures doubles the load.
-    // Sequence: every request fails and wants one more try.
-    // Cause: retries are not bounded by a share of first tries.
+fn retry_burst_of_failures_is_bounded() {
+    // Every request fails and is to be retried. Without a limit relative to the
+    // first tries, a burst of failures would double the load.
     let mut budget = Budget::new(Config::default());
     let retries = (0..5000u64)
         .filter(|i| {
@@ -69,7 +68,7 @@
 }
 
 #[test]
-fn next_within_bounds_and_spread() {
+fn next_is_within_bounds_and_spread() {
     let (base, cap) = (Duration::from_millis(10), Duration::from_millis(200));
     let mut delay = Delay::new(base, cap, 3);
     let delays: Vec<_> = (0..100).map(|_| delay.next(2)).collect();
@@ -80,7 +79,7 @@
 }
 
 #[test]
-fn next_same_seed_same_delays() {
+fn next_same_seed_gives_same_delays() {
     let delays = |seed| {
         let mut delay = Delay::new(Duration::from_millis(10), Duration::from_secs(1), seed);
         (0..20).map(|i| delay.next(i)).collect::<Vec<_>>()
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -15,19 +15,19 @@
 #[test]
 fn pick_refuses_with_reason() {
     let transfer = name("transfer");
-    let why = |router: &mut Router, now| {
+    let reason = |router: &mut Router, now| {
         let refusal = router.pick(at(now), &transfer, &[]).unwrap_err();
         assert!(refusal.retry_after >= Duration::from_secs(1));
         refusal.reason
     };
     let mut router = Router::new(name("proxy-0"), with_policy(Fixed));
-    assert_eq!(why(&mut router, 0), Reason::NoRunner);
+    assert_eq!(reason(&mut router, 0), Reason::NoRunner);
     let address = "127.0.0.1:9000".parse().unwrap();
     let cold = Vm::new(vm_name(0), 1).serving(true);
     router.apply_record(at(0), cold.runner(Runner::new(transfer.clone(), address, false)));
-    assert_eq!(why(&mut router, 1000), Reason::NoneServing);
+    assert_eq!(reason(&mut router, 1000), Reason::NoneServing);
     router.apply_record(at(1000), vm(0, 2, 0, true));
-    assert_eq!(why(&mut router, 1001), Reason::Busy, "its slots rest first");
+    assert_eq!(reason(&mut router, 1001), Reason::Busy, "its slots have to settle first");
     let ticket = router.pick(at(2000), &transfer, &[]).unwrap();
     let again = router.pick(at(2000), &transfer, &[ticket.runner()]);
     assert_eq!(again.unwrap_err().reason, Reason::NoneHealthy);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn pick_spreads_by_own_load() {
+fn pick_balances_by_own_load() {
     let mut router = router(with_policy(Fixed), 4);
     for _ in 0..32 {
         _ = router.pick(at(1000), &name("transfer"), &[]).unwrap();
@@ -60,10 +60,10 @@
 }
 
 #[test]
-fn done_busy_runner_rests() {
-    // Symptom: a full runner is asked again and again, at once.
-    // Sequence: peers fill it; by own counts it is the least loaded.
-    // Cause: its refusal left no trace.
+fn done_busy_runner_is_paused() {
+    // Other proxies fill a runner that has the lowest load by own counts. If
+    // its rejection had no effect, it would be tried again and again
+    // immediately.
     let mut router = router(with_policy(LeastOfTwo), 2);
     let ticket = router.pick(at(1000), &name("transfer"), &[]).unwrap();
     let full = ticket.runner();
@@ -77,10 +77,10 @@
 }
 
 #[test]
-fn set_runners_new_address_is_a_new_runner() {
-    // Symptom: a copy that was started anew is treated as the one before.
-    // Sequence: a copy leaves; another starts on the same VM at another port.
-    // Cause: what was learned was kept by VM, not by copy.
+fn apply_record_new_address_is_a_new_runner() {
+    // A copy leaves, and another one starts on the same VM at another port. If
+    // observations were stored by VM instead of by copy, the new copy would be
+    // treated as the old one.
     let mut router = router(Config::default(), 1);
     let before = router.runners(&name("transfer"))[0];
     router.mark_leaving(at(1000), before);
@@ -93,12 +93,12 @@
 }
 
 #[test]
-fn pick_same_seed_same_choice() {
+fn pick_same_seed_makes_same_choices() {
     let picks = |seed| {
         let mut router = router(Config::default().seed(seed), 10);
         let pick = |_| router.pick(at(1000), &name("transfer"), &[]).unwrap().address().port();
         (0..20).map(pick).collect::<Vec<_>>()
     };
     assert_eq!(picks(1), picks(1));
-    assert_ne!(picks(1), picks(2), "proxies must not all begin with the same runner");
+    assert_ne!(picks(1), picks(2), "proxies must not all start with the same runner");
 }
