--- a/crates/coord/src/lease.rs
+++ b/crates/coord/src/lease.rs
@@ -52,7 +52,7 @@
 pub use config::Config;
 pub use message::{Action, Answer, Event, Key, Token};
 
-/// A renewal is due after this fraction of the TTL, so that two renewals may
+/// A renewal is due after the TTL divided by this, so that two renewals may
 /// fail before the lease expires.
 const RENEWALS_PER_TTL: u32 = 3;
 
--- a/crates/routing/src/limits/borrowing.rs
+++ b/crates/routing/src/limits/borrowing.rs
@@ -64,7 +64,7 @@
 /// The increase after an accepted try. In the long run about one borrowed try
 /// in nine is rejected.
 const GAIN: f64 = LOSS / 8.0;
-/// The increase per second without tries. Without it, an allowance below one
+/// The increase per second of elapsed time. Without it, an allowance below one
 /// would never be used again.
 const GAIN_PER_SECOND: f64 = 2.0;
 
--- a/crates/routing/src/limits/grant.rs
+++ b/crates/routing/src/limits/grant.rs
@@ -5,7 +5,7 @@
 
 use super::Share;
 
-/// A share that decreases immediately and increases after the settle time.
+/// A share that decreases immediately and increases after the settle_time time.
 ///
 /// Proxies receive reports at different times. If a larger share were used at
 /// once, it would overlap with that of a proxy that does not know yet that it
@@ -20,16 +20,16 @@
 
 impl Grant {
     /// Sets the share that the policy assigns now.
-    pub(crate) fn set(&mut self, now: Time, target: Share, settle: Duration) {
+    pub(crate) fn set(&mut self, now: Time, target: Share, settle_time: Duration) {
         self.target = target;
-        self.slots.set(now, target.slots, settle);
-        self.connections.set(now, target.connections, settle);
-        self.borrow.set(now, target.borrow, settle);
+        self.slots.set(now, target.slots, settle_time);
+        self.connections.set(now, target.connections, settle_time);
+        self.borrow.set(now, target.borrow, settle_time);
     }
 
     /// Returns the share that may be used.
-    pub(crate) fn get(&mut self, now: Time, settle: Duration) -> Share {
-        self.set(now, self.target, settle);
+    pub(crate) fn get(&mut self, now: Time, settle_time: Duration) -> Share {
+        self.set(now, self.target, settle_time);
         Share {
             slots: self.slots.usable,
             connections: self.connections.usable,
@@ -53,14 +53,14 @@
 }
 
 impl Level {
-    fn set(&mut self, now: Time, target: u32, settle: Duration) {
+    fn set(&mut self, now: Time, target: u32, settle_time: Duration) {
         if target <= self.usable {
             *self = Self { usable: target, pending: None };
             return;
         }
         let increase = self.pending.get_or_insert(Increase { since: now, to: target });
         increase.to = increase.to.min(target);
-        if now - increase.since < settle {
+        if now - increase.since < settle_time {
             return;
         }
         self.usable = increase.to;
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -276,7 +276,7 @@
         self.rates.get(service).and_then(|rate| rate.estimate_wait(now, ahead))
     }
 
-    /// Drops the lanes and rates of services without waiting requests.
+    /// Drops empty lanes, and the rates of services without waiting requests.
     fn remove_empty_lanes(&mut self) {
         self.lanes.retain(|_, waiting| !waiting.is_empty());
         let lanes = &self.lanes;
--- a/crates/routing/src/router/demand.rs
+++ b/crates/routing/src/router/demand.rs
@@ -11,8 +11,8 @@
 /// more than the callers do.
 const MAX_SAMPLES: u32 = 512;
 
-/// The reported demand is updated when it changes by more than this fraction of
-/// itself.
+/// The reported demand is updated when it changes by more than its value
+/// divided by this.
 const REPORT_STEP: u32 = 12;
 
 /// The average number of slots in use if every request gets one immediately:
--- a/crates/routing/src/router/query.rs
+++ b/crates/routing/src/router/query.rs
@@ -26,8 +26,8 @@
             return Share::default();
         };
         self.update_shares(now, service);
-        let settle = self.policy.settle_time();
-        self.runners.get_mut(runner).map_or_else(Share::default, |r| r.grant.get(now, settle))
+        let settle_time = self.policy.settle_time();
+        self.runners.get_mut(runner).map_or_else(Share::default, |r| r.grant.get(now, settle_time))
     }
 
     /// Returns the listed runners of `service`, ordered by VM.
--- a/crates/routing/src/router/selection.rs
+++ b/crates/routing/src/router/selection.rs
@@ -20,7 +20,7 @@
 
 impl Router {
     /// Updates the shares of all services. This is not left to the next pick,
-    /// because the settle time of a larger share starts when it is computed.
+    /// because the settle_time time of a larger share starts when it is computed.
     pub(super) fn update_all_shares(&mut self, now: Time) {
         let services: Vec<ServiceKey> = self.services.keys().collect();
         for service in services {
@@ -46,9 +46,9 @@
         let backends: Vec<Backend> = available.iter().map(backend).collect();
         let situation = Situation { me: &self.me, members: &members, backends: &backends };
         let shares = self.policy.divide(&situation);
-        let settle = self.policy.settle_time();
+        let settle_time = self.policy.settle_time();
         for (runner, share) in available.iter().zip(shares) {
-            self.runners[*runner].grant.set(now, share, settle);
+            self.runners[*runner].grant.set(now, share, settle_time);
         }
         let until = self.next_change(now, key);
         self.services[key].set_available(available, until);
@@ -57,13 +57,13 @@
     /// Returns the available runners of a service that are below this proxy's
     /// share and may be given work.
     pub(super) fn free(&mut self, now: Time, service: ServiceKey) -> Vec<RunnerKey> {
-        let settle = self.policy.settle_time();
+        let settle_time = self.policy.settle_time();
         let mut free = self.services[service].available.clone();
         free.retain(|&key| {
             let runner = &mut self.runners[key];
             let limit = match self.detector.admission(now, key) {
-                Admission::Open => runner.grant.get(now, settle).slots,
-                Admission::Probe => runner.grant.get(now, settle).slots.min(1),
+                Admission::Open => runner.grant.get(now, settle_time).slots,
+                Admission::Probe => runner.grant.get(now, settle_time).slots.min(1),
                 Admission::Ejected(_) => 0,
             };
             runner.busy_until <= now && runner.in_flight < limit
@@ -86,10 +86,10 @@
         let total_slots = capacity.slots;
         let mut eligible = available.clone();
         eligible.retain(|key| !exclude.contains(key));
-        let settle = self.policy.settle_time();
+        let settle_time = self.policy.settle_time();
         eligible.retain(|&key| {
             let runner = &mut self.runners[key];
-            let share = runner.grant.get(now, settle);
+            let share = runner.grant.get(now, settle_time);
             let open = self.detector.admission(now, key) == Admission::Open;
             let below_limit = runner.in_flight < total_slots.min(share.slots + share.borrow);
             open && below_limit && runner.busy_until <= now
--- a/crates/routing/tests/drain.rs
+++ b/crates/routing/tests/drain.rs
@@ -13,7 +13,7 @@
 
 /// A message about one VM, from any source.
 #[derive(Clone, Copy, Debug)]
-enum News {
+enum Message {
     Record { revision: u64, epoch: u64, serving: bool },
     Drain { epoch: u64 },
     Peer { epoch: u64 },
@@ -21,32 +21,34 @@
 
 /// Generates the history of a VM, in which each step is a drain or its end. The
 /// message of each step is delivered twice, and all messages are shuffled.
-fn history() -> impl Strategy<Value = (Vec<News>, bool)> {
+fn history() -> impl Strategy<Value = (Vec<Message>, bool)> {
     let steps = prop::collection::vec(any::<bool>(), 1..6);
     steps.prop_flat_map(|steps| {
-        let (mut news, mut epoch, mut serving) = (Vec::new(), 0, true);
-        news.push(News::Record { revision: 1, epoch, serving });
+        let (mut messages, mut epoch, mut serving) = (Vec::new(), 0, true);
+        messages.push(Message::Record { revision: 1, epoch, serving });
         for (i, drains) in steps.into_iter().enumerate() {
             epoch += u64::from(drains);
             serving = !drains;
-            news.push(News::Record { revision: i as u64 + 2, epoch, serving });
+            messages.push(Message::Record { revision: i as u64 + 2, epoch, serving });
             if drains {
-                news.push(News::Drain { epoch });
-                news.push(News::Peer { epoch });
+                messages.push(Message::Drain { epoch });
+                messages.push(Message::Peer { epoch });
             }
         }
-        let repeated = [news.clone(), news].concat();
+        let repeated = [messages.clone(), messages].concat();
         (Just(repeated).prop_shuffle(), Just(serving))
     })
 }
 
-fn deliver(router: &mut Router, news: News) {
-    match news {
-        News::Record { revision, epoch, serving } => {
+fn deliver(router: &mut Router, message: Message) {
+    match message {
+        Message::Record { revision, epoch, serving } => {
             router.apply_record(at(0), vm(0, revision, epoch, serving));
         }
-        News::Drain { epoch } => _ = router.drain(&vm_name(0), epoch),
-        News::Peer { epoch } => router.apply_report(at(0), &name("proxy-1"), &drain_report(epoch)),
+        Message::Drain { epoch } => _ = router.drain(&vm_name(0), epoch),
+        Message::Peer { epoch } => {
+            router.apply_report(at(0), &name("proxy-1"), &drain_report(epoch))
+        }
     }
 }
 
@@ -62,9 +64,9 @@
 
 proptest! {
     #[test]
-    fn apply_record_any_order_newest_wins((news, serving) in history()) {
+    fn apply_record_any_order_newest_wins((messages, serving) in history()) {
         let mut router = router(Config::default(), 0);
-        news.into_iter().for_each(|n| deliver(&mut router, n));
+        messages.into_iter().for_each(|n| deliver(&mut router, n));
         router.report(at(0));
         prop_assert_eq!(takes_work(&mut router, 1000), serving);
     }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -103,8 +103,8 @@
                 3..=4 if !tickets.is_empty() => {
                     let ticket = tickets.swap_remove(tenths as usize % tickets.len());
                     let busy = borrows && tenths % 3 == 0;
-                    let refused = Attempt::Rejected(Rejection::Busy);
-                    let result = if busy { refused } else { Attempt::Answered };
+                    let rejected = Attempt::Rejected(Rejection::Busy);
+                    let result = if busy { rejected } else { Attempt::Answered };
                     router.done(at(now), ticket, result);
                 }
                 _ => {
@@ -237,14 +237,14 @@
     let share = usable(&mut router, 2000) as usize;
     let mut kept = pick_all(&mut router, 2000);
     let excess = kept.split_off(share);
-    let refused = Attempt::Rejected(Rejection::Busy);
-    excess.into_iter().for_each(|ticket| router.done(at(2000), ticket, refused));
+    let rejected = Attempt::Rejected(Rejection::Busy);
+    excess.into_iter().for_each(|ticket| router.done(at(2000), ticket, rejected));
     let mut tries = 0;
     for now in 2001..12_001 {
         router.apply_report(at(now), &name("proxy-1"), &demand(2000));
         for ticket in pick_all(&mut router, now) {
             tries += 1;
-            router.done(at(now), ticket, refused);
+            router.done(at(now), ticket, rejected);
         }
     }
     assert!((5..=25).contains(&tries), "{tries} tries in ten seconds");
