--- a/crates/coord/src/claim/message.rs
+++ b/crates/coord/src/claim/message.rs
@@ -35,7 +35,7 @@
     Unknown,
 }
 
-/// The reply to an [`Request`].
+/// The reply to a [`Request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Verdict {
--- a/crates/coord/tests/member.rs
+++ b/crates/coord/tests/member.rs
@@ -75,7 +75,7 @@
     table.remove("entry-3");
     let peers = table.peers(AT(20_000));
     let silent = peers.iter().find(|peer| peer.member == identity(4, 1)).expect("still known");
-    assert!(silent.cut_off, "2 of 4 are left to it");
+    assert!(silent.cut_off, "only 2 of 4 members are left to it");
 }
 
 // Independent random draws of a few partners per round can leave a member
