--- a/benches/slopes/fleet.rs
+++ b/benches/slopes/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use corianderfork::config::{self, Parsed};
+use corianderfork::config::{self, Configuration};
 
 /// VMs a pool at the target size: 2,900 in 34.
 const VMS_A_POOL: usize = 85;
@@ -59,7 +59,7 @@
 }
 
 /// The same, parsed.
-pub fn parsed(vms: usize) -> Parsed {
+pub fn parsed(vms: usize) -> Configuration {
     match config::parse(&text(vms)) {
         Ok(parsed) => parsed,
         Err(mistakes) => panic!("{}", mistakes[0]),
--- a/crates/cli/src/ini.rs
+++ b/crates/cli/src/ini.rs
@@ -3,7 +3,7 @@
 use std::fs::File;
 use std::io::Read;
 
-use corianderfork_config::{Change, Diagnostic, Parsed, diff};
+use corianderfork_config::{Change, Configuration, Diagnostic, diff};
 use corianderfork_provider::store::MAX_VALUE;
 use serde::Serialize;
 
@@ -127,7 +127,7 @@
 /// # Errors
 ///
 /// Gives all mistakes at once.
-pub fn check(path: &str, text: &str) -> Result<Parsed, Error> {
+pub fn check(path: &str, text: &str) -> Result<Configuration, Error> {
     corianderfork_config::parse(text).map_err(|mistakes| Error::mistakes(path, text, mistakes))
 }
 
--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -12,14 +12,14 @@
 use crate::places::Racks;
 use crate::sink::{Sink, Span};
 use crate::text::{self, Section};
-use crate::{MAX_BYTES, Parsed, Settings, VERSION, budget, places, rules, schema, services};
+use crate::{Configuration, MAX_BYTES, Settings, VERSION, budget, places, rules, schema, services};
 
 /// The widest offset from UTC, in minutes: 14 hours.
 const MAX_OFFSET: i16 = 14 * 60;
 /// A day: no older value is worth acting on.
 const MAX_STALE: u32 = 86_400;
 
-pub(crate) fn parse(text: &str) -> Result<Parsed, Vec<Diagnostic>> {
+pub(crate) fn parse(text: &str) -> Result<Configuration, Vec<Diagnostic>> {
     let mut sink = Sink::new(text);
     let start = Span { start: 0, len: text.chars().next().map_or(0, char::len_utf8) };
     let stored = stored_len(text);
@@ -56,7 +56,7 @@
     start: Span,
     end: Span,
     mut sink: Sink<'_>,
-) -> Result<Parsed, Vec<Diagnostic>> {
+) -> Result<Configuration, Vec<Diagnostic>> {
     let settings = settings(sections, start, &mut sink);
     let declared = declared(sections, &mut sink);
     budget::check(&declared, sections, &mut sink);
@@ -70,7 +70,7 @@
     let found = sink.into_found();
     match (settings, list) {
         (Some(settings), Some(rules)) if !refused => {
-            Ok(Parsed { fleet, rules, settings, warnings: found })
+            Ok(Configuration { fleet, rules, settings, warnings: found })
         }
         _ => Err(found),
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' configuration: INI text to a checked fleet and its rules.
 //!
-//! [`parse`] reads one configuration whole. It gives either a [`Parsed`] whose
+//! [`parse`] reads one configuration whole. It gives either a [`Configuration`] whose
 //! parts fit one another, so that nothing downstream has to check them again,
 //! or every mistake of the text at once, each with its place and the remedy.
 //! The grammar, every key with its unit, default and bounds, is written down in
@@ -82,7 +82,7 @@
 /// A configuration whose parts fit one another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
-pub struct Parsed {
+pub struct Configuration {
     /// Data centres, racks, VMs, pools, services, teams and weights.
     pub fleet: Fleet,
     /// The rules in the order of the file.
@@ -112,6 +112,6 @@
 ///
 /// Gives every mistake of the text, in the order of the text. Past
 /// [`diagnostic::MAX`] the rest is counted only.
-pub fn parse(text: &str) -> Result<Parsed, Vec<Diagnostic>> {
+pub fn parse(text: &str) -> Result<Configuration, Vec<Diagnostic>> {
     build::parse(text)
 }
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -1,12 +1,12 @@
 //! The two ready configurations are sound and have the users' sizes.
 
-use corianderfork_config::{Parsed, Severity, parse};
+use corianderfork_config::{Configuration, Severity, parse};
 use corianderfork_model::place::Size;
 
 const GOURMOTI: &str = include_str!("../examples-ini/gourmoti.ini");
 const INDUS: &str = include_str!("../examples-ini/indus.ini");
 
-fn accepted(text: &str) -> Parsed {
+fn accepted(text: &str) -> Configuration {
     let parsed = parse(text).unwrap_or_else(|found| {
         let lines: Vec<_> = found.iter().map(ToString::to_string).collect();
         panic!("{}", lines.join("\n"))
@@ -16,7 +16,7 @@
     parsed
 }
 
-fn shape(parsed: &Parsed, vm: Size) {
+fn shape(parsed: &Configuration, vm: Size) {
     let fleet = &parsed.fleet;
     assert_eq!(fleet.data_centres().len(), 3);
     assert_eq!(fleet.services().len(), 5);
--- a/crates/controller/src/plan/mod.rs
+++ b/crates/controller/src/plan/mod.rs
@@ -34,7 +34,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use corianderfork_config::Parsed;
+use corianderfork_config::Configuration;
 use corianderfork_model::place::VmId;
 use corianderfork_model::{Fleet, Name, Time};
 use corianderfork_policy::State;
@@ -97,7 +97,7 @@
 pub struct Planner {
     limits: Limits,
     config_revision: u64,
-    parsed: Option<Rc<Parsed>>,
+    parsed: Option<Rc<Configuration>>,
     state: State,
     sampler: Sampler,
     tracker: Tracker,
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use corianderfork_config::Parsed;
+use corianderfork_config::Configuration;
 use corianderfork_coord::register::{Offer, Register};
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::key;
@@ -24,7 +24,7 @@
     /// The INI text.
     pub text: String,
     /// The parsed text.
-    pub parsed: Rc<Parsed>,
+    pub parsed: Rc<Configuration>,
 }
 
 /// The record of a VM with the revision of its write.
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use corianderfork_config::Parsed;
+use corianderfork_config::Configuration;
 use corianderfork_coord::register::{Offer, Register};
 use corianderfork_model::{Fleet, Name};
 use corianderfork_provider::key;
@@ -26,7 +26,7 @@
     /// The INI text.
     pub text: Arc<str>,
     /// The parsed configuration.
-    pub parsed: Arc<Parsed>,
+    pub parsed: Arc<Configuration>,
 }
 
 /// An effect of changed records that the caller has to carry out.
