--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -11,14 +11,14 @@
 use corianderfork_provider::store::{self, Entry, Found, MAX_VALUE};
 use serde::Serialize;
 
+use crate::acknowledge;
+use crate::cas::{self, End, Failure, Write};
 use crate::check;
 use crate::context::Context;
 use crate::error::{Error, Kind};
-use crate::heard;
 use crate::ini::{self, Difference, Mistake};
 use crate::record::{self, Done};
 use crate::report::Report;
-use crate::settle::{self, End, Failure, Write};
 
 /// What to apply.
 #[derive(Clone, Debug)]
@@ -88,12 +88,12 @@
     };
     let warned = check::warnings(request.path, &file, warnings);
     if base.text == text {
-        heard::wait(context, store::Revision(base.revision))?;
+        acknowledge::wait(context, store::Revision(base.revision))?;
         let said = format!("unchanged: revision {} is the same already\n", json.revision);
         return Ok(Report::new(said, &json).note(warned));
     }
     let Written { revision, replaced } = write(context, request, &base, text)?;
-    let heard = heard::wait(context, revision);
+    let heard = acknowledge::wait(context, revision);
     let missing = audit(context, request, &base, revision, &changes);
     heard?;
     json.outcome = "accepted";
@@ -154,7 +154,7 @@
         return Err(too_large());
     }
     let write = Write { key: key::CONFIG, value: Some(&value), base: &base.found };
-    match settle::write(context, &write) {
+    match cas::write(context, &write) {
         Ok(End::Applied { revision, replaced }) => Ok(Written { revision, replaced }),
         Ok(End::Conflict(current)) => {
             let now = current.as_ref().map(text_of).unwrap_or_default();
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -10,12 +10,12 @@
 use corianderfork_rules::nearest;
 use serde::Serialize;
 
+use crate::acknowledge;
+use crate::cas::{self, End, Failure, Write};
 use crate::context::Context;
 use crate::error::{Error, Kind};
-use crate::heard;
 use crate::record::{self, Done};
 use crate::report::Report;
-use crate::settle::{self, End, Failure, Write};
 
 const DRAINED: &str = "drained by an operator";
 const FREE: &str = "not drained by an operator";
@@ -44,10 +44,10 @@
     }
     let wish = Drain { by: context.by.to_owned(), reason: reason.to_owned() };
     let value = serde_json::to_string(&wish).expect("strings are always JSON");
-    match settle::write(context, &Write { key: &key, value: Some(&value), base: &base }) {
+    match cas::write(context, &Write { key: &key, value: Some(&value), base: &base }) {
         Ok(End::Applied { revision, .. }) => {
             let to = format!("{DRAINED}: {reason}");
-            let heard = heard::wait(context, revision);
+            let heard = acknowledge::wait(context, revision);
             let report = changed(context, vm, FREE, &to, revision, Some(wish));
             heard.map(|()| report)
         }
@@ -73,7 +73,7 @@
         Ok(drain) => format!("{DRAINED} ({}): {}", drain.by, drain.reason),
         Err(_) => DRAINED.to_owned(),
     };
-    match settle::write(context, &Write { key: &key, value: None, base: &base }) {
+    match cas::write(context, &Write { key: &key, value: None, base: &base }) {
         Ok(End::Applied { revision, .. }) => Ok(changed(context, vm, &from, FREE, revision, None)),
         Ok(End::Conflict(None)) => Ok(already_free(vm)),
         end => Err(failed(vm, end)),
@@ -116,7 +116,7 @@
 
 fn already_drained(context: &Context<'_>, vm: &Name, found: &Found) -> Result<Report, Error> {
     if let Some(entry) = &found.entry {
-        heard::wait(context, entry.revision)?;
+        acknowledge::wait(context, entry.revision)?;
     }
     let drain: Option<Drain> = found.entry.as_ref().map(record::parse).transpose()?;
     let by = drain.as_ref().map_or_else(String::new, |d| format!(" by {}: {}", d.by, d.reason));
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -6,7 +6,7 @@
 //! the daemons, so that it works from any machine that reaches the platform,
 //! and after every entry VM has been replaced.
 //!
-//! A change is one compare-and-swap. Where its answer is lost, [`settle`] finds
+//! A change is one compare-and-swap. Where its answer is lost, [`cas`] finds
 //! out whether it took effect, and says that it can't tell only when the time
 //! is up. Each change leaves a line in the audit trail.
 //!
@@ -36,19 +36,19 @@
 //! # Ok::<(), clap::Error>(())
 //! ```
 
+pub mod acknowledge;
 pub mod apply;
+pub mod cas;
 pub mod check;
 pub mod command;
 pub mod context;
 pub mod drain;
 pub mod error;
 pub mod exit;
-pub mod heard;
 pub mod ini;
 pub mod record;
 pub mod report;
 pub mod run;
-pub mod settle;
 pub mod show;
 pub mod table;
 pub mod time;
--- a/crates/cli/src/wave.rs
+++ b/crates/cli/src/wave.rs
@@ -11,12 +11,12 @@
 use corianderfork_provider::store::Found;
 use serde::Serialize;
 
+use crate::cas::{self, End, Failure, Write};
 use crate::context::Context;
 use crate::drain;
 use crate::error::{Error, Kind};
 use crate::record::{self, Done};
 use crate::report::Report;
-use crate::settle::{self, End, Failure, Write};
 
 /// What is ordered.
 #[derive(Clone, Debug)]
@@ -111,7 +111,7 @@
 ) -> Result<Report, Error> {
     let value = serde_json::to_string(&wave).expect("strings and numbers are always JSON");
     let write = Write { key: key::WAVE, value: Some(&value), base: found };
-    let revision = match settle::write(context, &write) {
+    let revision = match cas::write(context, &write) {
         Ok(End::Applied { revision, .. }) => revision,
         Ok(End::Conflict(_)) => return Err(Kind::WaveUnderWay(wave.number).into()),
         Err(Failure::Refused(error)) => return Err(Error::read(&error)),
--- a/crates/config/src/budget.rs
+++ b/crates/config/src/budget.rs
@@ -6,8 +6,8 @@
 use corianderfork_model::place::{DataCentreId, PoolId, RackId, Size};
 use corianderfork_model::service::{Outlasts, Service};
 
-use crate::build::Declared;
 use crate::diagnostic::{Budget, Kind};
+use crate::parse::Declared;
 use crate::sink::{Sink, Span};
 use crate::text::Section;
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -47,18 +47,18 @@
 //! ```
 
 mod budget;
-mod build;
 pub mod diagnostic;
 pub mod diff;
 mod keys;
-mod places;
+mod parse;
 pub mod report;
 mod rules;
 mod schema;
 mod services;
 mod sink;
 mod text;
-mod vms;
+mod topology;
+mod vm_list;
 
 use std::time::Duration;
 
@@ -113,5 +113,5 @@
 /// Gives every mistake of the text, in the order of the text. Past
 /// [`diagnostic::MAX`] the rest is counted only.
 pub fn parse(text: &str) -> Result<Configuration, Vec<Diagnostic>> {
-    build::parse(text)
+    parse::parse(text)
 }
--- a/crates/config/src/build.rs
+++ b/crates/config/src/parse.rs
@@ -9,10 +9,12 @@
 
 use crate::diagnostic::{Diagnostic, Kind};
 use crate::keys::Keys;
-use crate::places::Racks;
 use crate::sink::{Sink, Span};
 use crate::text::{self, Section};
-use crate::{Configuration, MAX_BYTES, Settings, VERSION, budget, places, rules, schema, services};
+use crate::topology::Racks;
+use crate::{
+    Configuration, MAX_BYTES, Settings, VERSION, budget, rules, schema, services, topology,
+};
 
 /// The widest offset from UTC, in minutes: 14 hours.
 const MAX_OFFSET: i16 = 14 * 60;
@@ -125,10 +127,10 @@
         services::weights(&mut fleet, Keys { section, sink });
     }
     for section in of_kind(sections, "data_centre") {
-        places::data_centre(&mut fleet, Keys { section, sink });
+        topology::data_centre(&mut fleet, Keys { section, sink });
     }
     for section in of_kind(sections, "pool") {
-        places::pool(&mut fleet, Keys { section, sink });
+        topology::pool(&mut fleet, Keys { section, sink });
     }
     for section in of_kind(sections, "team") {
         services::team(&mut fleet, Keys { section, sink });
--- a/crates/config/src/places.rs
+++ b/crates/config/src/topology.rs
@@ -11,7 +11,7 @@
 use crate::keys::{Keys, SIZE};
 use crate::sink::{Sink, Span};
 use crate::text::Section;
-use crate::vms::{self, MAX_VMS};
+use crate::vm_list::{self, MAX_VMS};
 
 /// The longest time between two maintenances, in days.
 const MAX_MAINTENANCE_DAYS: u16 = 365;
@@ -82,7 +82,7 @@
     /// The names of the rack's VMs that stand in no rack above it.
     fn names(&mut self, keys: &mut Keys<'_, '_, '_>) -> Vec<Name> {
         let Some(list) = keys.required("vms") else { return Vec::new() };
-        let named = match vms::expand(list, MAX_VMS - self.firsts.len()) {
+        let named = match vm_list::expand(list, MAX_VMS - self.firsts.len()) {
             Ok(named) => named,
             Err(mistake) => {
                 keys.sink.error(mistake.at, mistake.kind, mistake.help);
@@ -92,7 +92,7 @@
         named.into_iter().filter_map(|one| self.name(&one, keys.sink)).collect()
     }
 
-    fn name(&mut self, named: &vms::Named, sink: &mut Sink<'_>) -> Option<Name> {
+    fn name(&mut self, named: &vm_list::Named, sink: &mut Sink<'_>) -> Option<Name> {
         let name = match Name::new(&named.name) {
             Ok(name) => name,
             Err(error) => {
