--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,32 +1,33 @@
-//! Mistakes and warnings, each with its place and the remedy.
+//! Errors and warnings, each with its position in the text and a remedy.
 
 use std::fmt;
 
 use corianderfork_model::name;
 use corianderfork_rules::{error, lint};
 
-/// The most mistakes that are listed; the rest is counted.
-pub const MAX: usize = 200;
+/// The maximum number of errors, and of warnings, that are listed; further ones
+/// are only counted.
+pub const MAX_LISTED: usize = 200;
 
-/// One mistake or warning.
+/// One error or warning.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Diagnostic {
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// The column in characters, starting at 1.
     pub column: usize,
-    /// The offset in the text, in bytes.
+    /// The byte offset in the text.
     pub offset: usize,
-    /// The length of the place, in bytes.
+    /// The length of the marked text in bytes.
     pub len: usize,
-    /// Whether the configuration is refused for it.
+    /// Whether the configuration is rejected because of it.
     pub severity: Severity,
-    /// What it is.
+    /// The kind of error or warning.
     pub kind: Kind,
-    /// What it is, for people.
+    /// The kind in words.
     pub message: String,
-    /// What to do about it.
+    /// How to fix it.
     pub help: String,
 }
 
@@ -37,14 +38,14 @@
     }
 }
 
-/// Whether a configuration is refused.
+/// Whether a diagnostic rejects the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Severity {
-    /// It is not, and nothing need be wrong: rules that overlap on purpose.
+    /// Accepted, and possibly intended, such as rules that overlap on purpose.
     Advice,
-    /// It is not: the place deserves a look.
+    /// Accepted, but likely a mistake.
     Warning,
-    /// It is.
+    /// Rejected.
     Error,
 }
 
@@ -58,46 +59,46 @@
     }
 }
 
-/// The kinds of mistakes and warnings.
+/// The kinds of errors and warnings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Kind {
     /// The text is longer than [`crate::MAX_BYTES`].
     #[error("the configuration takes {0} bytes in the store; {max} is the most", max = crate::MAX_BYTES)]
     TooLarge(usize),
-    /// No line is a section, so the text is something else.
-    #[error("this is no INI text: it has no section")]
+    /// The text has no section header, so it is not INI.
+    #[error("this is not an INI file: it has no section")]
     NotIni,
-    /// A line is no section, no key and no comment.
+    /// A line is neither a section header, a key nor a comment.
     #[error("this line is neither a section nor a key: {0}")]
     Syntax(String),
-    /// A key stands above the first section.
-    #[error("`{0}` stands above the first section")]
-    Orphan(String),
-    /// More than are listed.
+    /// A key precedes the first section header.
+    #[error("the key `{0}` is above the first section")]
+    KeyOutsideSection(String),
+    /// The number of diagnostics beyond [`MAX_LISTED`].
     #[error("{0} more are not listed")]
-    More(usize),
-    /// A section of no known kind.
-    #[error("there is no section `[{0}]`")]
-    Section(String),
-    /// A section that needs a name and has none.
+    NotListed(usize),
+    /// A section of an unknown kind.
+    #[error("unknown section `[{0}]`")]
+    UnknownSection(String),
+    /// A section without its required name.
     #[error("`[{0}]` needs a name")]
-    Unnamed(String),
-    /// A section that has a name and needs none.
+    MissingSectionName(String),
+    /// A section with a name where none is allowed.
     #[error("`[{0}]` takes no name")]
-    Named(String),
-    /// A section that has to be there.
-    #[error("there is no section `[{0}]`")]
+    UnexpectedSectionName(String),
+    /// A required section is missing.
+    #[error("the section `[{0}]` is missing")]
     MissingSection(&'static str),
-    /// A key that its section does not have.
+    /// A key that is unknown in its section.
     #[error("`[{section}]` has no key `{key}`")]
-    Key {
+    UnknownKey {
         /// The section.
         section: String,
         /// The key.
         key: String,
     },
-    /// A key that its section has to have.
+    /// A required key is missing.
     #[error("`[{section}]` needs the key `{key}`")]
     MissingKey {
         /// The section.
@@ -105,87 +106,87 @@
         /// The key.
         key: &'static str,
     },
-    /// A section, key or VM that stands twice.
-    #[error("{what} `{name}` stands twice; the first is in line {first}")]
+    /// A section, key or VM that is declared twice.
+    #[error("{what} `{name}` is declared twice; the first is in line {first_line}")]
     Duplicate {
         /// `section`, `key` or `VM`.
         what: &'static str,
         /// Its name.
         name: String,
-        /// The line of the first.
-        first: usize,
+        /// The line of the first declaration.
+        first_line: usize,
     },
-    /// A name with a character or a length that names don't have.
+    /// A name with an invalid character or length.
     #[error(transparent)]
-    Name(#[from] name::Error),
-    /// A value that is no number of the kind due.
-    #[error("`{key}` is {found:?}, which is no {due}")]
-    Number {
+    InvalidName(#[from] name::Error),
+    /// A value that is not a number of the expected form.
+    #[error("`{key}` is {found:?}, which is not a {expected}")]
+    InvalidNumber {
         /// The key.
         key: &'static str,
         /// The value.
         found: String,
-        /// The kind of number due.
-        due: &'static str,
+        /// The expected form of number.
+        expected: &'static str,
     },
     /// A number outside its bounds.
-    #[error("`{key}` is {found}, out of its bounds {least} to {most}")]
-    Bounds {
+    #[error("`{key}` is {found}, out of its bounds {min} to {max}")]
+    OutOfBounds {
         /// The key.
         key: &'static str,
         /// The value.
         found: String,
-        /// The least.
-        least: String,
-        /// The most.
-        most: String,
+        /// The minimum.
+        min: String,
+        /// The maximum.
+        max: String,
     },
-    /// A value that is none of a few words.
+    /// A value that is none of the allowed words.
     #[error("`{key}` cannot be {found:?}")]
-    Choice {
+    InvalidChoice {
         /// The key.
         key: &'static str,
         /// The value.
         found: String,
     },
-    /// A list of VMs that cannot be read.
-    #[error("`{0}` is no VM and no range of VMs")]
-    Range(String),
-    /// More VMs than a fleet has.
+    /// An invalid part of a list of VMs.
+    #[error("`{0}` is neither a VM name nor a range of VMs")]
+    InvalidVmRange(String),
+    /// More VMs than a fleet may have.
     #[error("the fleet has more than {0} VMs")]
     TooManyVms(usize),
-    /// A name of something that no section declares.
+    /// A reference to something that no section declares.
     #[error("there is no {what} called `{name}`")]
-    Reference {
+    UnknownReference {
         /// `data centre`, `pool` or `team`.
         what: &'static str,
         /// The name.
         name: String,
     },
-    /// A grammar that this version does not read.
-    #[error("the grammar's version is {0}; this program reads {version}", version = crate::VERSION)]
-    Version(u32),
-    /// A budget that cannot be kept.
+    /// A format version that this program does not support.
+    #[error("the format version is {0}; this program reads {version}", version = crate::VERSION)]
+    UnsupportedVersion(u32),
+    /// A budget that cannot be met.
     #[error(transparent)]
     Budget(#[from] Budget),
-    /// A condition or action that cannot be read.
+    /// An invalid condition or action of a rule.
     #[error(transparent)]
     Rule(#[from] error::Kind),
-    /// There is no rule.
-    #[error("there is no rule, so nothing decides")]
+    /// The configuration has no rule.
+    #[error("there is no rule, so no action is ever chosen")]
     NoRule,
-    /// More rules than a list has.
+    /// More rules than a configuration may have.
     #[error("there are {0} rules; {max} is the most", max = corianderfork_rules::list::MAX_RULES)]
     TooManyRules(usize),
     /// The last rule does not always match.
-    #[error("the last rule, `{0}`, does not always match, so nothing decides where none does")]
-    NoLastResort(String),
+    #[error("the last rule, `{0}`, does not always match, so in some situations no rule would")]
+    NoFallback(String),
     /// A rule that never matches or overlaps another.
     #[error("rule `{name}` {kind}")]
     Lint {
         /// The rule.
         name: String,
-        /// What it is.
+        /// The finding.
         kind: lint::Kind,
     },
     /// A pool or a team without a service.
@@ -198,18 +199,18 @@
     },
 }
 
-/// Budgets that cannot be kept.
+/// Budgets that cannot be met.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Budget {
-    /// The least number of copies is above the most.
+    /// The minimum number of copies is above the maximum.
     #[error("`{service}` keeps at least {min} copies and at most {max}")]
     MinAboveMax {
         /// The service.
         service: String,
-        /// The least.
+        /// The minimum.
         min: u32,
-        /// The most.
+        /// The maximum.
         max: u32,
     },
     /// More copies than licences.
@@ -217,20 +218,20 @@
     Licences {
         /// The service.
         service: String,
-        /// Its most copies.
+        /// The maximum number of copies.
         copies: u32,
-        /// Its licences.
+        /// The number of licences.
         licences: u32,
     },
     /// A pool without VMs.
-    #[error("`{service}` is carried by pool `{pool}`, which has no VM")]
-    NoVm {
+    #[error("`{service}` runs on pool `{pool}`, which has no VM")]
+    EmptyPool {
         /// The service.
         service: String,
         /// The pool.
         pool: String,
     },
-    /// A copy that no VM of the pool holds.
+    /// One copy is too large for any VM of the pool.
     #[error("one copy of `{service}` is larger than every VM of pool `{pool}`")]
     CopyTooLarge {
         /// The service.
@@ -238,37 +239,44 @@
         /// The pool.
         pool: String,
     },
-    /// Fewer places for copies than the least number of them.
+    /// The minimum number of copies does not fit on the pool's VMs.
     #[error("`{service}` needs {copies} copies, but only {fit} fit on the VMs of pool `{pool}`")]
-    TooFewPlaces {
+    CopiesDoNotFit {
         /// The service.
         service: String,
         /// The pool.
         pool: String,
-        /// The copies asked for.
+        /// The minimum number of copies.
         copies: u32,
-        /// The copies that fit, were the pool empty.
+        /// The number of copies that fit on the empty pool.
         fit: u64,
     },
-    /// The least copies of a pool's services together are more than it holds.
-    #[error("the least copies of the services of pool `{pool}` need more {what} than its VMs have")]
+    /// The minimum copies of a pool's services together do not fit on its VMs.
+    #[error(
+        "the minimum copies of all services of pool `{pool}` need more {resource} than its VMs have"
+    )]
     PoolTooSmall {
         /// The pool.
         pool: String,
         /// `cores`, `memory` or `accelerators`.
-        what: &'static str,
+        resource: &'static str,
     },
-    /// The least copies of a team's services need more than its quota.
-    #[error("the least copies of the services of team `{team}` need more {what} than its quota")]
+    /// The minimum copies of a team's services need more than its quota.
+    #[error(
+        "the minimum copies of all services of team `{team}` need more {resource} than its quota"
+    )]
     Quota {
         /// The team.
         team: String,
         /// `cores`, `memory` or `accelerators`.
-        what: &'static str,
+        resource: &'static str,
     },
-    /// All VMs of the pool are lost by the failure that the budget outlasts.
-    #[error("`{service}` outlasts the loss of one {domain}, but pool `{pool}` stands in one only")]
-    OneDomain {
+    /// One failure of the kind that the budget has to outlast takes down all VMs
+    /// of the pool.
+    #[error(
+        "`{service}` has to outlast the loss of one {domain}, but all of pool `{pool}` is in one"
+    )]
+    SingleDomain {
         /// The service.
         service: String,
         /// The pool.
@@ -276,15 +284,16 @@
         /// `VM`, `rack` or `data centre`.
         domain: &'static str,
     },
-    /// One copy at most, which no failure leaves over.
-    #[error("`{service}` outlasts a failure, but runs one copy at most")]
-    OneCopy {
+    /// A budget that has to outlast a failure allows one copy only.
+    #[error("`{service}` has to outlast a failure, but may run only one copy")]
+    SingleCopy {
         /// The service.
         service: String,
     },
-    /// No copy may be missing and none added, so that no VM can be drained.
-    #[error("`{service}` can spare no copy and add none, so no wave can drain its VMs")]
-    Pinned {
+    /// The minimum and maximum number of copies are equal, so that no VM that
+    /// runs a copy can be drained.
+    #[error("`{service}` can neither lose nor add a copy, so no wave can drain its VMs")]
+    FixedCopies {
         /// The service.
         service: String,
     },
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' configuration: INI text to a checked fleet and its rules.
+//! Parses the operators' configuration, an INI text, into a checked fleet and
+//! its rules.
 //!
-//! [`parse`] reads one configuration whole. It gives either a [`Configuration`] whose
-//! parts fit one another, so that nothing downstream has to check them again,
-//! or every mistake of the text at once, each with its place and the remedy.
-//! The grammar, every key with its unit, default and bounds, is written down in
-//! `docs/CONFIGURATION.md`. [`diff()`] lists what one text changes in another, and
+//! [`parse`] returns either a consistent [`Configuration`], which needs no further
+//! checks, or all errors of the text at once, each with its position and a
+//! remedy. `docs/CONFIGURATION.md` describes the format and every key with its
+//! unit, default and bounds. [`diff()`] lists the changes between two texts, and
 //! [`Report`] prints diagnostics for people.
 //!
 //! ```
@@ -36,14 +36,14 @@
 //! when = always
 //! then = headroom transfer 25%
 //! ";
-//! let parsed = corianderfork_config::parse(text).expect("no mistakes");
+//! let parsed = corianderfork_config::parse(text).expect("a valid configuration");
 //! assert_eq!(parsed.fleet.vms().len(), 4);
 //! assert_eq!(parsed.rules.rules().len(), 1);
 //!
-//! let wrong = text.replace("licences = 12", "licenses = 12");
-//! let mistakes = corianderfork_config::parse(&wrong).expect_err("a key that is unknown");
-//! assert_eq!((mistakes[0].line, mistakes[0].column), (22, 1));
-//! assert_eq!(mistakes[0].help, "did you mean `licences`?");
+//! let misspelt = text.replace("licences = 12", "licenses = 12");
+//! let errors = corianderfork_config::parse(&misspelt).expect_err("an unknown key");
+//! assert_eq!((errors[0].line, errors[0].column), (22, 1));
+//! assert_eq!(errors[0].help, "did you mean `licences`?");
 //! ```
 
 mod budget;
@@ -69,49 +69,49 @@
 pub use diff::{Change, diff};
 pub use report::Report;
 
-/// The grammar that this crate reads, the value of `version` in `[fleet]`.
+/// The supported format version, the value of `version` in `[fleet]`.
 pub const VERSION: u32 = 1;
 
-/// The longest text, in bytes, counted as it is stored: within JSON, where line
-/// breaks, quotes and backslashes take two bytes each. The platform's service
-/// holds values up to a megabyte, and the record around the text needs some of
-/// it. A text that passed here and was then refused by the store would leave an
-/// operator with a checked file that cannot be applied.
+/// The maximum length of a text in bytes, counted as it is stored: as a JSON
+/// string, where line breaks, quotes and backslashes take two bytes each. The
+/// platform's service stores values of up to a megabyte, and the record around
+/// the text takes some of it. Checking the length here ensures that the store
+/// does not refuse a file that passed the check.
 pub const MAX_BYTES: usize = 1_000_000 - 8_192;
 
-/// A configuration whose parts fit one another.
+/// A checked, consistent configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Configuration {
     /// Data centres, racks, VMs, pools, services, teams and weights.
     pub fleet: Fleet,
-    /// The rules in the order of the file.
+    /// The rules, in the order of the file.
     pub rules: List,
-    /// What concerns the fleet as a whole.
+    /// Settings of the fleet as a whole.
     pub settings: Settings,
-    /// What the operator surely did not mean, but may.
+    /// Warnings and advice; the configuration is valid all the same.
     pub warnings: Vec<Diagnostic>,
 }
 
-/// What concerns the fleet as a whole.
+/// Settings of the fleet as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Settings {
     /// The fleet's name.
     pub name: Name,
-    /// How far the operators' clocks are ahead of UTC, in minutes: what `hour`
-    /// and `weekday` of rules go by.
+    /// The offset of the operators' time zone from UTC, in minutes; `hour` and
+    /// `weekday` in rules are in this time zone.
     pub utc_offset_minutes: i16,
-    /// The age above which a value counts as unknown in rules.
+    /// The age above which rules treat a value as unknown.
     pub stale_after: Duration,
 }
 
-/// Reads a configuration.
+/// Parses and checks a configuration.
 ///
 /// # Errors
 ///
-/// Gives every mistake of the text, in the order of the text. Past
-/// [`diagnostic::MAX`] the rest is counted only.
+/// Returns all errors and warnings in the order of the text. Beyond
+/// [`diagnostic::MAX_LISTED`] they are only counted.
 pub fn parse(text: &str) -> Result<Configuration, Vec<Diagnostic>> {
     parse::parse(text)
 }
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,4 +1,4 @@
-//! The whole text to a whole configuration.
+//! Parses the whole text into a checked configuration.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -16,10 +16,10 @@
     Configuration, MAX_BYTES, Settings, VERSION, budget, rules, schema, services, topology,
 };
 
-/// The widest offset from UTC, in minutes: 14 hours.
-const MAX_OFFSET: i16 = 14 * 60;
-/// A day: no older value is worth acting on.
-const MAX_STALE: u32 = 86_400;
+/// The largest offset from UTC, in minutes (14 hours).
+const MAX_UTC_OFFSET_MINUTES: i16 = 14 * 60;
+/// One day: an older value is not worth acting on.
+const MAX_STALE_SECONDS: u32 = 86_400;
 
 pub(crate) fn parse(text: &str) -> Result<Configuration, Vec<Diagnostic>> {
     let mut sink = Sink::new(text);
@@ -28,53 +28,53 @@
     if stored > MAX_BYTES {
         let help = "name VMs by ranges such as `v[01..40]`, or split the fleet in two";
         sink.error(start, Kind::TooLarge(stored), help);
-        return Err(sink.into_found());
+        return Err(sink.into_diagnostics());
     }
     let sections = text::read(text, &mut sink);
     if sections.is_empty() {
-        // One mistake a line would say nothing more.
+        // Replaces the syntax errors, of which each line would have one.
         let mut sink = Sink::new(text);
         sink.error(start, Kind::NotIni, "begin with `[fleet]` and `version = 1`");
-        return Err(sink.into_found());
+        return Err(sink.into_diagnostics());
     }
     let sections = schema::check(sections, &mut sink);
-    whole(&sections, start, Span { start: text.len(), len: 0 }, sink)
+    build(&sections, start, Span { start: text.len(), len: 0 }, sink)
 }
 
-/// The bytes of `text` as a JSON string.
+/// Returns the length of `text` in bytes when it is escaped as a JSON string.
 fn stored_len(text: &str) -> usize {
-    const UNICODE: usize = 6; // \u001b
+    const UNICODE_ESCAPE: usize = 6; // such as \u001b
     text.bytes()
         .map(|byte| match byte {
             b'\n' | b'\r' | b'\t' | b'"' | b'\\' => 2,
-            0..=0x1f => UNICODE,
+            0..=0x1f => UNICODE_ESCAPE,
             _ => 1,
         })
         .sum()
 }
 
-fn whole(
+fn build(
     sections: &[Section<'_>],
     start: Span,
     end: Span,
     mut sink: Sink<'_>,
 ) -> Result<Configuration, Vec<Diagnostic>> {
     let settings = settings(sections, start, &mut sink);
-    let declared = declared(sections, &mut sink);
-    budget::check(&declared, sections, &mut sink);
-    let fleet = declared.fleet;
+    let declarations = declarations(sections, &mut sink);
+    budget::check(&declarations, sections, &mut sink);
+    let fleet = declarations.fleet;
     let rule_sections: Vec<_> = of_kind(sections, "rule").collect();
-    let list = rules::read(&fleet, &rule_sections, end, &mut sink);
-    if let Some(list) = &list {
-        rules::warn(list, &rule_sections, &mut sink);
+    let rules = rules::read(&fleet, &rule_sections, end, &mut sink);
+    if let Some(rules) = &rules {
+        rules::report_lints(rules, &rule_sections, &mut sink);
     }
-    let refused = sink.has_errors();
-    let found = sink.into_found();
-    match (settings, list) {
-        (Some(settings), Some(rules)) if !refused => {
-            Ok(Configuration { fleet, rules, settings, warnings: found })
+    let has_errors = sink.has_errors();
+    let diagnostics = sink.into_diagnostics();
+    match (settings, rules) {
+        (Some(settings), Some(rules)) if !has_errors => {
+            Ok(Configuration { fleet, rules, settings, warnings: diagnostics })
         }
-        _ => Err(found),
+        _ => Err(diagnostics),
     }
 }
 
@@ -94,9 +94,10 @@
     let mut keys = Keys { section, sink };
     version(&mut keys);
     let name: Option<Name> = keys.name("name");
-    let utc_offset_minutes = keys.number("utc_offset_minutes", -MAX_OFFSET, MAX_OFFSET, 0);
-    let default = u32::try_from(Situation::STALE_AFTER.as_secs()).unwrap_or(MAX_STALE);
-    let stale = keys.number("stale_after_seconds", 1, MAX_STALE, default);
+    let utc_offset_minutes =
+        keys.number("utc_offset_minutes", -MAX_UTC_OFFSET_MINUTES, MAX_UTC_OFFSET_MINUTES, 0);
+    let default = u32::try_from(Situation::STALE_AFTER.as_secs()).unwrap_or(MAX_STALE_SECONDS);
+    let stale = keys.number("stale_after_seconds", 1, MAX_STALE_SECONDS, default);
     let stale_after = Duration::from_secs(stale.into());
     Some(Settings { name: name?, utc_offset_minutes, stale_after })
 }
@@ -106,22 +107,24 @@
     let version = keys.number("version", 1, u32::MAX, VERSION);
     if version != VERSION {
         let help = format!("write `version = {VERSION}`, or use a program that reads {version}");
-        keys.sink.error(piece.span(), Kind::Version(version), help);
+        keys.sink.error(piece.span(), Kind::UnsupportedVersion(version), help);
     }
 }
 
-/// The fleet, and which parts of it are sound enough to check against others.
-/// A mistake in one key must not be blamed on all that depends on it.
-pub(crate) struct Declared {
+/// The fleet, and which parts of it were read without a diagnostic. Only these
+/// are checked against each other, so that one mistake is not reported again for
+/// everything that depends on it.
+pub(crate) struct Declarations {
     pub fleet: Fleet,
-    /// Whether every rack was read without a mistake.
-    pub racks_sound: bool,
-    /// The services that were read without a mistake.
-    pub sound: HashSet<ServiceId>,
+    /// Whether all racks were read without a diagnostic.
+    pub racks_valid: bool,
+    /// The services that were read without a diagnostic.
+    pub valid_services: HashSet<ServiceId>,
 }
 
-/// Everything but the rules; what is referred to comes before what refers.
-fn declared(sections: &[Section<'_>], sink: &mut Sink<'_>) -> Declared {
+/// Reads all sections but `fleet` and the rules. Sections are read before those
+/// that refer to them.
+fn declarations(sections: &[Section<'_>], sink: &mut Sink<'_>) -> Declarations {
     let mut fleet = Fleet::default();
     for section in of_kind(sections, "weights") {
         services::weights(&mut fleet, Keys { section, sink });
@@ -138,14 +141,14 @@
     let before = sink.count();
     let mut racks = Racks::default();
     for section in of_kind(sections, "rack") {
-        racks.rack(&mut fleet, section, sink);
+        racks.add(&mut fleet, section, sink);
     }
-    let racks_sound = sink.count() == before;
-    let mut sound = HashSet::new();
+    let racks_valid = sink.count() == before;
+    let mut valid_services = HashSet::new();
     for section in of_kind(sections, "service") {
         let before = sink.count();
         let service = services::service(&mut fleet, section, sink);
-        sound.extend(service.filter(|_| sink.count() == before));
+        valid_services.extend(service.filter(|_| sink.count() == before));
     }
-    Declared { fleet, racks_sound, sound }
+    Declarations { fleet, racks_valid, valid_services }
 }
--- a/crates/config/src/report.rs
+++ b/crates/config/src/report.rs
@@ -1,4 +1,4 @@
-//! Diagnostics for people, with the lines that they point at.
+//! Renders diagnostics together with the source lines that they point at.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 
 use crate::diagnostic::{Diagnostic, Severity};
 
-/// The diagnostics of one file, to be printed by `miette`.
+/// The diagnostics of one file, rendered by `miette`.
 ///
 /// ```
 /// use corianderfork_config::Report;
 ///
 /// let text = "[fleet]\nversion = 1\nnmae = clubs\n";
-/// let mistakes = corianderfork_config::parse(text).expect_err("mistakes");
-/// let report = Report::new("fleet.ini", text, mistakes);
+/// let diagnostics = corianderfork_config::parse(text).expect_err("an invalid text");
+/// let report = Report::new("fleet.ini", text, diagnostics);
 /// let printed = format!("{:?}", miette::Report::new(report));
 /// assert!(printed.contains("did you mean `name`?"));
 /// ```
@@ -21,30 +21,30 @@
 pub struct Report {
     file: String,
     source: NamedSource<String>,
-    marks: Vec<Mark>,
+    labels: Vec<Label>,
 }
 
 /// One diagnostic, pointing into the source of its [`Report`].
 #[derive(Debug)]
-struct Mark(Diagnostic);
+struct Label(Diagnostic);
 
 impl Report {
-    /// The diagnostics of `text`, which is in `file`.
+    /// Creates a report of the diagnostics of `text`, the content of `file`.
     pub fn new(file: &str, text: &str, diagnostics: Vec<Diagnostic>) -> Self {
-        let marks = diagnostics.into_iter().map(Mark).collect();
-        Self { file: file.to_owned(), source: NamedSource::new(file, text.to_owned()), marks }
+        let labels = diagnostics.into_iter().map(Label).collect();
+        Self { file: file.to_owned(), source: NamedSource::new(file, text.to_owned()), labels }
     }
 
     fn count(&self, severity: Severity) -> usize {
-        self.marks.iter().filter(|mark| mark.0.severity == severity).count()
+        self.labels.iter().filter(|label| label.0.severity == severity).count()
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (errors, warnings) = (self.count(Severity::Error), self.count(Severity::Warning));
-        let notes = self.count(Severity::Advice);
-        write!(f, "{}: mistakes {errors}, warnings {warnings}, notes {notes}", self.file)
+        let advice = self.count(Severity::Advice);
+        write!(f, "{}: mistakes {errors}, warnings {warnings}, notes {advice}", self.file)
     }
 }
 
@@ -52,8 +52,8 @@
 
 impl miette::Diagnostic for Report {
     fn severity(&self) -> Option<miette::Severity> {
-        let refused = self.count(Severity::Error) > 0;
-        Some(if refused { miette::Severity::Error } else { miette::Severity::Warning })
+        let rejected = self.count(Severity::Error) > 0;
+        Some(if rejected { miette::Severity::Error } else { miette::Severity::Warning })
     }
 
     fn source_code(&self) -> Option<&dyn SourceCode> {
@@ -61,20 +61,20 @@
     }
 
     fn related<'a>(&'a self) -> Option<Box<dyn Iterator<Item = &'a dyn miette::Diagnostic> + 'a>> {
-        Some(Box::new(self.marks.iter().map(|mark| mark as &dyn miette::Diagnostic)))
+        Some(Box::new(self.labels.iter().map(|label| label as &dyn miette::Diagnostic)))
     }
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for Label {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Diagnostic { line, column, message, .. } = &self.0;
         write!(f, "line {line}, column {column}: {message}")
     }
 }
 
-impl std::error::Error for Mark {}
+impl std::error::Error for Label {}
 
-impl miette::Diagnostic for Mark {
+impl miette::Diagnostic for Label {
     fn severity(&self) -> Option<miette::Severity> {
         Some(match self.0.severity {
             Severity::Error => miette::Severity::Error,
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,4 +1,4 @@
-//! Which sections there are, and their keys.
+//! The known sections and their keys.
 
 use corianderfork_rules::nearest;
 
@@ -7,34 +7,35 @@
 use crate::text::{Piece, Section};
 
 /// A kind of section.
-struct Shape {
+struct SectionKind {
     kind: &'static str,
-    named: bool,
+    /// Whether the title has a name after the kind, as in `[rack.k1]`.
+    has_name: bool,
     keys: &'static [&'static str],
 }
 
-const SHAPES: [Shape; 8] = [
-    Shape {
+const SECTION_KINDS: [SectionKind; 8] = [
+    SectionKind {
         kind: "fleet",
-        named: false,
+        has_name: false,
         keys: &["version", "name", "utc_offset_minutes", "stale_after_seconds"],
     },
-    Shape { kind: "weights", named: false, keys: &["moves", "buffer", "roll_out"] },
-    Shape { kind: "data_centre", named: true, keys: &["region"] },
-    Shape {
+    SectionKind { kind: "weights", has_name: false, keys: &["moves", "buffer", "roll_out"] },
+    SectionKind { kind: "data_centre", has_name: true, keys: &["region"] },
+    SectionKind {
         kind: "rack",
-        named: true,
+        has_name: true,
         keys: &["data_centre", "pool", "vms", "cores", "memory_gb", "accelerators", "kind"],
     },
-    Shape { kind: "pool", named: true, keys: &["maintenance_days", "lends"] },
-    Shape {
+    SectionKind { kind: "pool", has_name: true, keys: &["maintenance_days", "lends"] },
+    SectionKind {
         kind: "team",
-        named: true,
+        has_name: true,
         keys: &["quota_cores", "quota_memory_gb", "quota_accelerators"],
     },
-    Shape {
+    SectionKind {
         kind: "service",
-        named: true,
+        has_name: true,
         keys: &[
             "pool",
             "team",
@@ -53,69 +54,74 @@
             "warm_ms",
         ],
     },
-    Shape { kind: "rule", named: true, keys: &["when", "then"] },
+    SectionKind { kind: "rule", has_name: true, keys: &["when", "then"] },
 ];
 
-/// Reports sections and keys that are unknown or stand twice, and gives the
-/// sections that are known, each once.
+/// Reports unknown and duplicate sections and keys. Returns the known sections
+/// without duplicates.
 pub(crate) fn check<'a>(sections: Vec<Section<'a>>, sink: &mut Sink<'_>) -> Vec<Section<'a>> {
-    let mut firsts = std::collections::HashMap::new();
+    let mut first_starts = std::collections::HashMap::new();
     let mut known = Vec::new();
     for mut section in sections {
-        let Some(shape) = shape(&section, sink) else { continue };
-        keys(&mut section, shape, sink);
-        let first = *firsts.entry(section.title.text).or_insert(section.title.start);
+        let Some(kind) = find_kind(&section, sink) else { continue };
+        check_keys(&mut section, kind, sink);
+        let first = *first_starts.entry(section.title.text).or_insert(section.title.start);
         if first == section.title.start {
             known.push(section);
             continue;
         }
         let name = section.title.text.to_owned();
-        let kind = Kind::Duplicate { what: "section", name, first: sink.line(first) };
-        sink.error(section.title.span(), kind, "join the two, or rename one");
+        let kind = Kind::Duplicate { what: "section", name, first_line: sink.line(first) };
+        sink.error(section.title.span(), kind, "merge the two, or rename one");
     }
     known
 }
 
-/// The shape of a section, if its title is sound.
-fn shape(section: &Section<'_>, sink: &mut Sink<'_>) -> Option<&'static Shape> {
-    let (kind, at) = (section.kind(), section.title.span());
-    let Some(shape) = SHAPES.iter().find(|shape| shape.kind == kind) else {
-        let help = nearest::help(kind, SHAPES.iter().map(|shape| shape.kind));
-        sink.error(at, Kind::Section(section.title.text.to_owned()), help);
+/// Returns the kind of a section, or reports an invalid title.
+fn find_kind(section: &Section<'_>, sink: &mut Sink<'_>) -> Option<&'static SectionKind> {
+    let (kind, span) = (section.kind(), section.title.span());
+    let Some(found) = SECTION_KINDS.iter().find(|known| known.kind == kind) else {
+        let help = nearest::help(kind, SECTION_KINDS.iter().map(|known| known.kind));
+        sink.error(span, Kind::UnknownSection(section.title.text.to_owned()), help);
         return None;
     };
     let name = section.name().map_or("", |name| name.text);
-    if shape.named && name.is_empty() {
-        sink.error(at, Kind::Unnamed(kind.to_owned()), format!("write `[{kind}.NAME]`"));
+    if found.has_name && name.is_empty() {
+        sink.error(
+            span,
+            Kind::MissingSectionName(kind.to_owned()),
+            format!("write `[{kind}.NAME]`"),
+        );
         return None;
     }
-    if !shape.named && section.title.text != kind {
-        sink.error(at, Kind::Named(kind.to_owned()), format!("write `[{kind}]`"));
+    if !found.has_name && section.title.text != kind {
+        sink.error(span, Kind::UnexpectedSectionName(kind.to_owned()), format!("write `[{kind}]`"));
         return None;
     }
-    Some(shape)
+    Some(found)
 }
 
-/// Reports keys that are unknown or stand twice. An unknown key is read as the
-/// one it was likely meant to be: else a slip in a key that has to be there
-/// would be reported a second time, as its absence.
-fn keys(section: &mut Section<'_>, shape: &Shape, sink: &mut Sink<'_>) {
+/// Reports unknown and duplicate keys. An unknown key is replaced by the known
+/// one that it resembles: otherwise a misspelt required key would be reported a
+/// second time as missing.
+fn check_keys(section: &mut Section<'_>, kind: &SectionKind, sink: &mut Sink<'_>) {
     for i in 0..section.entries.len() {
         let Piece { text: key, start } = section.entries[i].key;
-        let at = section.entries[i].key.span();
-        if !shape.keys.contains(&key) {
-            let kind = Kind::Key { section: section.title.text.to_owned(), key: key.to_owned() };
-            sink.error(at, kind, nearest::help(key, shape.keys.iter().copied()));
-            let meant = nearest::find(key, shape.keys.iter().copied());
-            if let Some(text) = meant.filter(|meant| section.get(meant).is_none()) {
+        let span = section.entries[i].key.span();
+        if !kind.keys.contains(&key) {
+            let error =
+                Kind::UnknownKey { section: section.title.text.to_owned(), key: key.to_owned() };
+            sink.error(span, error, nearest::help(key, kind.keys.iter().copied()));
+            let known = nearest::find(key, kind.keys.iter().copied());
+            if let Some(text) = known.filter(|known| section.get(known).is_none()) {
                 section.entries[i].key = Piece { text, start };
             }
             continue;
         }
         if let Some(first) = section.entries[..i].iter().find(|other| other.key.text == key) {
-            let first = sink.line(first.key.start);
-            let kind = Kind::Duplicate { what: "key", name: key.to_owned(), first };
-            sink.error(at, kind, "keep one of the two");
+            let first_line = sink.line(first.key.start);
+            let error = Kind::Duplicate { what: "key", name: key.to_owned(), first_line };
+            sink.error(span, error, "keep one of the two");
         }
     }
 }
--- a/crates/config/src/services.rs
+++ b/crates/config/src/services.rs
@@ -1,4 +1,4 @@
-//! Teams, services and weights.
+//! Reads the sections of teams, services and weights.
 
 use corianderfork_model::place::{Pool, PoolId, Size};
 use corianderfork_model::service::{
@@ -10,13 +10,13 @@
 use crate::sink::Sink;
 use crate::text::Section;
 
-/// The most copies and licences of one service.
+/// The maximum number of copies and of licences of one service.
 const MAX_COPIES: u32 = 100_000;
-/// The most slots of one copy.
+/// The maximum number of slots of one copy.
 const MAX_SLOTS: u16 = 1_024;
-/// The longest run and the longest warming, in milliseconds: a day.
+/// The maximum run time and warm-up time, in milliseconds (one day).
 const MAX_MILLIS: u32 = 86_400_000;
-/// The greatest weight.
+/// The maximum weight.
 const MAX_WEIGHT: u32 = 1_000_000;
 
 pub(crate) fn weights(fleet: &mut Fleet, mut keys: Keys<'_, '_, '_>) {
@@ -31,13 +31,13 @@
 pub(crate) fn team(fleet: &mut Fleet, mut keys: Keys<'_, '_, '_>) -> Option<TeamId> {
     let name = keys.section_name();
     let quota = keys.size(&QUOTA);
-    // A quota that cannot be read must not be blamed for being too small.
-    let most = Size { milli_cores: u32::MAX, memory_mib: u32::MAX, accelerators: u16::MAX };
-    Some(fleet.add_team(Team::new(name?, quota.unwrap_or(most))))
+    // An unreadable quota is unlimited, so that it is not also reported as too small.
+    let unlimited = Size { milli_cores: u32::MAX, memory_mib: u32::MAX, accelerators: u16::MAX };
+    Some(fleet.add_team(Team::new(name?, quota.unwrap_or(unlimited))))
 }
 
-/// Adds a service. One with mistakes is added as well, in a pool of its own if
-/// need be, so that rules which name it are not blamed for its absence.
+/// Adds a service. An invalid one is added as well, in a placeholder pool if its
+/// own is unknown, so that rules that name it are not reported as invalid too.
 pub(crate) fn service(
     fleet: &mut Fleet,
     section: &Section<'_>,
@@ -45,7 +45,7 @@
 ) -> Option<ServiceId> {
     let mut keys = Keys { section, sink };
     let name = keys.section_name();
-    let pool = pool(fleet, &mut keys);
+    let pool = pool_of(fleet, &mut keys);
     let team = team_of(fleet, &mut keys);
     let size = keys.size(&SIZE).unwrap_or_default();
     let licences = keys.required_number("licences", 1, MAX_COPIES);
@@ -80,15 +80,15 @@
     budget
 }
 
-fn pool(fleet: &mut Fleet, keys: &mut Keys<'_, '_, '_>) -> PoolId {
+fn pool_of(fleet: &mut Fleet, keys: &mut Keys<'_, '_, '_>) -> PoolId {
     let found = keys.reference(
         "pool",
         "pool",
         |name| fleet.find_pool(name),
-        fleet.pools().map(|(_, row)| row.name.as_str()),
+        fleet.pools().map(|(_, pool)| pool.name.as_str()),
     );
     found.unwrap_or_else(|| {
-        let name = Name::new("_").expect("one character that names have");
+        let name = Name::new("_").expect("a valid name");
         fleet.add_pool(Pool::new(name))
     })
 }
@@ -99,6 +99,6 @@
         "team",
         "team",
         |name| fleet.find_team(name),
-        fleet.teams().map(|(_, row)| row.name.as_str()),
+        fleet.teams().map(|(_, team)| team.name.as_str()),
     )
 }
--- a/crates/config/src/topology.rs
+++ b/crates/config/src/topology.rs
@@ -1,4 +1,4 @@
-//! Data centres, pools, racks and VMs.
+//! Reads the sections of data centres, pools and racks with their VMs.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
 use crate::text::Section;
 use crate::vm_list::{self, MAX_VMS};
 
-/// The longest time between two maintenances, in days.
+/// The maximum time between two maintenances, in days.
 const MAX_MAINTENANCE_DAYS: u16 = 365;
 
 pub(crate) fn data_centre(fleet: &mut Fleet, mut keys: Keys<'_, '_, '_>) {
@@ -34,7 +34,7 @@
     fleet.add_pool(pool);
 }
 
-/// Whether a pool lends, which it does by default.
+/// Whether a pool lends VMs to other pools; defaults to `true`.
 #[derive(Clone, Copy)]
 struct Lends(bool);
 
@@ -44,74 +44,75 @@
     }
 }
 
-/// Adds racks with their VMs, and knows which VM stood where first.
+/// Adds racks with their VMs, and detects duplicate VM names.
 #[derive(Default)]
 pub(crate) struct Racks {
-    firsts: HashMap<Name, Span>,
+    /// Where each VM was first declared.
+    first_spans: HashMap<Name, Span>,
 }
 
 impl Racks {
-    pub(crate) fn rack(&mut self, fleet: &mut Fleet, section: &Section<'_>, sink: &mut Sink<'_>) {
+    pub(crate) fn add(&mut self, fleet: &mut Fleet, section: &Section<'_>, sink: &mut Sink<'_>) {
         let mut keys = Keys { section, sink };
         let name = keys.section_name();
         let data_centre = keys.reference(
             "data_centre",
             "data centre",
             |name| fleet.find_data_centre(name),
-            fleet.data_centres().map(|(_, row)| row.name.as_str()),
+            fleet.data_centres().map(|(_, data_centre)| data_centre.name.as_str()),
         );
         let pool = keys.reference(
             "pool",
             "pool",
             |name| fleet.find_pool(name),
-            fleet.pools().map(|(_, row)| row.name.as_str()),
+            fleet.pools().map(|(_, pool)| pool.name.as_str()),
         );
         let size = keys.size(&SIZE);
         let kind = keys.choice(
             "kind",
             &[("standard", VmKind::Standard), ("preemptible", VmKind::Preemptible)],
         );
-        let names = self.names(&mut keys);
+        let names = self.vm_names(&mut keys);
         let (Some(name), Some(data_centre), Some(pool)) = (name, data_centre, pool) else { return };
         let rack = fleet.add_rack(Rack::new(name, data_centre));
         for name in names {
-            fleet.add_vm(vm(name, rack, size.unwrap_or_default(), pool, kind));
+            fleet.add_vm(new_vm(name, rack, size.unwrap_or_default(), pool, kind));
         }
     }
 
-    /// The names of the rack's VMs that stand in no rack above it.
-    fn names(&mut self, keys: &mut Keys<'_, '_, '_>) -> Vec<Name> {
+    /// Returns the names of the rack's VMs that are valid and not duplicates.
+    fn vm_names(&mut self, keys: &mut Keys<'_, '_, '_>) -> Vec<Name> {
         let Some(list) = keys.required("vms") else { return Vec::new() };
-        let named = match vm_list::expand(list, MAX_VMS - self.firsts.len()) {
-            Ok(named) => named,
-            Err(mistake) => {
-                keys.sink.error(mistake.at, mistake.kind, mistake.help);
+        let names = match vm_list::expand(list, MAX_VMS - self.first_spans.len()) {
+            Ok(names) => names,
+            Err(error) => {
+                keys.sink.error(error.span, error.kind, error.help);
                 return Vec::new();
             }
         };
-        named.into_iter().filter_map(|one| self.name(&one, keys.sink)).collect()
+        names.into_iter().filter_map(|name| self.check_name(&name, keys.sink)).collect()
     }
 
-    fn name(&mut self, named: &vm_list::Named, sink: &mut Sink<'_>) -> Option<Name> {
-        let name = match Name::new(&named.name) {
+    fn check_name(&mut self, vm: &vm_list::VmName, sink: &mut Sink<'_>) -> Option<Name> {
+        let name = match Name::new(&vm.name) {
             Ok(name) => name,
             Err(error) => {
-                sink.error(named.at, error, "write another name");
+                sink.error(vm.span, error, "write another name");
                 return None;
             }
         };
-        if let Some(first) = self.firsts.get(&name) {
-            let first = sink.line(first.start);
-            let kind = Kind::Duplicate { what: "VM", name: name.to_string(), first };
-            sink.error(named.at, kind, "a VM stands in one rack; remove it from the other");
+        if let Some(first) = self.first_spans.get(&name) {
+            let first_line = sink.line(first.start);
+            let kind = Kind::Duplicate { what: "VM", name: name.to_string(), first_line };
+            sink.error(vm.span, kind, "a VM is in one rack only; remove it from the other");
             return None;
         }
-        self.firsts.insert(name.clone(), named.at);
+        self.first_spans.insert(name.clone(), vm.span);
         Some(name)
     }
 }
 
-fn vm(name: Name, rack: RackId, size: Size, pool: PoolId, kind: VmKind) -> Vm {
+fn new_vm(name: Name, rack: RackId, size: Size, pool: PoolId, kind: VmKind) -> Vm {
     let mut vm = Vm::new(name, rack, size, pool);
     vm.kind = kind;
     vm
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,29 +1,29 @@
-//! Texts to begin with, and a short form of what is found in them.
+//! Helpers that edit a valid configuration and return its diagnostics.
 
 use corianderfork_config::diagnostic::Kind;
 use corianderfork_config::{Diagnostic, parse};
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 
-/// The ready configuration that tests change.
+/// The valid configuration that tests edit.
 pub const INDUS: &str = include_str!("../../examples-ini/indus.ini");
 
-/// The mistakes of the ready configuration with `from` replaced by `to`.
+/// Returns the diagnostics of [`INDUS`] with the first `from` replaced by `to`.
 #[allow(dead_code)]
-pub fn mistakes(from: &str, to: &str) -> Vec<Diagnostic> {
+pub fn diagnostics(from: &str, to: &str) -> Vec<Diagnostic> {
     assert!(INDUS.contains(from), "{from:?} is not in the configuration");
     parse(&INDUS.replacen(from, to, 1)).expect_err(to)
 }
 
-/// The only mistake of that configuration.
+/// Returns kind and help of the only diagnostic after the same replacement.
 #[allow(dead_code)]
-pub fn mistake(from: &str, to: &str) -> (Kind, String) {
-    let mut found = mistakes(from, to);
+pub fn single_diagnostic(from: &str, to: &str) -> (Kind, String) {
+    let mut found = diagnostics(from, to);
     assert_eq!(found.len(), 1, "{found:#?}");
-    let one = found.remove(0);
-    (one.kind, one.help)
+    let diagnostic = found.remove(0);
+    (diagnostic.kind, diagnostic.help)
 }
 
-/// So many cases from a fixed seed: a run that fails, fails again.
+/// Returns a proptest configuration with a fixed seed, so that failures reproduce.
 #[allow(dead_code)]
 pub fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
--- a/crates/config/tests/diff.rs
+++ b/crates/config/tests/diff.rs
@@ -1,4 +1,4 @@
-//! Changes between two texts.
+//! Differences between two texts.
 
 mod common;
 
@@ -15,7 +15,7 @@
     let new = INDUS
         .replacen("weekday in mon..sat and hour < 8", "hour < 7", 1)
         .replacen("lends = yes\n", "", 1)
-        .replacen("[weights]\n", "[weights]\n# dearer\n", 1)
+        .replacen("[weights]\n", "[weights]\n# comment\n", 1)
         .replacen("[team.back_office]", "[team.office]", 1);
     assert_eq!(
         changes(INDUS, &new),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn diff_order_of_rules() {
+fn diff_rule_order() {
     let rule = |name: &str| format!("[rule.{name}]\nwhen = always\n");
     let old = [rule("a"), rule("b"), rule("c")].concat();
     let new = [rule("b"), rule("a"), rule("d")].concat();
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn diff_section_that_stands_twice() {
-    // Symptom: a text differs from itself.
-    // Sequence: a section stands twice, with a key in the second only.
-    // Cause: each of the two was compared with the first of the other text.
+fn diff_duplicate_section() {
+    // A text differed from itself if a key was only in the second of two sections
+    // with the same title: both were compared with the first section of the other
+    // text.
     let text = "[a]\n[a]\nb = c\n";
     assert_eq!(diff(text, text), []);
     assert_eq!(changes("[a]\n", text), ["[a] b: unset -> `c`"]);
@@ -54,7 +54,7 @@
     #![proptest_config(common::cases(256))]
 
     #[test]
-    fn diff_any_texts(old in "(\\[[ab.]{1,3}\\]|[ab] ?= ?[ab]|#|\\PC|\n){0,20}", new in "(?s).{0,60}") {
+    fn diff_arbitrary_texts(old in "(\\[[ab.]{1,3}\\]|[ab] ?= ?[ab]|#|\\PC|\n){0,20}", new in "(?s).{0,60}") {
         prop_assert_eq!(diff(&old, &old), []);
         diff(&old, &new);
     }
--- a/crates/config/tests/mistakes.rs
+++ b/crates/config/tests/mistakes.rs
@@ -1,21 +1,21 @@
-//! Each mistake is found, at its place, with the remedy, and blamed once.
+//! Each error is reported once, at its position and with a remedy.
 
 mod common;
 
-use common::{INDUS, mistake, mistakes};
-use corianderfork_config::diagnostic::{Budget, Kind, MAX};
+use common::{INDUS, diagnostics, single_diagnostic};
+use corianderfork_config::diagnostic::{Budget, Kind, MAX_LISTED};
 use corianderfork_config::{MAX_BYTES, Severity, parse};
 use proptest::prelude::*;
 
 #[test]
-fn parse_all_mistakes_at_once() {
+fn parse_many_errors() {
     let text = INDUS
         .replacen("version = 1", "version = 1\ncolour = red", 1)
         .replacen("cores = 16", "cores = many", 1)
         .replacen("[pool.records]", "[pol.records]", 1)
         .replacen("load(move)", "load(mve)", 1)
         .replacen("when = store_down", "when store_down", 1);
-    let found = parse(&text).expect_err("mistakes");
+    let found = parse(&text).expect_err("errors");
     let lines: Vec<_> = text.lines().collect();
     for (part, help) in [
         ("colour", "known: version, name, utc_offset_minutes, stale_after_seconds"),
@@ -24,58 +24,63 @@
         ("mve", "did you mean `move`?"),
         ("when store_down", "write `[section]` or `key = value`"),
     ] {
-        let one = found.iter().find(|one| one.help == help).unwrap_or_else(|| panic!("{found:#?}"));
-        assert_eq!(&text[one.offset..one.offset + one.len], part);
-        assert!(lines[one.line - 1][one.column - 1..].starts_with(part));
+        let diagnostic = found
+            .iter()
+            .find(|diagnostic| diagnostic.help == help)
+            .unwrap_or_else(|| panic!("{found:#?}"));
+        assert_eq!(&text[diagnostic.offset..diagnostic.offset + diagnostic.len], part);
+        assert!(lines[diagnostic.line - 1][diagnostic.column - 1..].starts_with(part));
     }
-    assert!(found.is_sorted_by_key(|one| one.offset));
+    assert!(found.is_sorted_by_key(|diagnostic| diagnostic.offset));
 }
 
 #[test]
-fn parse_unknown_key_blamed_once() {
-    let (kind, help) = mistake("licences = 15", "licenses = 15");
-    assert!(matches!(kind, Kind::Key { key, .. } if key == "licenses"));
+fn parse_unknown_key() {
+    let (kind, help) = single_diagnostic("licences = 15", "licenses = 15");
+    assert!(matches!(kind, Kind::UnknownKey { key, .. } if key == "licenses"));
     assert_eq!(help, "did you mean `licences`?");
 }
 
 #[test]
-fn parse_mistake_not_blamed_on_dependants() {
-    // Symptom: one slip is reported many times, and the slip not first.
-    // Sequence: a pool's racks, or a service's licences, cannot be read; the
-    // budgets that rest on them are checked.
-    // Cause: a value that stands in for the unreadable one taken for real.
+fn parse_error_not_reported_for_dependents() {
+    // One error was reported many times: the budgets that depend on an unreadable
+    // pool or licence count were checked against its placeholder value.
     let text = INDUS.replace("pool = records\nvms", "pool = recrds\nvms");
     let found = parse(&text).expect_err("unknown pool");
     assert_eq!(found.len(), 6, "{found:#?}");
-    assert!(found.iter().all(|one| matches!(one.kind, Kind::Reference { .. })));
-    assert!(matches!(mistake("licences = 15", "licences = many").0, Kind::Number { .. }));
+    assert!(
+        found.iter().all(|diagnostic| matches!(diagnostic.kind, Kind::UnknownReference { .. }))
+    );
+    assert!(matches!(
+        single_diagnostic("licences = 15", "licences = many").0,
+        Kind::InvalidNumber { .. }
+    ));
 }
 
 #[test]
-fn parse_place_at_the_end() {
-    // Symptom: the printer fails on a place beyond the text.
-    // Sequence: the last key is a slip shorter than the key that was meant.
-    // Cause: the length of the key that was meant taken for the one that stands.
-    check_places("[service.x]\nlicenc=").expect("within the text");
+fn parse_misspelt_last_key() {
+    // Rendering failed on a span beyond the end of the text: a misspelt last key was
+    // marked with the length of the longer key that it was read as.
+    check_spans("[service.x]\nlicenc=").expect("within the text");
 }
 
 #[test]
-fn parse_missing() {
-    let (kind, _) = mistake("min_copies = 8\n", "");
+fn parse_missing_key_or_section() {
+    let (kind, _) = single_diagnostic("min_copies = 8\n", "");
     assert!(matches!(kind, Kind::MissingKey { key: "min_copies", .. }));
-    let (kind, _) = mistake("min_copies = 8", "min_copies =");
+    let (kind, _) = single_diagnostic("min_copies = 8", "min_copies =");
     assert!(matches!(kind, Kind::MissingKey { key: "min_copies", .. }));
-    let (kind, _) = mistake("[weights]", "[weights.own]");
-    assert_eq!(kind, Kind::Named("weights".to_owned()));
-    let (kind, _) = mistake("[weights]\n", "[team.]\n[weights]\n");
-    assert_eq!(kind, Kind::Unnamed("team".to_owned()));
+    let (kind, _) = single_diagnostic("[weights]", "[weights.own]");
+    assert_eq!(kind, Kind::UnexpectedSectionName("weights".to_owned()));
+    let (kind, _) = single_diagnostic("[weights]\n", "[team.]\n[weights]\n");
+    assert_eq!(kind, Kind::MissingSectionName("team".to_owned()));
     let text = INDUS.replacen("[fleet]", "[weights]", 1);
     assert_eq!(parse(&text).expect_err("no fleet")[0].kind, Kind::MissingSection("fleet"));
 }
 
 #[test]
-fn parse_numbers() {
-    for (from, to, bounds) in [
+fn parse_invalid_numbers() {
+    for (from, to, upper_bound) in [
         ("cores = 16", "cores = 2000", Some("1024")),
         ("cores = 16", "cores = -1", None),
         ("cores = 16", "cores = 0", Some("1024")),
@@ -92,9 +97,9 @@
         ("maintenance_days = 42", "maintenance_days = 0", Some("365")),
         ("run_ms = 60", "run_ms = soon", None),
     ] {
-        match (mistake(from, to).0, bounds) {
-            (Kind::Bounds { most, .. }, Some(bound)) => assert_eq!(most, bound, "{to}"),
-            (Kind::Number { .. }, None) => {}
+        match (single_diagnostic(from, to).0, upper_bound) {
+            (Kind::OutOfBounds { max, .. }, Some(bound)) => assert_eq!(max, bound, "{to}"),
+            (Kind::InvalidNumber { .. }, None) => {}
             (kind, _) => panic!("{to}: {kind:?}"),
         }
     }
@@ -102,21 +107,21 @@
 
 #[test]
 fn parse_duplicates() {
-    let duplicate = |from: &str, to: &str| match mistake(from, to).0 {
-        Kind::Duplicate { what, name, first } => (what, name, first),
+    let duplicate = |from: &str, to: &str| match single_diagnostic(from, to).0 {
+        Kind::Duplicate { what, name, first_line } => (what, name, first_line),
         kind => panic!("{kind:?}"),
     };
     let line = |part: &str| INDUS.lines().position(|line| line == part).expect("a line") + 1;
     let (g1, version) = (line("vms = g[01..04]"), line("version = 1"));
     assert_eq!(duplicate("vms = g[05..08]", "vms = g[04..08]"), ("VM", "g04".to_owned(), g1));
-    let twice = ("key", "version".to_owned(), version);
-    assert_eq!(duplicate("version = 1", "version = 1\nversion = 1"), twice);
-    let again = "[rule.open]\nwhen = wave\nthen = hold\n\n[rule.open]";
-    assert_eq!(duplicate("[rule.open]", again).0, "section");
+    let duplicate_key = ("key", "version".to_owned(), version);
+    assert_eq!(duplicate("version = 1", "version = 1\nversion = 1"), duplicate_key);
+    let duplicate_rule = "[rule.open]\nwhen = wave\nthen = hold\n\n[rule.open]";
+    assert_eq!(duplicate("[rule.open]", duplicate_rule).0, "section");
 }
 
 #[test]
-fn parse_references() {
+fn parse_unknown_references() {
     for (from, to, help) in [
         ("pool = switching", "pool = swiching", "did you mean `switching`?"),
         ("data_centre = johar", "data_centre = joha", "did you mean `johar`?"),
@@ -125,137 +130,154 @@
         ("outlasts = rack", "outlasts = rock", "did you mean `rack`?"),
         ("lends = yes", "lends = si", "known: yes, no"),
     ] {
-        assert_eq!(mistake(from, to).1, help, "{to}");
+        assert_eq!(single_diagnostic(from, to).1, help, "{to}");
     }
-    let (kind, _) = mistake("pool.switching", "pool.switching!\n[pool.switching");
+    let (kind, _) = single_diagnostic("pool.switching", "pool.switching!\n[pool.switching");
     assert!(matches!(kind, Kind::Syntax(_)), "{kind:?}");
-    assert!(matches!(mistake("region = lahore", "region = la hore").0, Kind::Name(_)));
+    assert!(matches!(
+        single_diagnostic("region = lahore", "region = la hore").0,
+        Kind::InvalidName(_)
+    ));
 }
 
 #[test]
 fn parse_vm_ranges() {
-    for wrong in ["g[01..]", "g[04..01]", "g[01-04]", "g[01..04", "g01,,g02", "[..]"] {
-        let (kind, _) = mistake("vms = g[01..04]", &format!("vms = {wrong}"));
-        assert!(matches!(kind, Kind::Range(_)), "{wrong}: {kind:?}");
+    for invalid in ["g[01..]", "g[04..01]", "g[01-04]", "g[01..04", "g01,,g02", "[..]"] {
+        let (kind, _) = single_diagnostic("vms = g[01..04]", &format!("vms = {invalid}"));
+        assert!(matches!(kind, Kind::InvalidVmRange(_)), "{invalid}: {kind:?}");
     }
-    let (kind, _) = mistake("vms = g[01..04]", "vms = g[1..999999999]");
+    let (kind, _) = single_diagnostic("vms = g[01..04]", "vms = g[1..999999999]");
     assert!(matches!(kind, Kind::TooManyVms(_)));
-    let parsed = parse(&INDUS.replacen("g[01..04]", "x1, y[08..11]b", 1)).expect("a list");
-    assert!(parsed.fleet.find_vm("y09b").is_some());
-    assert_eq!(parsed.fleet.vms().len(), 61);
+    let config = parse(&INDUS.replacen("g[01..04]", "x1, y[08..11]b", 1)).expect("a valid list");
+    assert!(config.fleet.find_vm("y09b").is_some());
+    assert_eq!(config.fleet.vms().len(), 61);
 }
 
 #[test]
 fn parse_impossible_budgets() {
-    let budget = |from: &str, to: &str| match mistake(from, to).0 {
+    let budget = |from: &str, to: &str| match single_diagnostic(from, to).0 {
         Kind::Budget(budget) => budget,
         kind => panic!("{kind:?}"),
     };
     use Budget::*;
-    let all = "min_copies = 8\nmax_copies = 15";
-    assert!(matches!(budget(all, "min_copies = 9\nmax_copies = 8"), MinAboveMax { .. }));
+    let counts = "min_copies = 8\nmax_copies = 15";
+    assert!(matches!(budget(counts, "min_copies = 9\nmax_copies = 8"), MinAboveMax { .. }));
     assert!(matches!(budget("max_copies = 15", "max_copies = 16"), Licences { .. }));
-    let one = "min_copies = 1\nmax_copies = 1";
-    assert!(matches!(budget(all, one), OneCopy { .. }));
+    let single = "min_copies = 1\nmax_copies = 1";
+    assert!(matches!(budget(counts, single), SingleCopy { .. }));
     let large = "cores = 17\nmemory_gb = 10";
     assert!(matches!(budget("cores = 6\nmemory_gb = 10", large), CopyTooLarge { .. }));
-    let empty = "[pool.empty]\n[service.settlement]\npool = empty";
-    assert!(matches!(budget("[service.settlement]\npool = switching", empty), NoVm { .. }));
-    assert!(matches!(budget("quota_cores = 480", "quota_cores = 50"), Quota { what: "cores", .. }));
+    let empty_pool = "[pool.empty]\n[service.settlement]\npool = empty";
+    assert!(matches!(
+        budget("[service.settlement]\npool = switching", empty_pool),
+        EmptyPool { .. }
+    ));
+    assert!(matches!(
+        budget("quota_cores = 480", "quota_cores = 50"),
+        Quota { resource: "cores", .. }
+    ));
     let text = INDUS.replace("data_centre = johar", "data_centre = gulberg");
     let text = text.replace("data_centre = cantt", "data_centre = gulberg");
     let found = parse(&text).expect_err("one data centre");
     assert_eq!(found.len(), 2, "{found:#?}");
-    assert!(matches!(&found[0].kind, Kind::Budget(OneDomain { domain: "data centre", .. })));
+    assert!(matches!(&found[0].kind, Kind::Budget(SingleDomain { domain: "data centre", .. })));
 }
 
 #[test]
-fn parse_too_few_places() {
+fn parse_too_many_copies_for_pool() {
     // 36 VMs hold two copies each.
-    let many = "min_copies = 73\nmax_copies = 80";
-    let text = INDUS.replacen("min_copies = 8\nmax_copies = 15", many, 1);
-    let found = parse(&text.replacen("licences = 15", "licences = 80", 1)).expect_err("too few");
-    let fit = found.iter().find_map(|one| match &one.kind {
-        Kind::Budget(Budget::TooFewPlaces { fit, .. }) => Some(*fit),
+    let counts = "min_copies = 73\nmax_copies = 80";
+    let text = INDUS.replacen("min_copies = 8\nmax_copies = 15", counts, 1);
+    let found = parse(&text.replacen("licences = 15", "licences = 80", 1))
+        .expect_err("more copies than fit");
+    let fit = found.iter().find_map(|diagnostic| match &diagnostic.kind {
+        Kind::Budget(Budget::CopiesDoNotFit { fit, .. }) => Some(*fit),
         _ => None,
     });
     assert_eq!(fit, Some(72));
-    // Each alone fits, but not all together.
+    // The copies of each service fit, but not those of all together.
     let text = INDUS.replace("min_copies = 8\nmax_copies = 15", "min_copies = 60\nmax_copies = 80");
     let found = parse(&text.replace("licences = 15", "licences = 80")).expect_err("too small");
-    let small = |kind: &Kind| matches!(kind, Kind::Budget(Budget::PoolTooSmall { .. }));
-    assert!(found.iter().any(|one| small(&one.kind)), "{found:#?}");
+    let is_pool_too_small = |kind: &Kind| matches!(kind, Kind::Budget(Budget::PoolTooSmall { .. }));
+    assert!(found.iter().any(|diagnostic| is_pool_too_small(&diagnostic.kind)), "{found:#?}");
 }
 
 #[test]
-fn parse_rules() {
-    let (kind, _) = mistake("when = always", "when = hour < 24");
-    assert_eq!(kind, Kind::NoLastResort("otherwise".to_owned()));
+fn parse_invalid_rules() {
+    let (kind, _) = single_diagnostic("when = always", "when = hour < 24");
+    assert_eq!(kind, Kind::NoFallback("otherwise".to_owned()));
     let (head, _) = INDUS.split_once("[rule.").expect("rules");
     assert_eq!(parse(head).expect_err("no rule")[0].kind, Kind::NoRule);
     let text = INDUS.replacen("when = store_down", "when = hour > 5 and hour < 3", 1);
     let warnings = parse(&text).expect("only a warning").warnings;
-    let warned = warnings.iter().find(|one| one.severity == Severity::Warning).expect("one");
-    assert!(warned.message.contains("`store_down` never matches"), "{warned}");
+    let warning =
+        warnings.iter().find(|diagnostic| diagnostic.severity == Severity::Warning).expect("one");
+    assert!(warning.message.contains("`store_down` never matches"), "{warning}");
 }
 
 #[test]
-fn parse_pinned_copies() {
+fn parse_fixed_copies() {
     let text = INDUS.replacen("min_copies = 8", "min_copies = 15", 1);
     let warnings = parse(&text).expect("only a warning").warnings;
-    let pinned = |kind: &Kind| matches!(kind, Kind::Budget(Budget::Pinned { .. }));
-    assert!(warnings.iter().any(|one| pinned(&one.kind)));
+    let is_fixed = |kind: &Kind| matches!(kind, Kind::Budget(Budget::FixedCopies { .. }));
+    assert!(warnings.iter().any(|diagnostic| is_fixed(&diagnostic.kind)));
 }
 
 #[test]
-fn parse_other_texts() {
-    let only = |text: &str| {
+fn parse_other_formats() {
+    let only_kind = |text: &str| {
         let found = parse(text).expect_err("no configuration");
         assert_eq!(found.len(), 1, "{found:#?}");
         found[0].kind.clone()
     };
-    assert_eq!(only(""), Kind::NotIni);
-    assert_eq!(only("{\"fleet\": {\"version\": 1}}"), Kind::NotIni);
-    assert_eq!(only("\u{0}\u{1}\n\u{7f}\u{ffff}"), Kind::NotIni);
+    assert_eq!(only_kind(""), Kind::NotIni);
+    assert_eq!(only_kind("{\"fleet\": {\"version\": 1}}"), Kind::NotIni);
+    assert_eq!(only_kind("\u{0}\u{1}\n\u{7f}\u{ffff}"), Kind::NotIni);
     // Each line break takes two bytes in the store.
-    assert_eq!(only(&"\n".repeat(MAX_BYTES / 2 + 1)), Kind::TooLarge(MAX_BYTES / 2 * 2 + 2));
+    assert_eq!(only_kind(&"\n".repeat(MAX_BYTES / 2 + 1)), Kind::TooLarge(MAX_BYTES / 2 * 2 + 2));
     let lines = "x\n".repeat(5_000);
-    let found = parse(&format!("[fleet]\n{lines}")).expect_err("mistakes");
-    assert_eq!(found.len(), MAX + 1);
-    assert!(matches!(found[MAX].kind, Kind::More(n) if n >= 5_000 - MAX));
-    assert!(matches!(mistake("version = 1", "version = 2").0, Kind::Version(2)));
+    let found = parse(&format!("[fleet]\n{lines}")).expect_err("errors");
+    assert_eq!(found.len(), MAX_LISTED + 1);
+    assert!(matches!(found[MAX_LISTED].kind, Kind::NotListed(n) if n >= 5_000 - MAX_LISTED));
+    assert!(matches!(
+        single_diagnostic("version = 1", "version = 2").0,
+        Kind::UnsupportedVersion(2)
+    ));
 }
 
 #[test]
-fn parse_line_ends_and_marks() {
+fn parse_crlf_and_byte_order_mark() {
     let windows = format!("\u{feff}{}", INDUS.replace('\n', "\r\n"));
-    let (one, other) = (parse(&windows).expect("sound"), parse(INDUS).expect("sound"));
-    assert_eq!((one.fleet, one.rules, one.settings), (other.fleet, other.rules, other.settings));
+    let (crlf, lf) = (parse(&windows).expect("valid"), parse(INDUS).expect("valid"));
+    assert_eq!((crlf.fleet, crlf.rules, crlf.settings), (lf.fleet, lf.rules, lf.settings));
 }
 
 proptest! {
     #![proptest_config(common::cases(256))]
 
     #[test]
-    fn parse_any_text(text in "(?s).{0,200}") {
-        check_places(&text)?;
+    fn parse_arbitrary_text(text in "(?s).{0,200}") {
+        check_spans(&text)?;
     }
 
     #[test]
-    fn parse_any_change(at in 0..INDUS.len(), len in 0..40usize, new in "[\\[\\]=.;%a-z0-9é\n]{0,12}") {
+    fn parse_arbitrary_edit(at in 0..INDUS.len(), len in 0..40usize, new in "[\\[\\]=.;%a-z0-9é\n]{0,12}") {
         let end = (at + len).min(INDUS.len());
         let text = format!("{}{new}{}", &INDUS[..at], &INDUS[end..]);
-        check_places(&text)?;
+        check_spans(&text)?;
         prop_assert_eq!(parse(&text), parse(&text));
     }
 }
 
-/// Every place lies within the text and can be printed.
-fn check_places(text: &str) -> Result<(), TestCaseError> {
-    let found = parse(text).map_or_else(|found| found, |parsed| parsed.warnings);
-    for one in &found {
-        prop_assert!(text.get(one.offset..one.offset + one.len).is_some(), "{one:?}");
-        prop_assert!(!one.help.is_empty());
+/// Checks that every span is within the text and can be rendered.
+fn check_spans(text: &str) -> Result<(), TestCaseError> {
+    let found = parse(text).map_or_else(|found| found, |config| config.warnings);
+    for diagnostic in &found {
+        prop_assert!(
+            text.get(diagnostic.offset..diagnostic.offset + diagnostic.len).is_some(),
+            "{diagnostic:?}"
+        );
+        prop_assert!(!diagnostic.help.is_empty());
     }
     let report = corianderfork_config::Report::new("any.ini", text, found);
     let printed = format!("{:?}", miette::Report::new(report));
@@ -264,8 +286,8 @@
 }
 
 #[test]
-fn mistakes_name_their_line() {
-    let found = mistakes("slots = 8", "slots = lots");
+fn parse_error_position() {
+    let found = diagnostics("slots = 8", "slots = lots");
     let line = INDUS.lines().position(|line| line == "slots = 8").expect("a line") + 1;
     assert_eq!((found[0].line, found[0].column, found[0].len), (line, 9, 4));
 }
