--- a/crates/cli/src/acknowledge.rs
+++ b/crates/cli/src/acknowledge.rs
@@ -1,10 +1,10 @@
-//! Whether what an operator wrote has been heard.
+//! Waits until the controller has acknowledged an operator's change.
 //!
-//! The store's answer to a write says that the store has it, and nothing of who
-//! knows of it. Were the store to go down before any watch has shown the write, a
-//! drain that was told to be accepted would be heeded by nobody for the whole
-//! outage. So a change counts as accepted once the controller that decides has said
-//! that it knows of it: it passes that on to all others without the store.
+//! A successful write only means that the store has the change. If the store went
+//! down before any watch delivered it, a drain that was reported as accepted would
+//! have no effect for the whole outage. A change is therefore accepted only once
+//! the controller that decides has acknowledged it: the controller passes it on to
+//! all others without the store.
 
 use std::time::Duration;
 
@@ -16,25 +16,27 @@
 use crate::error::{Error, Kind};
 use crate::record;
 
-/// The pause between two looks: a controller says so some tenths of a second after
-/// the write.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The poll interval. A controller acknowledges a write within some tenths of a
+/// second.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until the write of `revision` has been heard.
+/// Waits until the write of `revision` is acknowledged.
 ///
 /// # Errors
 ///
-/// Fails with [`Kind::Pending`] if it isn't by the deadline. The write stands.
+/// Fails with [`Kind::Pending`] at the deadline. The write stays in the store.
 pub fn wait(context: &Context<'_>, revision: Revision) -> Result<(), Error> {
     loop {
-        // The store may be away; the deadline bounds that too.
-        let heard = record::get::<Heard>(context, key::HEARD);
-        if heard.is_ok_and(|heard| heard.is_some_and(|heard| heard.revision >= revision.0)) {
+        // An unavailable store is retried until the deadline, too.
+        let acknowledged = record::get::<Heard>(context, key::HEARD);
+        if acknowledged
+            .is_ok_and(|record| record.is_some_and(|record| record.revision >= revision.0))
+        {
             return Ok(());
         }
-        if context.late() {
+        if context.deadline_passed() {
             return Err(Kind::Pending(revision.0).into());
         }
-        context.clock.pause(PAUSE);
+        context.clock.sleep(POLL_INTERVAL);
     }
 }
--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -1,9 +1,9 @@
-//! `apply FILE`.
+//! `apply FILE`: puts a configuration in force.
 //!
-//! A configuration is accepted by one compare-and-swap of a checked whole.
-//! What it replaces is what the operator has seen: the revision named by
-//! `--expect` or by the first line that `show config` printed; a file without
-//! either is taken only while there is no configuration yet.
+//! The checked configuration is written by one compare-and-swap. It replaces the
+//! revision that the operator has seen, given by `--expect` or by the first line
+//! that `show config` printed; a file without either is accepted only while there
+//! is no configuration yet.
 
 use corianderfork_config::Change;
 use corianderfork_provider::key;
@@ -12,24 +12,24 @@
 use serde::Serialize;
 
 use crate::acknowledge;
-use crate::cas::{self, End, Failure, Write};
+use crate::cas::{self, Failure, Outcome, Write};
 use crate::check;
 use crate::context::Context;
 use crate::error::{Error, Kind};
 use crate::ini::{self, Difference, Mistake};
-use crate::record::{self, Done};
+use crate::record::{self, Update};
 use crate::report::Report;
 
-/// What to apply.
+/// A configuration to apply.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
-    /// The file.
+    /// The path of the file.
     pub path: &'a str,
-    /// What the operator says of it.
+    /// The operator's note on the change.
     pub note: &'a str,
-    /// The revision that it has to replace; 0 for none.
+    /// The expected revision in force; 0 if none is.
     pub expect: Option<u64>,
-    /// A number of this one apply, by which its write is recognised.
+    /// A unique value by which the command recognises its own write.
     pub token: String,
 }
 
@@ -44,13 +44,13 @@
     warnings: Vec<Mistake>,
 }
 
-/// How the write ended.
+/// A write that took effect.
 struct Written {
     revision: store::Revision,
     replaced: bool,
 }
 
-/// What was in force when the command began.
+/// The configuration in force when the command began.
 struct Base {
     found: Found,
     revision: u64,
@@ -61,19 +61,19 @@
 ///
 /// # Errors
 ///
-/// Rejected with all mistakes at once, in conflict with another operator's
-/// change, not possible now, pending, or unknown: [`Error::code`] tells them apart.
+/// Fails if the file is invalid, if another revision is in force, if the store is
+/// unavailable, or if the write is pending or its outcome unknown; [`Error::code`]
+/// tells these apart.
 pub fn run(context: &Context<'_>, request: &Request<'_>) -> Result<Report, Error> {
     let file = ini::read(request.path)?;
     let warnings = ini::check(request.path, &file)?.warnings;
     let text = ini::without_base(&file);
     let base = base(context)?;
     match request.expect {
-        Some(expected) => expect(expected, &base, text)?,
-        // A file that names no revision is for a fleet without a configuration:
-        // an old copy from elsewhere would undo what others changed since, and
-        // nobody would notice.
-        None if base.text != text => expect(ini::base(&file).unwrap_or(0), &base, text)?,
+        Some(expected) => check_revision(expected, &base, text)?,
+        // A file that names no revision is accepted only if no configuration is in
+        // force: an old copy would silently undo what others changed since.
+        None if base.text != text => check_revision(ini::base(&file).unwrap_or(0), &base, text)?,
         None => {}
     }
     let changes = ini::changes(&base.text, text);
@@ -86,54 +86,55 @@
         changes: ini::differences(&changes),
         warnings: ini::mistakes(&warnings),
     };
-    let warned = check::warnings(request.path, &file, warnings);
+    let rendered_warnings = check::render_warnings(request.path, &file, warnings);
     if base.text == text {
         acknowledge::wait(context, store::Revision(base.revision))?;
-        let said = format!("unchanged: revision {} is the same already\n", json.revision);
-        return Ok(Report::new(said, &json).note(warned));
+        let summary = format!("unchanged: revision {} is the same already\n", json.revision);
+        return Ok(Report::new(summary, &json).note(rendered_warnings));
     }
     let Written { revision, replaced } = write(context, request, &base, text)?;
-    let heard = acknowledge::wait(context, revision);
-    let missing = audit(context, request, &base, revision, &changes);
-    heard?;
+    let acknowledged = acknowledge::wait(context, revision);
+    let audit_failure = audit(context, request, &base, revision, &changes);
+    acknowledged?;
     json.outcome = "accepted";
     json.revision = revision.0;
     json.replaced = replaced;
-    json.audited = missing.is_none();
-    Ok(Report::new(said(&json, &changes), &json).note(warned).note(missing))
+    json.audited = audit_failure.is_none();
+    Ok(Report::new(summary(&json, &changes), &json).note(rendered_warnings).note(audit_failure))
 }
 
 fn base(context: &Context<'_>) -> Result<Base, Error> {
-    let found = context.store.get(key::CONFIG).map_err(|error| Error::read(&error))?;
+    let found = context.store.get(key::CONFIG).map_err(|error| Error::unchanged(&error))?;
     let revision = found.entry.as_ref().map_or(0, |entry| entry.revision.0);
-    // A record that can't be read is no reason to refuse a good one: applying
-    // is the remedy.
-    let text = found.entry.as_ref().map(text_of).unwrap_or_default();
+    // An unreadable record counts as empty, as applying a valid configuration
+    // repairs it.
+    let text = found.entry.as_ref().map(config_text).unwrap_or_default();
     Ok(Base { found, revision, text })
 }
 
-fn text_of(entry: &Entry) -> String {
+fn config_text(entry: &Entry) -> String {
     record::parse::<Config>(entry).map(|config| config.text).unwrap_or_default()
 }
 
-fn expect(expected: u64, base: &Base, text: &str) -> Result<(), Error> {
+/// Fails with a conflict unless `expected` is the revision in force.
+fn check_revision(expected: u64, base: &Base, text: &str) -> Result<(), Error> {
     if expected == base.revision {
         return Ok(());
     }
     let error = conflict(expected, base.found.entry.as_ref());
-    Err(error.differences(Vec::new(), ini::changes(&base.text, text)))
+    Err(error.with_changes(Vec::new(), ini::changes(&base.text, text)))
 }
 
 fn conflict(expected: u64, current: Option<&Entry>) -> Error {
-    let named = |revision: u64| match revision {
+    let describe = |revision: u64| match revision {
         0 => "none".to_owned(),
         revision => format!("revision {revision}"),
     };
     let by = current.and_then(|entry| record::parse::<Config>(entry).ok());
     let by = by.map_or_else(String::new, |config| format!(" by {}", config.by));
     let current = current.map_or(0, |entry| entry.revision.0);
-    let current = format!("{}{by}", named(current));
-    Kind::Conflict { expected: named(expected), current }.into()
+    let current = format!("{}{by}", describe(current));
+    Kind::Conflict { expected: describe(expected), current }.into()
 }
 
 fn write(
@@ -144,7 +145,7 @@
 ) -> Result<Written, Error> {
     let config = Config {
         text: text.to_owned(),
-        by: context.by.to_owned(),
+        by: context.operator.to_owned(),
         note: request.note.to_owned(),
         token: request.token.clone(),
     };
@@ -155,15 +156,15 @@
     }
     let write = Write { key: key::CONFIG, value: Some(&value), base: &base.found };
     match cas::write(context, &write) {
-        Ok(End::Applied { revision, replaced }) => Ok(Written { revision, replaced }),
-        Ok(End::Conflict(current)) => {
-            let now = current.as_ref().map(text_of).unwrap_or_default();
-            let theirs = ini::changes(&base.text, &now);
+        Ok(Outcome::Applied { revision, replaced }) => Ok(Written { revision, replaced }),
+        Ok(Outcome::Conflict(current)) => {
+            let current_text = current.as_ref().map(config_text).unwrap_or_default();
+            let changed_by_others = ini::changes(&base.text, &current_text);
             let error = conflict(base.revision, current.as_ref());
-            Err(error.differences(theirs, ini::changes(&now, text)))
+            Err(error.with_changes(changed_by_others, ini::changes(&current_text, text)))
         }
-        Err(Failure::Refused(store::Error::TooLarge { .. })) => Err(too_large()),
-        Err(Failure::Refused(error)) => Err(Error::read(&error)),
+        Err(Failure::NotApplied(store::Error::TooLarge { .. })) => Err(too_large()),
+        Err(Failure::NotApplied(error)) => Err(Error::unchanged(&error)),
         Err(Failure::Unknown(error)) => Err(Kind::Unknown(error.to_string()).into()),
     }
 }
@@ -175,22 +176,22 @@
     revision: store::Revision,
     changes: &[Change],
 ) -> Option<String> {
-    let listed: Vec<String> = changes.iter().map(ToString::to_string).collect();
+    let lines: Vec<String> = changes.iter().map(ToString::to_string).collect();
     let from = format!("revision {}", base.revision);
-    let to = format!("revision {revision}: {}", listed.join("; "));
-    let what = match request.note {
+    let to = format!("revision {revision}: {}", lines.join("; "));
+    let subject = match request.note {
         "" => "configuration".to_owned(),
         note => format!("configuration ({note})"),
     };
-    record::audit(context, &Done { what: &what, from: &from, to: &to, revision })
+    record::audit(context, &Update { subject: &subject, from: &from, to: &to, revision })
 }
 
-fn said(json: &Json, changes: &[Change]) -> String {
+fn summary(json: &Json, changes: &[Change]) -> String {
     let Json { revision, previous, .. } = json;
-    let mut said = format!("accepted: revision {revision} replaces {previous}\n");
+    let mut text = format!("accepted: revision {revision} replaces {previous}\n");
     if json.replaced {
-        said.push_str("someone else has replaced it since\n");
+        text.push_str("someone else has replaced it since\n");
     }
-    changes.iter().for_each(|change| said.push_str(&format!("  {change}\n")));
-    said
+    changes.iter().for_each(|change| text.push_str(&format!("  {change}\n")));
+    text
 }
--- a/crates/cli/src/cas.rs
+++ b/crates/cli/src/cas.rs
@@ -1,9 +1,9 @@
-//! A write whose end is known.
+//! A compare-and-swap that finds out its outcome after a lost response.
 //!
-//! The answer to a write can be lost after the write took effect. Writing
-//! again blindly then either fails against oneself or, worse, undoes what
-//! someone else wrote in between. [`write()`] reads back and recognises its own
-//! write, for as long as the deadline allows.
+//! The response to a write can be lost after the write took effect. A blind retry
+//! would then conflict with its own first attempt or, worse, overwrite what
+//! someone else wrote in between. [`write()`] therefore reads the key back and
+//! recognises its own write, until the deadline.
 
 use std::time::Duration;
 
@@ -11,121 +11,128 @@
 
 use crate::context::Context;
 
-/// The pause before the first reading back; each later one is twice as long.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// The delay before the second read, doubled for each later one.
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
+/// The maximum delay between two reads.
+const MAX_DELAY: Duration = Duration::from_secs(1);
 
 /// A compare-and-swap on one key.
 #[derive(Clone, Debug)]
 pub struct Write<'a> {
     /// The key.
     pub key: &'a str,
-    /// What to write, different from what anybody else writes; `None` deletes
-    /// the key.
+    /// The new value, or `None` to delete the key. The value must be unique to
+    /// this write, which is recognised by it.
     pub value: Option<&'a str>,
-    /// What the key held when the write was decided on.
+    /// The state of the key that the write replaces.
     pub base: &'a Found,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// It took effect.
     Applied {
-        /// The revision it got.
+        /// The revision of the write.
         revision: Revision,
         /// Whether someone else has replaced it since.
         replaced: bool,
     },
-    /// Someone else was first; it has not and will not take effect.
+    /// The key was changed first by someone else, and the write did not take
+    /// effect. Holds the current entry.
     Conflict(Option<Entry>),
 }
 
-/// Why a write did not end, or how it can't be told.
+/// Why a write failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It has not taken effect.
-    Refused(Error),
+    /// It did not take effect.
+    NotApplied(Error),
     /// It may have taken effect.
     Unknown(Error),
 }
 
-/// Carries out `write` and finds out how it ended.
+/// Executes `write` and finds out its outcome.
 ///
 /// # Errors
 ///
-/// [`Failure::Unknown`] if that can't be found out by the deadline.
-pub fn write(context: &Context<'_>, write: &Write<'_>) -> Result<End, Failure> {
-    match put(context, write) {
-        Ok(revision) => Ok(End::Applied { revision, replaced: false }),
-        Err(Error::Conflict { current, .. }) => Ok(End::Conflict(current)),
+/// Returns [`Failure::Unknown`] if the outcome is still unknown at the deadline.
+pub fn write(context: &Context<'_>, write: &Write<'_>) -> Result<Outcome, Failure> {
+    match execute(context, write) {
+        Ok(revision) => Ok(Outcome::Applied { revision, replaced: false }),
+        Err(Error::Conflict { current, .. }) => Ok(Outcome::Conflict(current)),
         Err(error) if error.may_have_applied() => resolve(context, write, error),
-        Err(error) => Err(Failure::Refused(error)),
+        Err(error) => Err(Failure::NotApplied(error)),
     }
 }
 
-/// Reads back and, where the write has not taken effect, writes again, until
-/// one of both tells. Writing again is safe: both writes expect the same
-/// revision, so that at most one of them takes effect.
-fn resolve(context: &Context<'_>, write: &Write<'_>, lost: Error) -> Result<End, Failure> {
-    let mut pause = FIRST_PAUSE;
+/// Reads the key back, and retries the write while the key is unchanged, until the
+/// outcome is known. The retry is safe: both writes expect the same revision, so
+/// that at most one of them takes effect.
+fn resolve(context: &Context<'_>, write: &Write<'_>, cause: Error) -> Result<Outcome, Failure> {
+    let mut delay = INITIAL_DELAY;
     loop {
         match read_back(context, write) {
-            Ok(Seen::End(end)) => return Ok(end),
-            Ok(Seen::Untold) => return Err(Failure::Unknown(lost)),
-            Ok(Seen::Unchanged) if !context.late() => {
-                if let Ok(revision) = put(context, write) {
-                    return Ok(End::Applied { revision, replaced: false });
+            Ok(ReadBack::Resolved(outcome)) => return Ok(outcome),
+            Ok(ReadBack::Compacted) => return Err(Failure::Unknown(cause)),
+            Ok(ReadBack::Unchanged) if !context.deadline_passed() => {
+                if let Ok(revision) = execute(context, write) {
+                    return Ok(Outcome::Applied { revision, replaced: false });
                 }
             }
-            Ok(Seen::Unchanged) | Err(_) => {}
+            Ok(ReadBack::Unchanged) | Err(_) => {}
         }
-        if context.late() {
-            return Err(Failure::Unknown(lost));
+        if context.deadline_passed() {
+            return Err(Failure::Unknown(cause));
         }
-        context.clock.pause(pause);
-        pause = LONGEST_PAUSE.min(pause * 2);
+        context.clock.sleep(delay);
+        delay = MAX_DELAY.min(delay * 2);
     }
 }
 
-enum Seen {
-    /// The key is as before; the write may still be on its way.
+/// The state of the key after a lost response.
+enum ReadBack {
+    /// The key is unchanged; the write may still be in flight.
     Unchanged,
-    /// How the write ended.
-    End(End),
-    /// The key was written several times and the store forgot how it began.
-    Untold,
+    /// The outcome of the write.
+    Resolved(Outcome),
+    /// The key was changed, and the history that would tell by whom is compacted.
+    Compacted,
 }
 
-fn read_back(context: &Context<'_>, write: &Write<'_>) -> Result<Seen, Error> {
+fn read_back(context: &Context<'_>, write: &Write<'_>) -> Result<ReadBack, Error> {
     let found = context.store.get(write.key)?;
     if revision(&found) == revision(write.base) {
-        return Ok(Seen::Unchanged);
+        return Ok(ReadBack::Unchanged);
     }
-    if let Some(entry) = found.entry.as_ref().filter(|entry| mine(Some(entry), write)) {
-        return Ok(Seen::End(End::Applied { revision: entry.revision, replaced: false }));
+    if let Some(entry) = found.entry.as_ref().filter(|entry| is_own_write(Some(entry), write)) {
+        return Ok(ReadBack::Resolved(Outcome::Applied {
+            revision: entry.revision,
+            replaced: false,
+        }));
     }
-    // Someone else wrote the key. Whether in place of this write or after it
-    // only the history tells: the first change since is this write or none is.
+    // Someone else wrote the key, either before this write or after it. The history
+    // tells which: the first change since `base` is this write, or no change is.
     let after = write.base.revision;
     let changes = match context.store.watch(write.key, after, Duration::ZERO) {
-        Err(Error::Compacted) => return Ok(Seen::Untold),
+        Err(Error::Compacted) => return Ok(ReadBack::Compacted),
         result => result?.changes,
     };
     let mut changes = changes.into_iter().filter(|change| change.key == write.key);
-    let Some(first) = changes.next() else { return Ok(Seen::Unchanged) };
-    Ok(Seen::End(judge(write, first, changes.next().is_some(), found.entry)))
+    let Some(first) = changes.next() else { return Ok(ReadBack::Unchanged) };
+    Ok(ReadBack::Resolved(outcome(write, first, changes.next().is_some(), found.entry)))
 }
 
-fn judge(write: &Write<'_>, first: Change, more: bool, current: Option<Entry>) -> End {
-    if mine(first.entry.as_ref(), write) {
-        return End::Applied { revision: first.revision, replaced: more };
+/// Returns the outcome of `write`, given the `first` change since its base and
+/// whether it was `replaced` since.
+fn outcome(write: &Write<'_>, first: Change, replaced: bool, current: Option<Entry>) -> Outcome {
+    if is_own_write(first.entry.as_ref(), write) {
+        return Outcome::Applied { revision: first.revision, replaced };
     }
-    End::Conflict(current)
+    Outcome::Conflict(current)
 }
 
-fn mine(entry: Option<&Entry>, write: &Write<'_>) -> bool {
+fn is_own_write(entry: Option<&Entry>, write: &Write<'_>) -> bool {
     entry.map(|entry| entry.value.as_str()) == write.value
 }
 
@@ -133,7 +140,8 @@
     found.entry.as_ref().map(|entry| entry.revision)
 }
 
-fn put(context: &Context<'_>, write: &Write<'_>) -> Result<Revision, Error> {
+/// Sends the write once.
+fn execute(context: &Context<'_>, write: &Write<'_>) -> Result<Revision, Error> {
     let expect = revision(write.base).map_or(Expect::Absent, Expect::Revision);
     match write.value {
         Some(value) => context.store.put(write.key, value, expect, None),
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `check FILE`.
+//! `check FILE`: checks a configuration.
 
 use corianderfork_config as config;
 use serde::Serialize;
@@ -17,11 +17,11 @@
     warnings: Vec<Mistake>,
 }
 
-/// Checks a file; needs no platform.
+/// Checks a file without the platform.
 ///
 /// # Errors
 ///
-/// Gives all mistakes of the file at once.
+/// Fails if the file can't be read, or with all errors of its configuration.
 pub fn run(path: &str) -> Result<Report, Error> {
     let text = ini::read(path)?;
     let parsed = ini::check(path, &text)?;
@@ -34,17 +34,21 @@
         warnings: ini::mistakes(&parsed.warnings),
     };
     let Json { vms, pools, services, rules, .. } = json;
-    let text_out = format!(
+    let summary = format!(
         "`{path}` is valid: {vms} VMs, {pools} pools, {services} services, {rules} rules\n"
     );
-    Ok(Report::new(text_out, &json).note(warnings(path, &text, parsed.warnings)))
+    Ok(Report::new(summary, &json).note(render_warnings(path, &text, parsed.warnings)))
 }
 
-/// The warnings of a file for readers, if there are any.
-pub fn warnings(path: &str, text: &str, found: Vec<config::Diagnostic>) -> Option<String> {
-    if found.is_empty() {
+/// Renders the warnings of a file for people, if there are any.
+pub fn render_warnings(
+    path: &str,
+    text: &str,
+    warnings: Vec<config::Diagnostic>,
+) -> Option<String> {
+    if warnings.is_empty() {
         return None;
     }
-    let report = config::Report::new(path, text, found);
+    let report = config::Report::new(path, text, warnings);
     Some(format!("{:?}", miette::Report::new(report)))
 }
--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -1,65 +1,65 @@
-//! What a command works with: the store, a clock, and who asks.
+//! The environment of a command: the store, a clock and the operator.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use corianderfork_model::Time;
 use corianderfork_provider::store::Store;
 
-/// Time as commands see it.
+/// A source of time.
 pub trait Clock {
-    /// Monotonic time.
+    /// Returns the monotonic time.
     fn now(&self) -> Time;
 
-    /// Milliseconds since the Unix epoch.
+    /// Returns the milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64;
 
-    /// Waits.
-    fn pause(&self, time: Duration);
+    /// Blocks for `duration`.
+    fn sleep(&self, duration: Duration);
 }
 
-/// The machine's clock.
+/// The system clock.
 #[derive(Debug)]
-pub struct System {
+pub struct SystemClock {
     start: Instant,
 }
 
-impl Default for System {
+impl Default for SystemClock {
     fn default() -> Self {
         Self { start: Instant::now() }
     }
 }
 
-impl Clock for System {
+impl Clock for SystemClock {
     fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
 
     fn unix_ms(&self) -> u64 {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+        let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn pause(&self, time: Duration) {
-        std::thread::sleep(time);
+    fn sleep(&self, duration: Duration) {
+        std::thread::sleep(duration);
     }
 }
 
-/// What every command that talks to the platform is given.
+/// The environment of a command that uses the platform.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
     /// The platform's store.
     pub store: &'a dyn Store,
     /// The clock.
     pub clock: &'a dyn Clock,
-    /// Who asks.
-    pub by: &'a str,
-    /// When to give up finding out how a write ended.
+    /// The operator's name.
+    pub operator: &'a str,
+    /// When to give up waiting for the outcome of a write.
     pub deadline: Time,
 }
 
 impl Context<'_> {
-    /// Whether the time is up.
-    pub fn late(&self) -> bool {
+    /// Whether the deadline has passed.
+    pub fn deadline_passed(&self) -> bool {
         self.clock.now() >= self.deadline
     }
 }
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -1,7 +1,7 @@
-//! `drain VM` and `undrain VM`: an operator's wish, kept in the store.
+//! `drain VM` and `undrain VM`: set and remove an operator's drain in the store.
 //!
-//! Both are idempotent: what is drained already stays so, with the reason of
-//! the one who asked first.
+//! Both are idempotent: a VM that is already drained keeps the drain and the reason
+//! of the first operator.
 
 use corianderfork_model::Name;
 use corianderfork_provider::record::Drain;
@@ -11,14 +11,14 @@
 use serde::Serialize;
 
 use crate::acknowledge;
-use crate::cas::{self, End, Failure, Write};
+use crate::cas::{self, Failure, Outcome, Write};
 use crate::context::Context;
 use crate::error::{Error, Kind};
-use crate::record::{self, Done};
+use crate::record::{self, Update};
 use crate::report::Report;
 
 const DRAINED: &str = "drained by an operator";
-const FREE: &str = "not drained by an operator";
+const NOT_DRAINED: &str = "not drained by an operator";
 
 #[derive(Serialize)]
 struct Json<'a> {
@@ -29,64 +29,66 @@
     audited: bool,
 }
 
-/// Asks that a VM be drained and stay so.
+/// Drains a VM until [`undrain`].
 ///
 /// # Errors
 ///
-/// Rejected if there is no such VM; pending if no controller is known to have
-/// heard of it in time; else as the store fails.
+/// Fails if the VM is unknown, if no controller acknowledges the drain by the
+/// deadline, or if the store fails.
 pub fn drain(context: &Context<'_>, vm: &Name, reason: &str) -> Result<Report, Error> {
-    known(context, vm)?;
+    check_vm_exists(context, vm)?;
     let key = key::drain(vm);
     let base = read(context, &key)?;
     if base.entry.is_some() {
-        return already_drained(context, vm, &base);
+        return already_drained_report(context, vm, &base);
     }
-    let wish = Drain { by: context.by.to_owned(), reason: reason.to_owned() };
-    let value = serde_json::to_string(&wish).expect("strings are always JSON");
+    let drain = Drain { by: context.operator.to_owned(), reason: reason.to_owned() };
+    let value = serde_json::to_string(&drain).expect("strings are always JSON");
     match cas::write(context, &Write { key: &key, value: Some(&value), base: &base }) {
-        Ok(End::Applied { revision, .. }) => {
+        Ok(Outcome::Applied { revision, .. }) => {
             let to = format!("{DRAINED}: {reason}");
-            let heard = acknowledge::wait(context, revision);
-            let report = changed(context, vm, FREE, &to, revision, Some(wish));
-            heard.map(|()| report)
+            let acknowledged = acknowledge::wait(context, revision);
+            let report = audited_report(context, vm, NOT_DRAINED, &to, revision, Some(drain));
+            acknowledged.map(|()| report)
         }
-        // Another operator was first, with the same wish.
-        Ok(End::Conflict(entry)) if entry.is_some() => {
-            already_drained(context, vm, &Found { revision: base.revision, entry })
+        // Another operator drained the VM first.
+        Ok(Outcome::Conflict(entry)) if entry.is_some() => {
+            already_drained_report(context, vm, &Found { revision: base.revision, entry })
         }
-        end => Err(failed(vm, end)),
+        result => Err(write_error(vm, result)),
     }
 }
 
-/// Takes an operator's drain back.
+/// Removes an operator's drain.
 ///
 /// # Errors
 ///
-/// In conflict if the drain is not the one that was read; else as the store
-/// fails.
+/// Fails with [`Kind::DrainConflict`] if the drain was changed since it was read,
+/// or if the store fails.
 pub fn undrain(context: &Context<'_>, vm: &Name) -> Result<Report, Error> {
     let key = key::drain(vm);
     let base = read(context, &key)?;
-    let Some(entry) = &base.entry else { return Ok(already_free(vm)) };
+    let Some(entry) = &base.entry else { return Ok(not_drained_report(vm)) };
     let from = match record::parse::<Drain>(entry) {
         Ok(drain) => format!("{DRAINED} ({}): {}", drain.by, drain.reason),
         Err(_) => DRAINED.to_owned(),
     };
     match cas::write(context, &Write { key: &key, value: None, base: &base }) {
-        Ok(End::Applied { revision, .. }) => Ok(changed(context, vm, &from, FREE, revision, None)),
-        Ok(End::Conflict(None)) => Ok(already_free(vm)),
-        end => Err(failed(vm, end)),
+        Ok(Outcome::Applied { revision, .. }) => {
+            Ok(audited_report(context, vm, &from, NOT_DRAINED, revision, None))
+        }
+        Ok(Outcome::Conflict(None)) => Ok(not_drained_report(vm)),
+        result => Err(write_error(vm, result)),
     }
 }
 
 fn read(context: &Context<'_>, key: &str) -> Result<Found, Error> {
-    context.store.get(key).map_err(|error| Error::read(&error))
+    context.store.get(key).map_err(|error| Error::unchanged(&error))
 }
 
-/// Refuses a name that no VM has: a drain under a misspelt name would wait for
-/// ever while the VM that was meant keeps taking work.
-pub(crate) fn known(context: &Context<'_>, vm: &Name) -> Result<(), Error> {
+/// Fails if there is no such VM: a drain under a misspelt name would never take
+/// effect, while the intended VM keeps taking work.
+pub(crate) fn check_vm_exists(context: &Context<'_>, vm: &Name) -> Result<(), Error> {
     if record::get::<records::Vm>(context, &key::vm(vm))?.is_some() {
         return Ok(());
     }
@@ -96,10 +98,11 @@
         return Ok(());
     }
     let help = nearest::help(vm.as_str(), fleet.vms().map(|(_, vm)| vm.name.as_str()));
-    Err(Kind::NoVm { name: vm.to_string(), help }.into())
+    Err(Kind::UnknownVm { name: vm.to_string(), help }.into())
 }
 
-fn changed(
+/// Records the change in the audit trail and returns its report.
+fn audited_report(
     context: &Context<'_>,
     vm: &Name,
     from: &str,
@@ -107,14 +110,18 @@
     revision: Revision,
     drain: Option<Drain>,
 ) -> Report {
-    let what = format!("vm {vm}");
-    let missing = record::audit(context, &Done { what: &what, from, to, revision });
-    let (audited, revision) = (missing.is_none(), Some(revision.0));
+    let subject = format!("vm {vm}");
+    let audit_failure = record::audit(context, &Update { subject: &subject, from, to, revision });
+    let (audited, revision) = (audit_failure.is_none(), Some(revision.0));
     let json = Json { outcome: "accepted", vm, revision, drain, audited };
-    Report::new(format!("accepted: {vm} is {to}\n"), &json).note(missing)
+    Report::new(format!("accepted: {vm} is {to}\n"), &json).note(audit_failure)
 }
 
-fn already_drained(context: &Context<'_>, vm: &Name, found: &Found) -> Result<Report, Error> {
+fn already_drained_report(
+    context: &Context<'_>,
+    vm: &Name,
+    found: &Found,
+) -> Result<Report, Error> {
     if let Some(entry) = &found.entry {
         acknowledge::wait(context, entry.revision)?;
     }
@@ -125,15 +132,15 @@
     Ok(Report::new(format!("unchanged: {vm} is drained already{by}\n"), &json))
 }
 
-fn already_free(vm: &Name) -> Report {
+fn not_drained_report(vm: &Name) -> Report {
     let json = Json { outcome: "unchanged", vm, revision: None, drain: None, audited: true };
-    Report::new(format!("unchanged: {vm} is {FREE}\n"), &json)
+    Report::new(format!("unchanged: {vm} is {NOT_DRAINED}\n"), &json)
 }
 
-fn failed(vm: &Name, end: Result<End, Failure>) -> Error {
-    match end {
+fn write_error(vm: &Name, result: Result<Outcome, Failure>) -> Error {
+    match result {
         Ok(_) => Kind::DrainConflict(vm.to_string()).into(),
-        Err(Failure::Refused(error)) => Error::read(&error),
+        Err(Failure::NotApplied(error)) => Error::unchanged(&error),
         Err(Failure::Unknown(error)) => Kind::Unknown(error.to_string()).into(),
     }
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, with what to do about it.
+//! Errors of commands, with their remedies.
 
 use std::fmt;
 use std::io;
@@ -11,7 +11,7 @@
 use crate::exit::Code;
 use crate::ini::{self, Difference, Mistake};
 
-/// A failed command.
+/// An error of a command.
 #[derive(Debug)]
 pub struct Error(Box<Inner>);
 
@@ -19,12 +19,15 @@
 struct Inner {
     kind: Kind,
     mistakes: Vec<Mistake>,
-    marks: Option<Report>,
-    theirs: Vec<Change>,
+    /// The rendered form of `mistakes`.
+    report: Option<Report>,
+    /// What others changed since the operator read the configuration.
+    changed_by_others: Vec<Change>,
+    /// The changes from the configuration in force to the operator's file.
     yours: Vec<Change>,
 }
 
-/// What went wrong.
+/// The kinds of errors.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Kind {
@@ -33,54 +36,54 @@
     File {
         /// The file.
         path: String,
-        /// Why.
+        /// The cause.
         cause: io::Error,
     },
     /// The file is not text.
-    #[error("`{path}` is not UTF-8 text: the byte at offset {offset} is none of it")]
-    NotText {
+    #[error("`{path}` is not UTF-8 text: invalid byte at offset {offset}")]
+    NotUtf8 {
         /// The file.
         path: String,
-        /// The first byte at fault.
+        /// The offset of the first invalid byte.
         offset: usize,
     },
-    /// The file does not fit the store.
+    /// The file is too large for the store.
     #[error("`{path}` is too large: a configuration has to fit into {} bytes", store::MAX_VALUE)]
     TooLarge {
         /// The file.
         path: String,
     },
-    /// The file has mistakes.
+    /// The configuration in the file has errors.
     #[error("`{path}` has {count} mistake{}", if *count == 1 { "" } else { "s" })]
     Mistakes {
         /// The file.
         path: String,
-        /// How many, warnings not counted.
+        /// The number of errors, without warnings.
         count: usize,
     },
-    /// The configuration is not the one expected.
+    /// The configuration in force is not the expected revision.
     #[error("the configuration is {current}, not {expected}; nothing was changed")]
     Conflict {
-        /// What it was expected to be.
+        /// The expected revision.
         expected: String,
-        /// What it is.
+        /// The revision in force, and who applied it.
         current: String,
     },
-    /// The drain is not the one that was read.
+    /// The drain was changed since it was read.
     #[error("the drain of `{0}` was changed by someone else meanwhile; nothing was changed")]
     DrainConflict(String),
-    /// Another wave is under way.
+    /// Another wave is in progress.
     #[error("wave {0} is under way; nothing was changed")]
     WaveUnderWay(u64),
-    /// There is no wave that the order could be for.
-    #[error("there is no such wave; nothing was changed")]
+    /// There is no wave to resume or halt.
+    #[error("there is no wave to resume or halt; nothing was changed")]
     NoWave,
     /// There is no such VM.
     #[error("no VM is called `{name}`")]
-    NoVm {
+    UnknownVm {
         /// The name.
         name: String,
-        /// What was likely meant.
+        /// The names that it resembles.
         help: String,
     },
     /// No configuration was applied yet.
@@ -91,24 +94,24 @@
     Record {
         /// Its key.
         key: String,
-        /// Why.
+        /// The cause.
         cause: String,
     },
-    /// The store failed before anything was changed.
+    /// The store failed, and nothing was changed.
     #[error("{0}; nothing was changed")]
     Store(String),
-    /// A write's end can't be told.
+    /// The outcome of a write is unknown.
     #[error("the change may have taken effect: {0}")]
     Unknown(String),
-    /// A change was written, and no controller is known to have heard of it.
-    #[error("written as revision {0}, and not yet in force: no controller has said that it knows")]
+    /// A change was written, but no controller has acknowledged it.
+    #[error("written as revision {0}, but not yet in force: no controller has acknowledged it")]
     Pending(u64),
     /// The output can't be written.
     #[error("the output cannot be written: {0}")]
     Output(io::Error),
 }
 
-/// An error as scripts read it.
+/// The JSON form of an error.
 #[derive(Serialize)]
 struct Json<'a> {
     outcome: &'static str,
@@ -124,70 +127,69 @@
         Self(Box::new(Inner {
             kind,
             mistakes: Vec::new(),
-            marks: None,
-            theirs: Vec::new(),
+            report: None,
+            changed_by_others: Vec::new(),
             yours: Vec::new(),
         }))
     }
 }
 
 impl Error {
-    /// The error of a call that changes nothing.
-    pub fn read(error: &store::Error) -> Self {
+    /// Creates an error from a call to the store that changed nothing.
+    pub fn unchanged(error: &store::Error) -> Self {
         Kind::Store(match error {
             store::Error::Unavailable(cause) => format!("the platform is unavailable ({cause})"),
             store::Error::Unknown(cause) => format!("the platform gave no answer ({cause})"),
-            // No lease is in play here: the path was not found.
-            store::Error::Lapsed => "what answers there is not the platform".to_owned(),
+            // No command uses a lease, so the error means that the path was not found.
+            store::Error::Lapsed => "the server at this address is not the platform".to_owned(),
             other => other.to_string(),
         })
         .into()
     }
 
-    /// The error of a record that can't be read.
-    pub fn record(key: &str, cause: impl fmt::Display) -> Self {
+    /// Creates an error for a record that can't be read.
+    pub fn invalid_record(key: &str, cause: impl fmt::Display) -> Self {
         Kind::Record { key: key.to_owned(), cause: cause.to_string() }.into()
     }
 
-    /// A file with mistakes.
-    pub fn mistakes(path: &str, text: &str, mistakes: Vec<Diagnostic>) -> Self {
-        let errors = mistakes.iter().filter(|mistake| mistake.severity == Severity::Error);
+    /// Creates an error for a file with an invalid configuration.
+    pub fn mistakes(path: &str, text: &str, diagnostics: Vec<Diagnostic>) -> Self {
+        let errors = diagnostics.iter().filter(|one| one.severity == Severity::Error);
         let kind = Kind::Mistakes { path: path.to_owned(), count: errors.count() };
         let mut error = Self::from(kind);
-        error.0.mistakes = ini::mistakes(&mistakes);
-        error.0.marks = Some(Report::new(path, text, mistakes));
+        error.0.mistakes = ini::mistakes(&diagnostics);
+        error.0.report = Some(Report::new(path, text, diagnostics));
         error
     }
 
-    /// The error with what others changed, and how the operator's file differs
-    /// from what is in force.
+    /// Adds what others changed, and the changes from the configuration in force
+    /// to the operator's file.
     #[must_use]
-    pub fn differences(mut self, theirs: Vec<Change>, yours: Vec<Change>) -> Self {
-        self.0.theirs = theirs;
+    pub fn with_changes(mut self, changed_by_others: Vec<Change>, yours: Vec<Change>) -> Self {
+        self.0.changed_by_others = changed_by_others;
         self.0.yours = yours;
         self
     }
 
-    /// Whether the reader of the output went away, as `head` does when it has
-    /// enough.
+    /// Whether the reader of the output closed the pipe, as `head` does.
     pub fn is_closed_output(&self) -> bool {
         matches!(&self.0.kind, Kind::Output(cause) if cause.kind() == io::ErrorKind::BrokenPipe)
     }
 
-    /// What went wrong.
+    /// Returns the kind of the error.
     pub fn kind(&self) -> &Kind {
         &self.0.kind
     }
 
-    /// The exit code.
+    /// Returns the exit code.
     pub const fn code(&self) -> Code {
         match self.0.kind {
             Kind::File { .. }
-            | Kind::NotText { .. }
+            | Kind::NotUtf8 { .. }
             | Kind::TooLarge { .. }
             | Kind::Mistakes { .. }
             | Kind::NoConfig
-            | Kind::NoVm { .. }
+            | Kind::UnknownVm { .. }
             | Kind::NoWave => Code::Rejected,
             Kind::Conflict { .. } | Kind::DrainConflict(_) | Kind::WaveUnderWay(_) => {
                 Code::Conflict
@@ -199,42 +201,42 @@
         }
     }
 
-    /// The error for scripts.
+    /// Returns the error as JSON.
     pub fn json(&self) -> serde_json::Value {
         let json = Json {
             outcome: self.code().outcome(),
             message: self.0.kind.to_string(),
-            help: self.remedy(),
+            help: self.help_text(),
             mistakes: &self.0.mistakes,
-            changed_by_others: ini::differences(&self.0.theirs),
+            changed_by_others: ini::differences(&self.0.changed_by_others),
             yours: ini::differences(&self.0.yours),
         };
         serde_json::to_value(json).expect("the fields are strings and numbers")
     }
 
-    fn remedy(&self) -> &str {
+    fn help_text(&self) -> &str {
         match &self.0.kind {
             Kind::File { .. } => "name a file that exists and that you may read",
-            Kind::NotText { .. } => "save the file as UTF-8",
+            Kind::NotUtf8 { .. } => "save the file as UTF-8",
             Kind::TooLarge { .. } => "shorten it, comments first",
-            Kind::Mistakes { .. } => "mend all of them; nothing was changed",
+            Kind::Mistakes { .. } => "fix all of them; nothing was changed",
             Kind::Conflict { .. } => {
-                "your file is as it was; bring the others' changes into it (`show config` prints \
-                 them) and apply it with `--expect` and the revision you have seen"
+                "your file is as it was; merge the others' changes into it (`show config` prints \
+                 them) and apply it with `--expect` and the revision that you merged"
             }
-            Kind::DrainConflict(_) => "look with `show vms` and ask again",
-            Kind::WaveUnderWay(_) => "look with `show waves`; halt it, or wait until it is done",
-            Kind::NoWave => "look with `show waves`; `wave start` orders one",
-            Kind::NoVm { help, .. } => help,
+            Kind::DrainConflict(_) => "check `show vms` and try again",
+            Kind::WaveUnderWay(_) => "check `show waves`; halt the wave, or wait until it is done",
+            Kind::NoWave => "check `show waves`; `wave start` starts one",
+            Kind::UnknownVm { help, .. } => help,
             Kind::NoConfig => "apply one with `corianderctl apply FILE`",
-            Kind::Record { .. } => "apply the configuration again, or mend the record",
+            Kind::Record { .. } => "apply the configuration again, or repair the record",
             Kind::Store(_) => "try again later, or check `--platform`",
-            Kind::Unknown(_) => "look with `show` and `history` before asking again",
+            Kind::Unknown(_) => "check `show` and `history` before trying again",
             Kind::Pending(_) => {
-                "it comes into force once the store answers and a controller runs; ask the same \
-                 again to wait for it, and rely on nothing until then"
+                "it comes into force once the store answers and a controller runs; repeat the \
+                 command to wait for it, and do not rely on it until then"
             }
-            Kind::Output(_) => "make room; what the command did stands",
+            Kind::Output(_) => "check where the output goes; what the command did stands",
         }
     }
 }
@@ -242,31 +244,31 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0.kind)?;
-        list(f, "changed by others since:", &self.0.theirs)?;
-        list(f, "your file against what is in force:", &self.0.yours)
+        write_changes(f, "changed by others since:", &self.0.changed_by_others)?;
+        write_changes(f, "changes of your file to the configuration in force:", &self.0.yours)
     }
 }
 
-fn list(f: &mut fmt::Formatter<'_>, title: &str, differences: &[Change]) -> fmt::Result {
-    if differences.is_empty() {
+fn write_changes(f: &mut fmt::Formatter<'_>, title: &str, changes: &[Change]) -> fmt::Result {
+    if changes.is_empty() {
         return Ok(());
     }
     write!(f, "\n\n{title}")?;
-    differences.iter().try_for_each(|difference| write!(f, "\n  {difference}"))
+    changes.iter().try_for_each(|change| write!(f, "\n  {change}"))
 }
 
 impl std::error::Error for Error {}
 
 impl miette::Diagnostic for Error {
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        Some(Box::new(self.remedy()))
+        Some(Box::new(self.help_text()))
     }
 
     fn source_code(&self) -> Option<&dyn SourceCode> {
-        self.0.marks.as_ref()?.source_code()
+        self.0.report.as_ref()?.source_code()
     }
 
     fn related<'a>(&'a self) -> Option<Box<dyn Iterator<Item = &'a dyn miette::Diagnostic> + 'a>> {
-        self.0.marks.as_ref()?.related()
+        self.0.report.as_ref()?.related()
     }
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,6 +1,6 @@
-//! What the exit code says of the fleet.
+//! Exit codes.
 
-/// How a command ended. Scripts branch on the number.
+/// The outcome of a command. Scripts branch on the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     /// Done, or there was nothing to do.
@@ -15,13 +15,13 @@
     Unavailable,
     /// The change may have taken effect.
     Unknown,
-    /// The command is done, but what it printed could not be written.
+    /// The command is done, but its output could not be written.
     Output,
-    /// The change was written, and nobody is known to act on it yet.
+    /// The change was written, but no controller has acknowledged it yet.
     Pending,
 }
 
-/// The lines about exit codes in `--help`.
+/// The description of the exit codes in `--help`.
 pub const HELP: &str = "\
 Exit codes:
   0  done, or nothing to do
@@ -34,7 +34,7 @@
   7  pending: the change was written, and is not yet known to be in force";
 
 impl Code {
-    /// The number that the process ends with.
+    /// Returns the exit code of the process.
     ///
     /// ```
     /// use corianderfork_cli::exit::Code;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The word for it in JSON.
+    /// Returns the value of `outcome` in JSON.
     pub const fn outcome(self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/cli/src/ini.rs
+++ b/crates/cli/src/ini.rs
@@ -1,4 +1,4 @@
-//! The operator's file: read, checked, and compared with what is in force.
+//! Reads, checks and compares the operator's configuration file.
 
 use std::fs::File;
 use std::io::Read;
@@ -9,10 +9,11 @@
 
 use crate::error::{Error, Kind};
 
-/// How the first line of a printed configuration begins; the revision follows.
-const BASE: &str = "; corianderctl: revision ";
+/// The beginning of the first line of a printed configuration; the revision
+/// follows.
+const BASE_PREFIX: &str = "; corianderctl: revision ";
 
-/// A mistake or a warning as scripts read it.
+/// The JSON form of a diagnostic of a configuration.
 #[derive(Clone, Debug, Serialize)]
 pub struct Mistake {
     severity: String,
@@ -36,41 +37,41 @@
     }
 }
 
-/// A difference between two configurations as scripts read it.
+/// The JSON form of a change between two configurations.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "change", rename_all = "kebab-case")]
 pub enum Difference {
-    /// A section is new.
+    /// A section was added.
     Added {
-        /// Its title.
+        /// The section's title.
         section: String,
     },
-    /// A section is gone.
+    /// A section was removed.
     Removed {
-        /// Its title.
+        /// The section's title.
         section: String,
     },
-    /// A key has another value.
+    /// The value of a key was set, changed or removed.
     Set {
-        /// The title of its section.
+        /// The section's title.
         section: String,
         /// The key.
         key: String,
-        /// Its value before.
+        /// The old value, if any.
         from: Option<String>,
-        /// Its value now.
+        /// The new value, if any.
         to: Option<String>,
     },
-    /// The rules stand in another order.
+    /// The order of the rules changed.
     Order {
-        /// The order before.
+        /// The old order.
         from: Vec<String>,
-        /// The order now.
+        /// The new order.
         to: Vec<String>,
     },
-    /// Something else about a section.
+    /// Another change of a section.
     Other {
-        /// Its title.
+        /// The section's title.
         section: String,
     },
 }
@@ -87,23 +88,23 @@
     }
 }
 
-/// Diagnostics as scripts read them.
+/// Converts diagnostics to their JSON form.
 pub fn mistakes(diagnostics: &[Diagnostic]) -> Vec<Mistake> {
     diagnostics.iter().map(Mistake::from).collect()
 }
 
-/// Changes as scripts read them.
+/// Converts changes to their JSON form.
 pub fn differences(changes: &[Change]) -> Vec<Difference> {
     changes.iter().map(Difference::from).collect()
 }
 
-/// What `new` changes in `old`. Changed comments only are no change.
+/// Returns the changes from `old` to `new`, without those of comments.
 pub fn changes(old: &str, new: &str) -> Vec<Change> {
     diff(old, new)
 }
 
-/// Reads a file of at most the store's largest value; a larger one, or a
-/// device without an end, is not taken into memory.
+/// Reads a file of at most the size of the store's largest value. A larger file, or
+/// an endless device, is not read into memory.
 ///
 /// # Errors
 ///
@@ -118,26 +119,27 @@
     }
     String::from_utf8(bytes).map_err(|error| {
         let offset = error.utf8_error().valid_up_to();
-        Kind::NotText { path: path.to_owned(), offset }.into()
+        Kind::NotUtf8 { path: path.to_owned(), offset }.into()
     })
 }
 
-/// Checks a whole configuration.
+/// Parses and checks a configuration.
 ///
 /// # Errors
 ///
-/// Gives all mistakes at once.
+/// Fails with all errors of the configuration.
 pub fn check(path: &str, text: &str) -> Result<Configuration, Error> {
-    corianderfork_config::parse(text).map_err(|mistakes| Error::mistakes(path, text, mistakes))
+    corianderfork_config::parse(text)
+        .map_err(|diagnostics| Error::mistakes(path, text, diagnostics))
 }
 
-/// The line that says which revision a printed configuration is, so that an
-/// edited copy of it can't undo what others applied after it was printed.
+/// Returns the first line of a printed configuration, which names its revision, so
+/// that an edited copy can't undo what others applied after it was printed.
 pub fn base_line(revision: u64) -> String {
-    format!("{BASE}{revision}\n")
+    format!("{BASE_PREFIX}{revision}\n")
 }
 
-/// The revision that the text's first line says it is an edit of.
+/// Returns the revision named by the first line of the text, if any.
 ///
 /// ```
 /// use corianderfork_cli::ini;
@@ -147,12 +149,12 @@
 /// assert_eq!(ini::base("[fleet]\n"), None);
 /// ```
 pub fn base(text: &str) -> Option<u64> {
-    // Some editors put a byte order mark first; it must not hide the line.
-    let first = text.lines().next()?.trim_start_matches('\u{feff}');
-    first.strip_prefix(BASE)?.trim().parse().ok()
+    // Some editors put a byte order mark before the first line.
+    let first_line = text.lines().next()?.trim_start_matches('\u{feff}');
+    first_line.strip_prefix(BASE_PREFIX)?.trim().parse().ok()
 }
 
-/// The text without the line of [`base_line`].
+/// Returns the text without the line of [`base_line`].
 pub fn without_base(text: &str) -> &str {
     match base(text) {
         Some(_) => text.split_once('\n').map_or("", |(_, rest)| rest),
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,16 +1,16 @@
 //! The operators' command line, `corianderctl`, as a library.
 //!
 //! Operators check a configuration ([`check`]), put it in force ([`apply`]),
-//! drain VMs ([`drain`]), and see where the fleet is ([`show`], [`watch`]). All
-//! of it goes through the platform's store; the command line talks to none of
-//! the daemons, so that it works from any machine that reaches the platform,
-//! and after every entry VM has been replaced.
+//! drain VMs ([`drain`]), order maintenance ([`wave`]) and inspect the fleet
+//! ([`show`], [`watch`]). Every command uses only the platform's store and no
+//! daemon, so that it works from any machine that reaches the platform, and after
+//! every entry VM has been replaced.
 //!
-//! A change is one compare-and-swap. Where its answer is lost, [`cas`] finds
-//! out whether it took effect, and says that it can't tell only when the time
-//! is up. Each change leaves a line in the audit trail.
+//! A change is one compare-and-swap. If the response is lost, [`cas`] finds out
+//! whether the write took effect, and reports an unknown outcome only after the
+//! timeout. Each change is recorded in the audit trail.
 //!
-//! The exit code says what happened to the fleet:
+//! The exit code tells what happened to the fleet:
 //!
 //! | code | outcome | |
 //! |---|---|---|
@@ -23,14 +23,14 @@
 //! | 6 | `output` | done, but the output could not be written |
 //! | 7 | `pending` | the change was written, and is not yet known to be in force |
 //!
-//! With `--output json`, answers and errors alike are one line of JSON on the
+//! With `--output json`, results and errors are both one line of JSON on the
 //! standard output.
 //!
 //! ```
 //! use corianderfork_cli::{command, exit::Code};
 //!
-//! let line = ["corianderctl", "apply", "fleet.ini", "--expect", "7"];
-//! let matches = command::command().try_get_matches_from(line)?;
+//! let arguments = ["corianderctl", "apply", "fleet.ini", "--expect", "7"];
+//! let matches = command::command().try_get_matches_from(arguments)?;
 //! assert_eq!(matches.subcommand_name(), Some("apply"));
 //! assert_eq!(Code::Conflict.number(), 3);
 //! # Ok::<(), clap::Error>(())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,21 +4,21 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use corianderfork_cli::context::System;
-use corianderfork_cli::run::{Setup, run};
+use corianderfork_cli::context::SystemClock;
+use corianderfork_cli::run::{Environment, run};
 use corianderfork_provider::http::{Client, Config};
 
 fn main() -> ExitCode {
-    let clock = System::default();
-    let mut setup = Setup {
+    let clock = SystemClock::default();
+    let mut environment = Environment {
         connect: &|address, timeout| {
             let config = Config::new(address).timeout(timeout).caller("corianderctl");
             Arc::new(Client::new(config))
         },
         clock: &clock,
-        terminal: io::stdout().is_terminal(),
+        is_terminal: io::stdout().is_terminal(),
         out: &mut io::stdout(),
         err: &mut io::stderr(),
     };
-    ExitCode::from(run(std::env::args_os(), &mut setup).number())
+    ExitCode::from(run(std::env::args_os(), &mut environment).number())
 }
--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -1,4 +1,4 @@
-//! Records as the store holds them, and the audit of changing them.
+//! Reads records from the store and writes the audit trail.
 
 use corianderfork_provider::record::{Config, Line};
 use corianderfork_provider::store::{Found, Revision};
@@ -9,38 +9,38 @@
 use crate::error::{Error, Kind};
 use corianderfork_provider::audit::Writer;
 
-/// The pause between two attempts to write the audit trail.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(200);
+/// The delay between two attempts to write the audit trail.
+const RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(200);
 
-/// The configuration in force.
+/// The configuration in force, with its revision.
 #[derive(Clone, Debug)]
 pub struct Current {
-    /// Its revision.
+    /// The revision.
     pub revision: Revision,
     /// The record.
     pub config: Config,
 }
 
-/// Reads the record of an entry.
+/// Parses the record in an entry.
 ///
 /// # Errors
 ///
-/// Fails if it is not such a record.
+/// Fails if the value is not a record of type `T`.
 pub fn parse<T: DeserializeOwned>(entry: &store::Entry) -> Result<T, Error> {
-    serde_json::from_str(&entry.value).map_err(|cause| Error::record(&entry.key, cause))
+    serde_json::from_str(&entry.value).map_err(|cause| Error::invalid_record(&entry.key, cause))
 }
 
-/// Reads one record, if the key exists.
+/// Reads the record at `key`, or returns `None` if the key does not exist.
 ///
 /// # Errors
 ///
-/// Fails if the store does, or if the entry is not such a record.
+/// Fails if the store fails or the value is not a record of type `T`.
 pub fn get<T: DeserializeOwned>(context: &Context<'_>, key: &str) -> Result<Option<T>, Error> {
-    let found = context.store.get(key).map_err(|error| Error::read(&error))?;
+    let found = context.store.get(key).map_err(|error| Error::unchanged(&error))?;
     found.entry.as_ref().map(parse).transpose()
 }
 
-/// The configuration that a read of [`key::CONFIG`] found.
+/// Parses the result of a read of [`key::CONFIG`].
 ///
 /// # Errors
 ///
@@ -50,21 +50,21 @@
     Ok(Some(Current { revision: entry.revision, config: parse(entry)? }))
 }
 
-/// The configuration in force.
+/// Reads the configuration in force.
 ///
 /// # Errors
 ///
-/// [`Kind::NoConfig`] if none was applied yet.
+/// Fails with [`Kind::NoConfig`] if none was applied yet.
 pub fn config(context: &Context<'_>) -> Result<Current, Error> {
-    let found = context.store.get(key::CONFIG).map_err(|error| Error::read(&error))?;
+    let found = context.store.get(key::CONFIG).map_err(|error| Error::unchanged(&error))?;
     current(&found)?.ok_or_else(|| Kind::NoConfig.into())
 }
 
-/// A change that took effect.
+/// A change to record in the audit trail.
 #[derive(Clone, Copy, Debug)]
-pub struct Done<'a> {
+pub struct Update<'a> {
     /// What was changed.
-    pub what: &'a str,
+    pub subject: &'a str,
     /// What it was before.
     pub from: &'a str,
     /// What it is now.
@@ -73,28 +73,29 @@
     pub revision: Revision,
 }
 
-/// Adds a change to the audit trail, trying until the deadline. Gives why it
-/// could not be added, if so: the change itself stands, so that this is no
-/// failure of the command.
-pub fn audit(context: &Context<'_>, done: &Done<'_>) -> Option<String> {
+/// Adds a change to the audit trail, with retries until the deadline.
+///
+/// Returns a note if that failed. It is not an error of the command, as the change
+/// itself took effect.
+pub fn audit(context: &Context<'_>, update: &Update<'_>) -> Option<String> {
     let line = Line {
         at_ms: context.clock.unix_ms(),
-        who: context.by.to_owned(),
-        what: done.what.to_owned(),
-        from: done.from.to_owned(),
-        to: done.to.to_owned(),
-        revision: done.revision.0,
+        who: context.operator.to_owned(),
+        what: update.subject.to_owned(),
+        from: update.from.to_owned(),
+        to: update.to.to_owned(),
+        revision: update.revision.0,
     };
     let mut writer = Writer::new();
     loop {
         let Err(error) = writer.append(context.store, std::slice::from_ref(&line)) else {
             return None;
         };
-        if context.late() {
+        if context.deadline_passed() {
             return Some(format!(
                 "the change stands, but its line in the audit trail may be missing: {error}"
             ));
         }
-        context.clock.pause(PAUSE);
+        context.clock.sleep(RETRY_DELAY);
     }
 }
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,27 +1,27 @@
-//! What a command that is done says.
+//! The result of a successful command.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// The same answer for readers and for scripts.
+/// The result of a command as text and as JSON.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// For readers.
+    /// The text for people.
     pub text: String,
-    /// For scripts.
+    /// The JSON for scripts.
     pub json: Value,
-    /// What a reader should know besides; goes to the standard error output.
+    /// Additional notes for people, printed on the standard error output.
     pub notes: Vec<String>,
 }
 
 impl Report {
-    /// A report without notes.
+    /// Creates a report without notes.
     pub fn new(text: String, json: &impl Serialize) -> Self {
         let json = serde_json::to_value(json).expect("the fields are strings and numbers");
         Self { text, json, notes: Vec::new() }
     }
 
-    /// The report with a note.
+    /// Adds a note, if there is one.
     #[must_use]
     pub fn note(mut self, note: Option<String>) -> Self {
         self.notes.extend(note);
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of the program, from its arguments to its exit code.
+//! Runs a command line, from its arguments to its exit code.
 
 use std::ffi::OsString;
 use std::io::{self, Write};
@@ -21,84 +21,84 @@
 use crate::report::Report;
 use crate::{check, drain, show, watch, wave};
 
-/// The part of the timeout that one call may take: after a write whose answer
-/// was lost, the rest is left to read back.
-const CALL_SHARE: u32 = 3;
-/// Clears a terminal.
+/// The timeout divided by this is the timeout of one call, so that time is left
+/// to read back after a write whose response was lost.
+const CALL_TIMEOUT_DIVISOR: u32 = 3;
+/// The escape sequence that clears a terminal.
 const CLEAR: &str = "\x1b[2J\x1b[H";
 
-/// Connects to the platform at an address, with a timeout a call.
+/// Connects to the platform at an address, with a timeout per call.
 pub type Connect<'a> = &'a dyn Fn(SocketAddr, Duration) -> Arc<dyn Store>;
 
-/// What a run works with besides its arguments.
-pub struct Setup<'a> {
-    /// How to reach the platform.
+/// The environment of a run.
+pub struct Environment<'a> {
+    /// Connects to the platform.
     pub connect: Connect<'a>,
     /// The clock.
     pub clock: &'a dyn Clock,
-    /// Whether answers go to a terminal.
-    pub terminal: bool,
-    /// Where answers go.
+    /// Whether `out` is a terminal.
+    pub is_terminal: bool,
+    /// The standard output.
     pub out: &'a mut dyn Write,
-    /// Where errors and notes go.
+    /// The standard error output, for errors and notes.
     pub err: &'a mut dyn Write,
 }
 
-/// Why a run ended early.
-enum Stop {
+/// Why a run failed.
+enum Failure {
     Usage(clap::Error),
-    Failed(Error),
+    Command(Error),
 }
 
-impl From<Error> for Stop {
+impl From<Error> for Failure {
     fn from(error: Error) -> Self {
-        Self::Failed(error)
+        Self::Command(error)
     }
 }
 
-/// Runs a command line, the program's name first.
-pub fn run<A>(arguments: A, setup: &mut Setup<'_>) -> Code
+/// Runs a command line, whose first argument is the program's name.
+pub fn run<A>(arguments: A, environment: &mut Environment<'_>) -> Code
 where
     A: IntoIterator,
     A::Item: Into<OsString> + Clone,
 {
     let matches = match command::command().try_get_matches_from(arguments) {
         Ok(matches) => matches,
-        Err(error) => return usage(&error, setup),
+        Err(error) => return print_usage(&error, environment),
     };
     let Some((name, arguments)) = matches.subcommand() else { return Code::Usage };
     let options = Options::new(arguments);
-    match dispatch(name, arguments, &options, setup) {
+    match dispatch(name, arguments, &options, environment) {
         Ok(()) => Code::Done,
-        Err(Stop::Usage(error)) => usage(&error, setup),
-        Err(Stop::Failed(error)) => fail(error, &options, setup),
+        Err(Failure::Usage(error)) => print_usage(&error, environment),
+        Err(Failure::Command(error)) => print_error(error, &options, environment),
     }
 }
 
-/// `--help` and `--version` come this way too, and are no mistake.
-fn usage(error: &clap::Error, setup: &mut Setup<'_>) -> Code {
+/// Prints a usage error. `--help` and `--version` also arrive here, and succeed.
+fn print_usage(error: &clap::Error, environment: &mut Environment<'_>) -> Code {
     let rendered = error.render();
     if !error.use_stderr() {
-        return match write(setup.out, &rendered.to_string()) {
+        return match write(environment.out, &rendered.to_string()) {
             Ok(()) => Code::Done,
             Err(_) => Code::Output,
         };
     }
-    let _ = write(setup.err, &rendered.to_string());
+    let _ = write(environment.err, &rendered.to_string());
     Code::Usage
 }
 
-fn fail(error: Error, options: &Options, setup: &mut Setup<'_>) -> Code {
+fn print_error(error: Error, options: &Options, environment: &mut Environment<'_>) -> Code {
     if error.is_closed_output() {
         return Code::Done;
     }
     let code = error.code();
-    let written = match options.output {
-        Output::Json => write(setup.out, &format!("{}\n", error.json())),
-        Output::Table => write(setup.err, &format!("{:?}\n", miette::Report::new(error))),
+    let result = match options.output {
+        Output::Json => write(environment.out, &format!("{}\n", error.json())),
+        Output::Table => write(environment.err, &format!("{:?}\n", miette::Report::new(error))),
     };
-    // What happened to the fleet says more than a closed output does.
-    drop(written);
+    // The exit code of the error takes precedence over a failure to print it.
+    drop(result);
     code
 }
 
@@ -106,12 +106,12 @@
     name: &str,
     arguments: &ArgMatches,
     options: &Options,
-    setup: &mut Setup<'_>,
-) -> Result<(), Stop> {
+    environment: &mut Environment<'_>,
+) -> Result<(), Failure> {
     match name {
-        "check" => print(&check::run(text(arguments, "file"))?, options, setup)?,
-        "completions" => completions(arguments, setup)?,
-        _ => with_platform(name, arguments, options, setup)?,
+        "check" => print(&check::run(text(arguments, "file"))?, options, environment)?,
+        "completions" => completions(arguments, environment)?,
+        _ => with_platform(name, arguments, options, environment)?,
     }
     Ok(())
 }
@@ -120,52 +120,52 @@
     name: &str,
     arguments: &ArgMatches,
     options: &Options,
-    setup: &mut Setup<'_>,
-) -> Result<(), Stop> {
+    environment: &mut Environment<'_>,
+) -> Result<(), Failure> {
     let Some(platform) = options.platform else {
-        let what = "name the platform with --platform IP:PORT or CORIANDERFORK_PLATFORM\n";
-        return Err(Stop::Usage(clap::Error::raw(ErrorKind::MissingRequiredArgument, what)));
+        let message = "name the platform with --platform IP:PORT or CORIANDERFORK_PLATFORM\n";
+        return Err(Failure::Usage(clap::Error::raw(ErrorKind::MissingRequiredArgument, message)));
     };
-    let store = (setup.connect)(platform, options.timeout / CALL_SHARE);
-    let clock = setup.clock;
+    let store = (environment.connect)(platform, options.timeout / CALL_TIMEOUT_DIVISOR);
+    let clock = environment.clock;
     let deadline = clock.now() + options.timeout;
-    let context = Context { store: &*store, clock, by: &options.by, deadline };
+    let context = Context { store: &*store, clock, operator: &options.operator, deadline };
     if name == "watch" {
         let count = arguments.get_one("count").copied();
-        let mut print = |report: &Report| refresh(report, options, setup);
+        let mut print = |report: &Report| refresh(report, options, environment);
         return Ok(watch::run(&context, count, &mut print)?);
     }
-    let report = answer(name, arguments, &context)?;
-    Ok(print(&report, options, setup)?)
+    let report = execute(name, arguments, &context)?;
+    Ok(print(&report, options, environment)?)
 }
 
 fn wave_order(arguments: &ArgMatches) -> wave::Order<'_> {
     match arguments.subcommand() {
         Some(("resume", _)) => wave::Order::Resume,
-        Some(("halt", more)) => wave::Order::Halt { reason: text(more, "reason") },
-        Some((_, more)) => wave::Order::Start {
-            vms: more.get_many::<Name>("vms").unwrap_or_default().cloned().collect(),
-            step: more.get_one("step").copied().unwrap_or_default(),
-            within: more.get_one("within").map(|seconds| Duration::from_secs(*seconds)),
-            reason: text(more, "reason"),
+        Some(("halt", arguments)) => wave::Order::Halt { reason: text(arguments, "reason") },
+        Some((_, arguments)) => wave::Order::Start {
+            vms: arguments.get_many::<Name>("vms").unwrap_or_default().cloned().collect(),
+            step: arguments.get_one("step").copied().unwrap_or_default(),
+            within: arguments.get_one("within").map(|seconds| Duration::from_secs(*seconds)),
+            reason: text(arguments, "reason"),
         },
         None => wave::Order::Resume,
     }
 }
 
-fn answer(name: &str, arguments: &ArgMatches, context: &Context<'_>) -> Result<Report, Error> {
+fn execute(name: &str, arguments: &ArgMatches, context: &Context<'_>) -> Result<Report, Error> {
     match name {
-        "apply" => apply::run(context, &request(arguments)),
+        "apply" => apply::run(context, &apply_request(arguments)),
         "drain" => drain::drain(context, vm(arguments), text(arguments, "reason")),
         "wave" => wave::run(context, &wave_order(arguments)),
         "undrain" => drain::undrain(context, vm(arguments)),
         "explain" => show::explain(context),
         "history" => show::audit(context),
-        _ => shown(text(arguments, "what"), context),
+        _ => show_records(text(arguments, "what"), context),
     }
 }
 
-fn shown(what: &str, context: &Context<'_>) -> Result<Report, Error> {
+fn show_records(what: &str, context: &Context<'_>) -> Result<Report, Error> {
     match what {
         "config" => show::config(context),
         "pools" => show::pools(context),
@@ -177,7 +177,7 @@
     }
 }
 
-fn request(arguments: &ArgMatches) -> Request<'_> {
+fn apply_request(arguments: &ArgMatches) -> Request<'_> {
     Request {
         path: text(arguments, "file"),
         note: text(arguments, "note"),
@@ -191,42 +191,50 @@
 }
 
 fn vm(arguments: &ArgMatches) -> &Name {
-    arguments.get_one("vm").expect("the grammar requires it")
+    arguments.get_one("vm").expect("clap requires the argument")
 }
 
-fn completions(arguments: &ArgMatches, setup: &mut Setup<'_>) -> Result<(), Error> {
-    let shell = *arguments.get_one::<Shell>("shell").expect("the grammar requires it");
+fn completions(arguments: &ArgMatches, environment: &mut Environment<'_>) -> Result<(), Error> {
+    let shell = *arguments.get_one::<Shell>("shell").expect("clap requires the argument");
     let mut script = Vec::new();
     clap_complete::generate(shell, &mut command::command(), command::NAME, &mut script);
-    write(setup.out, &String::from_utf8_lossy(&script))
+    write(environment.out, &String::from_utf8_lossy(&script))
 }
 
-fn print(report: &Report, options: &Options, setup: &mut Setup<'_>) -> Result<(), Error> {
+fn print(
+    report: &Report,
+    options: &Options,
+    environment: &mut Environment<'_>,
+) -> Result<(), Error> {
     match options.output {
-        Output::Json => write(setup.out, &format!("{}\n", report.json)),
+        Output::Json => write(environment.out, &format!("{}\n", report.json)),
         Output::Table => {
-            // The notes are beside the answer: without them it still stands.
+            // The notes are optional: the result is valid without them.
             for note in &report.notes {
-                let _ = write(setup.err, &format!("{note}\n"));
+                let _ = write(environment.err, &format!("{note}\n"));
             }
-            write(setup.out, &report.text)
+            write(environment.out, &report.text)
         }
     }
 }
 
-/// Prints a live table in place of the last one, or below it.
-fn refresh(report: &Report, options: &Options, setup: &mut Setup<'_>) -> Result<(), Error> {
+/// Prints a report of `watch`, on a terminal in place of the previous one.
+fn refresh(
+    report: &Report,
+    options: &Options,
+    environment: &mut Environment<'_>,
+) -> Result<(), Error> {
     if options.output == Output::Json {
-        return print(report, options, setup);
+        return print(report, options, environment);
     }
-    let text = match setup.terminal {
+    let text = match environment.is_terminal {
         true => format!("{CLEAR}{}", report.text),
         false => format!("{}\n", report.text),
     };
-    write(setup.out, &text)
+    write(environment.out, &text)
 }
 
-fn write(to: &mut dyn Write, text: &str) -> Result<(), Error> {
-    let written = to.write_all(text.as_bytes()).and_then(|()| to.flush());
-    written.map_err(|error: io::Error| Kind::Output(error).into())
+fn write(output: &mut dyn Write, text: &str) -> Result<(), Error> {
+    let result = output.write_all(text.as_bytes()).and_then(|()| output.flush());
+    result.map_err(|error: io::Error| Kind::Output(error).into())
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! `show`, `history` and `explain`: the records for readers and for scripts.
+//! `show`, `history` and `explain`: reports on the records in the store.
 
 use corianderfork_provider::key;
 use corianderfork_provider::record::{Explain, Holder, Line, Member, Wave};
@@ -24,30 +24,30 @@
 }
 
 #[derive(Serialize)]
-struct Members {
+struct MembersJson {
     members: Vec<Member>,
     planner: Option<Holder>,
 }
 
 #[derive(Serialize)]
-struct Rows<T> {
+struct RowsJson<T> {
     rows: Vec<T>,
 }
 
 #[derive(Serialize)]
-struct One<T> {
+struct RecordJson<T> {
     record: Option<T>,
 }
 
 fn range(context: &Context<'_>, prefix: &str) -> Result<Range, Error> {
-    context.store.range(prefix).map_err(|error| Error::read(&error))
+    context.store.range(prefix).map_err(|error| Error::unchanged(&error))
 }
 
 fn view(context: &Context<'_>) -> Result<View, Error> {
     Ok(View::new(range(context, key::SHARED)?))
 }
 
-/// The configuration in force, as a file that can be edited and applied.
+/// Shows the configuration in force, as a file that can be edited and applied.
 ///
 /// # Errors
 ///
@@ -59,7 +59,7 @@
     Ok(Report::new(ini::base_line(revision) + &config.text, &json))
 }
 
-/// The pools with the phases of their VMs.
+/// Shows the pools with the phases of their VMs.
 ///
 /// # Errors
 ///
@@ -67,10 +67,10 @@
 pub fn pools(context: &Context<'_>) -> Result<Report, Error> {
     let view = view(context)?;
     let rows = view::pools(&view.fleet()?, &view.vms()?);
-    Ok(Report::new(pool_table(&rows), &Rows { rows }))
+    Ok(Report::new(pool_table(&rows), &RowsJson { rows }))
 }
 
-/// The pools as a table.
+/// Formats the pools as a table.
 pub fn pool_table(rows: &[PoolRow]) -> String {
     let mut table = Table::new([
         "POOL",
@@ -100,7 +100,7 @@
     table.to_string()
 }
 
-/// The VMs.
+/// Shows the VMs.
 ///
 /// # Errors
 ///
@@ -109,7 +109,7 @@
     let rows = view(context)?.vms()?;
     let mut table = Table::new(["VM", "POOL", "PHASE", "SINCE", "EPOCH", "COPIES", "REASON"]);
     rows.iter().for_each(|row| table.row(vm_cells(row)));
-    Ok(Report::new(table.to_string(), &Rows { rows }))
+    Ok(Report::new(table.to_string(), &RowsJson { rows }))
 }
 
 fn vm_cells(row: &VmRow) -> [String; 7] {
@@ -132,7 +132,7 @@
     ]
 }
 
-/// The services with their copies.
+/// Shows the services with their copies.
 ///
 /// # Errors
 ///
@@ -140,10 +140,10 @@
 pub fn services(context: &Context<'_>) -> Result<Report, Error> {
     let view = view(context)?;
     let rows = view::services(&view.fleet()?, &view.vms()?);
-    Ok(Report::new(service_table(&rows), &Rows { rows }))
+    Ok(Report::new(service_table(&rows), &RowsJson { rows }))
 }
 
-/// The services as a table.
+/// Formats the services as a table.
 pub fn service_table(rows: &[ServiceRow]) -> String {
     let mut table = Table::new(["SERVICE", "POOL", "ABLE", "LEAST", "MOST", "LICENCES"]);
     for row in rows {
@@ -159,7 +159,7 @@
     table.to_string()
 }
 
-/// The maintenance wave.
+/// Shows the maintenance wave.
 ///
 /// # Errors
 ///
@@ -167,7 +167,7 @@
 pub fn waves(context: &Context<'_>) -> Result<Report, Error> {
     let wave: Option<Wave> = record::get(context, key::WAVE)?;
     let text = wave.as_ref().map_or_else(|| "no wave has run\n".to_owned(), wave_text);
-    Ok(Report::new(text, &One { record: wave }))
+    Ok(Report::new(text, &RecordJson { record: wave }))
 }
 
 fn wave_text(wave: &Wave) -> String {
@@ -184,12 +184,12 @@
     }
     let began = time::utc(wave.began_ms);
     let halted = wave.halted.as_ref();
-    let halted = halted.map_or_else(String::new, |why| format!("halted: {}\n", plain(why)));
+    let halted = halted.map_or_else(String::new, |reason| format!("halted: {}\n", plain(reason)));
     let (number, step, reason) = (wave.number, wave.step, plain(&wave.reason));
     format!("wave {number} since {began}, {step} at once: {reason}\n{halted}{table}")
 }
 
-/// The audit trail, oldest first.
+/// Shows the audit trail, oldest line first.
 ///
 /// # Errors
 ///
@@ -202,10 +202,10 @@
         let (from, to) = (row.from.clone(), row.to.clone());
         table.row([row.revision.to_string(), time::utc(row.at_ms), who, what, from, to]);
     }
-    Ok(Report::new(table.to_string(), &Rows { rows }))
+    Ok(Report::new(table.to_string(), &RowsJson { rows }))
 }
 
-/// The members, and which controller decides.
+/// Shows the members, and which controller decides.
 ///
 /// # Errors
 ///
@@ -224,12 +224,12 @@
             member.callers.map_or_else(|| "-".to_owned(), |address| address.to_string()),
         ]);
     }
-    let decides = planner.as_ref().map_or("none", |holder| holder.name.as_str());
-    let text = format!("{table}controller that decides: {decides}\n");
-    Ok(Report::new(text, &Members { members, planner }))
+    let leader = planner.as_ref().map_or("none", |holder| holder.name.as_str());
+    let text = format!("{table}controller that decides: {leader}\n");
+    Ok(Report::new(text, &MembersJson { members, planner }))
 }
 
-/// What the controller decided last and why.
+/// Shows the last decision of the controller and its reasons.
 ///
 /// # Errors
 ///
@@ -238,7 +238,7 @@
     let explain: Option<Explain> = record::get(context, key::EXPLAIN)?;
     let text = explain.as_ref().map(explain_text);
     let text = text.unwrap_or_else(|| "no controller has decided yet\n".to_owned());
-    Ok(Report::new(text, &One { record: explain }))
+    Ok(Report::new(text, &RecordJson { record: explain }))
 }
 
 fn explain_text(explain: &Explain) -> String {
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,6 +1,6 @@
-//! Tables in plain text.
+//! Plain text tables.
 
-/// The gap between two columns.
+/// The number of spaces between two columns.
 const GAP: usize = 2;
 
 /// Rows under a header, each column as wide as its widest cell.
@@ -18,7 +18,7 @@
 }
 
 impl<const N: usize> Table<N> {
-    /// A table with the header `names`.
+    /// Creates a table with the given column names.
     pub fn new(names: [&str; N]) -> Self {
         Self { rows: vec![names.map(str::to_owned)] }
     }
@@ -34,9 +34,9 @@
     }
 }
 
-/// The text on one line and without what a terminal would act on. Reasons and
-/// notes come from whoever wrote them: one with a line break would look like a
-/// row of its own, one with an escape sequence could hide others.
+/// Replaces control characters by spaces. Reasons and notes are free text: a line
+/// break in one would look like a row of its own, and an escape sequence could hide
+/// other rows.
 pub fn plain(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect()
 }
--- a/crates/cli/src/view.rs
+++ b/crates/cli/src/view.rs
@@ -1,4 +1,4 @@
-//! The fleet as the store's records show it.
+//! The state of the fleet, computed from the store's records.
 
 use std::collections::BTreeMap;
 
@@ -12,57 +12,57 @@
 use crate::error::Error;
 use crate::record;
 
-/// The records under [`key::SHARED`], kept up to date by a watch.
+/// The records under [`key::SHARED`]; a watch can keep them up to date.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     entries: BTreeMap<String, Entry>,
 }
 
-/// A VM for scripts.
+/// The state of a VM.
 #[derive(Clone, Debug, Serialize)]
 pub struct VmRow {
-    /// Its name.
+    /// The VM's name.
     pub vm: Name,
     /// The pool it belongs to.
     pub pool: Name,
-    /// Where it is.
+    /// Its phase.
     pub phase: Phase,
-    /// Grows at each drain.
+    /// A number that is incremented at each drain.
     pub epoch: u64,
-    /// Why it is there.
+    /// Why it is in this phase.
     pub reason: String,
-    /// Since when, in milliseconds since the Unix epoch.
+    /// When the phase began, in milliseconds since the Unix epoch.
     pub since_ms: u64,
-    /// When it was last maintained; 0 if that is not known.
+    /// When it was last maintained; 0 if unknown.
     pub maintained_ms: u64,
-    /// The pool it is being moved to.
+    /// The pool that it is being moved to.
     pub moving_to: Option<Name>,
-    /// An operator's drain.
+    /// The operator's drain, if any.
     pub drain: Option<Drain>,
     /// The copies on it that are able to serve.
     pub runners: Vec<Runner>,
 }
 
-/// How many VMs of a pool are in each phase.
+/// The number of VMs of a pool in each phase.
 #[derive(Clone, Debug, Serialize)]
 pub struct PoolRow {
     /// The pool.
     pub pool: Name,
-    /// All its VMs.
+    /// All VMs.
     pub vms: usize,
-    /// Those that take work.
+    /// VMs that take work.
     pub serving: usize,
-    /// Those with work in flight that take no more.
+    /// VMs that finish work in flight and take no more.
     pub draining: usize,
-    /// Those with no work left.
+    /// VMs without work left.
     pub drained: usize,
-    /// Those that are down for a reboot.
+    /// VMs that are rebooting.
     pub rebooting: usize,
-    /// Those back but not seen able to serve.
+    /// VMs that are back, but not yet known to be able to serve.
     pub returning: usize,
-    /// Those out of service.
+    /// VMs that are out of service.
     pub out: usize,
-    /// The services it carries.
+    /// The services that run on it.
     pub services: Vec<Name>,
 }
 
@@ -71,32 +71,32 @@
 pub struct ServiceRow {
     /// The service.
     pub service: Name,
-    /// The pool that carries it.
+    /// The pool that it runs on.
     pub pool: Name,
-    /// Copies able to serve, on VMs that take work.
+    /// The number of copies able to serve on VMs that take work.
     pub able: usize,
-    /// Copies that are never gone below.
+    /// The minimum number of copies.
     pub least: u32,
-    /// Copies that are never exceeded.
+    /// The maximum number of copies.
     pub most: u32,
-    /// Copies that are licensed.
+    /// The number of licensed copies.
     pub licences: u32,
 }
 
-/// How far a wave is.
+/// The progress of a wave.
 #[derive(Clone, Debug, Serialize)]
 pub struct WaveRow {
-    /// Its number.
+    /// The wave's number.
     pub number: u64,
-    /// VMs that are still to be maintained.
+    /// The number of VMs still to be maintained.
     pub todo: usize,
-    /// VMs under maintenance.
+    /// The number of VMs under maintenance.
     pub doing: usize,
-    /// VMs that came back healthy.
+    /// The number of VMs that came back healthy.
     pub done: usize,
-    /// VMs that came back failing.
+    /// The number of VMs that came back failing.
     pub failed: usize,
-    /// Why it has stopped for an operator.
+    /// Why the wave is halted until an operator resumes it, if it is.
     pub halted: Option<String>,
 }
 
@@ -114,48 +114,51 @@
 }
 
 impl View {
-    /// The records that a read of [`key::SHARED`] found.
+    /// Creates a view from a read of [`key::SHARED`].
     pub fn new(range: Range) -> Self {
         let entries = range.entries.into_iter().map(|entry| (entry.key.clone(), entry));
         Self { entries: entries.collect() }
     }
 
-    /// Takes over a change that a watch saw.
-    pub fn change(&mut self, change: Change) {
+    /// Applies a change from a watch.
+    pub fn apply(&mut self, change: Change) {
         match change.entry {
             Some(entry) => self.entries.insert(change.key, entry),
             None => self.entries.remove(&change.key),
         };
     }
 
-    /// The fleet of the configuration in force; an empty one before the first.
+    /// Returns the fleet of the configuration in force, which is empty if there is
+    /// none.
     ///
     /// # Errors
     ///
-    /// Fails if the configuration can't be read, or not by this version.
+    /// Fails if this version can't read the configuration.
     pub fn fleet(&self) -> Result<Fleet, Error> {
         let Some(entry) = self.entries.get(key::CONFIG) else { return Ok(Fleet::default()) };
         let config: corianderfork_provider::record::Config = record::parse(entry)?;
         let parsed = corianderfork_config::parse(&config.text);
-        let first = |mistakes: &[corianderfork_config::Diagnostic]| {
-            mistakes.first().map_or_else(String::new, ToString::to_string)
+        let first = |diagnostics: &[corianderfork_config::Diagnostic]| {
+            diagnostics.first().map_or_else(String::new, ToString::to_string)
         };
-        let fleet = parsed.map_err(|mistakes| Error::record(key::CONFIG, first(&mistakes)))?.fleet;
+        let fleet = parsed
+            .map_err(|diagnostics| Error::invalid_record(key::CONFIG, first(&diagnostics)))?
+            .fleet;
         Ok(fleet)
     }
 
-    /// All VMs that have a record, by name.
+    /// Returns all VMs that have a record, ordered by name.
     ///
     /// # Errors
     ///
     /// Fails if a record can't be read.
     pub fn vms(&self) -> Result<Vec<VmRow>, Error> {
         let entries = self.under(key::VMS);
-        entries.map(|(name, entry)| self.vm(name, record::parse(entry)?)).collect()
+        entries.map(|(name, entry)| self.vm_row(name, record::parse(entry)?)).collect()
     }
 
-    fn vm(&self, name: &str, vm: Vm) -> Result<VmRow, Error> {
-        let name = Name::new(name).map_err(|cause| Error::record(key::VMS, cause))?;
+    fn vm_row(&self, name: &str, vm: Vm) -> Result<VmRow, Error> {
+        let name = Name::new(name).map_err(|cause| Error::invalid_record(key::VMS, cause))?;
         let drain = self.entries.get(&key::drain(&name)).map(record::parse).transpose()?;
         Ok(VmRow {
             vm: name,
@@ -171,7 +174,7 @@
         })
     }
 
-    /// The members, by role and name.
+    /// Returns the members, ordered by role and name.
     ///
     /// # Errors
     ///
@@ -180,24 +183,25 @@
         self.under(key::MEMBERS).map(|(_, entry)| record::parse(entry)).collect()
     }
 
+    /// Returns the entries under `prefix`, with the rest of their keys.
     fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Entry)> {
-        let from = self.entries.range(prefix.to_owned()..);
-        from.map_while(move |(key, entry)| Some((key.strip_prefix(prefix)?, entry)))
+        let entries = self.entries.range(prefix.to_owned()..);
+        entries.map_while(move |(key, entry)| Some((key.strip_prefix(prefix)?, entry)))
     }
 }
 
-/// The pools of a fleet with the phases of their VMs.
+/// Returns the pools of a fleet with the phases of their VMs.
 pub fn pools(fleet: &Fleet, vms: &[VmRow]) -> Vec<PoolRow> {
     fleet.pools().map(|(_, pool)| pool_row(fleet, &pool.name, vms)).collect()
 }
 
 fn pool_row(fleet: &Fleet, pool: &Name, vms: &[VmRow]) -> PoolRow {
-    let of = || vms.iter().filter(|vm| vm.pool == *pool);
-    let count = |phase| of().filter(|vm| vm.phase == phase).count();
+    let pool_vms = || vms.iter().filter(|vm| vm.pool == *pool);
+    let count = |phase| pool_vms().filter(|vm| vm.phase == phase).count();
     let services = fleet.services().filter(|(_, service)| fleet.pool(service.pool).name == *pool);
     PoolRow {
         pool: pool.clone(),
-        vms: of().count(),
+        vms: pool_vms().count(),
         serving: count(Phase::Serving),
         draining: count(Phase::Draining),
         drained: count(Phase::Drained),
@@ -208,7 +212,7 @@
     }
 }
 
-/// The services of a fleet with their copies.
+/// Returns the services of a fleet with their copies.
 pub fn services(fleet: &Fleet, vms: &[VmRow]) -> Vec<ServiceRow> {
     fleet.services().map(|(_, service)| service_row(fleet, service, vms)).collect()
 }
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -1,10 +1,10 @@
-//! `watch`: the fleet converging to what its operators wrote.
+//! `watch`: shows the state of the fleet as it changes.
 
 use std::time::Duration;
 
 use corianderfork_provider::key;
 use corianderfork_provider::record::Wave;
-use corianderfork_provider::store::{Error as Failure, Revision};
+use corianderfork_provider::store::{Error as StoreError, Revision};
 use serde::Serialize;
 
 use crate::context::Context;
@@ -15,11 +15,11 @@
 use crate::table::plain;
 use crate::view::{self, PoolRow, ServiceRow, View, WaveRow};
 
-/// How long one watch waits; a quiet fleet is printed anew after it.
-const WAIT: Duration = Duration::from_secs(5);
-/// The least time between two refreshes, so that a wave over a large fleet
-/// doesn't cost a call for each of its writes.
-const PAUSE: Duration = Duration::from_millis(500);
+/// The maximum time that one call waits for changes, and so between two reports.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+/// The minimum time between two refreshes, so that a wave over a large fleet does
+/// not cause a call for each of its writes.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct Json {
@@ -30,20 +30,20 @@
     problem: Option<String>,
 }
 
-/// The records and the revision they are complete up to.
+/// The records, and the revision up to which they are complete.
 struct State {
     view: View,
     revision: Revision,
 }
 
-/// Hands a report to `print` at each refresh, `count` times or for ever.
+/// Passes a report to `print` at each refresh, `count` times or without end.
 ///
-/// An outage after the first refresh is a refresh that says so; the records
-/// are then read anew.
+/// During an outage after the first refresh, the report says so and the records
+/// are read again in full.
 ///
 /// # Errors
 ///
-/// Fails if the store can't be read at first, or as `print` does.
+/// Fails if the first read of the store or `print` fails.
 pub fn run(
     context: &Context<'_>,
     count: Option<u64>,
@@ -53,46 +53,46 @@
     let mut printed = 0;
     loop {
         let report = match &state {
-            Some(state) => refresh(context, state),
-            None => problem(0, "the platform does not answer; trying again".to_owned()),
+            Some(state) => state_or_problem_report(context, state),
+            None => problem_report(0, "the platform does not answer; trying again".to_owned()),
         };
         print(&report)?;
         printed += 1;
         if count.is_some_and(|count| printed >= count) {
             return Ok(());
         }
-        context.clock.pause(PAUSE);
-        state = next(context, state).ok();
+        context.clock.sleep(MIN_REFRESH_INTERVAL);
+        state = advance(context, state).ok();
     }
 }
 
 fn read(context: &Context<'_>) -> Result<State, Error> {
-    let range = context.store.range(key::SHARED).map_err(|error| Error::read(&error))?;
+    let range = context.store.range(key::SHARED).map_err(|error| Error::unchanged(&error))?;
     let revision = range.revision;
     Ok(State { view: View::new(range), revision })
 }
 
-/// The state after the next changes; read whole after an outage, or when the
-/// store no longer has all changes since.
-fn next(context: &Context<'_>, state: Option<State>) -> Result<State, Error> {
+/// Waits for changes and returns the state after them. Reads all records after an
+/// outage, or if the store has compacted the changes.
+fn advance(context: &Context<'_>, state: Option<State>) -> Result<State, Error> {
     let Some(mut state) = state else { return read(context) };
-    match context.store.watch(key::SHARED, state.revision, WAIT) {
+    match context.store.watch(key::SHARED, state.revision, WATCH_TIMEOUT) {
         Ok(changes) => {
-            changes.changes.into_iter().for_each(|change| state.view.change(change));
+            changes.changes.into_iter().for_each(|change| state.view.apply(change));
             state.revision = changes.revision;
             Ok(state)
         }
-        Err(Failure::Compacted) => read(context),
-        Err(error) => Err(Error::read(&error)),
+        Err(StoreError::Compacted) => read(context),
+        Err(error) => Err(Error::unchanged(&error)),
     }
 }
 
-fn refresh(context: &Context<'_>, state: &State) -> Report {
+fn state_or_problem_report(context: &Context<'_>, state: &State) -> Report {
     let revision = state.revision.0;
-    report(context, state).unwrap_or_else(|error| problem(revision, error.to_string()))
+    state_report(context, state).unwrap_or_else(|error| problem_report(revision, error.to_string()))
 }
 
-fn report(context: &Context<'_>, state: &State) -> Result<Report, Error> {
+fn state_report(context: &Context<'_>, state: &State) -> Result<Report, Error> {
     let (fleet, vms) = (state.view.fleet()?, state.view.vms()?);
     let wave: Option<Wave> = record::get(context, key::WAVE)?;
     let json = Json {
@@ -105,7 +105,7 @@
     Ok(Report::new(text(&json), &json))
 }
 
-fn problem(revision: u64, problem: String) -> Report {
+fn problem_report(revision: u64, problem: String) -> Report {
     let text = format!("revision {revision}: {}\n", plain(&problem));
     let (pools, services) = (Vec::new(), Vec::new());
     Report::new(text, &Json { revision, pools, services, wave: None, problem: Some(problem) })
@@ -121,6 +121,6 @@
 fn wave_line(wave: &WaveRow) -> String {
     let WaveRow { number, todo, doing, done, failed, halted } = wave;
     let halted = halted.as_ref();
-    let halted = halted.map_or_else(String::new, |why| format!("; halted: {}", plain(why)));
+    let halted = halted.map_or_else(String::new, |reason| format!("; halted: {}", plain(reason)));
     format!("\nwave {number}: {done} done, {doing} doing, {todo} to do, {failed} failed{halted}\n")
 }
--- a/crates/cli/tests/audit.rs
+++ b/crates/cli/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: bounded, ordered, and each change once.
+//! Tests of the audit trail: bounded, ordered, and each change once.
 
 mod fake;
 
@@ -6,7 +6,7 @@
 use corianderfork_provider::key::{AUDIT, audit};
 use corianderfork_provider::record::Line;
 use corianderfork_provider::store::{MAX_VALUE, Store};
-use fake::{Fake, Fault};
+use fake::{FakeStore, Fault};
 
 fn line(revision: u64) -> Line {
     let text = |what: &str| what.repeat(100);
@@ -20,19 +20,19 @@
     }
 }
 
-fn revisions(store: &Fake) -> Vec<u64> {
+fn revisions(store: &FakeStore) -> Vec<u64> {
     let range = store.range(AUDIT).expect("the store is up");
     Trail::new(&range).lines().iter().map(|line| line.revision).collect()
 }
 
-fn segments(store: &Fake) -> Vec<String> {
+fn segments(store: &FakeStore) -> Vec<String> {
     let range = store.range(AUDIT).expect("the store is up");
     range.entries.into_iter().map(|entry| entry.key).collect()
 }
 
 #[test]
-fn append_rolls_and_drops_the_oldest() {
-    let store = Fake::default();
+fn append_drops_oldest_segment() {
+    let store = FakeStore::default();
     let mut writer = Writer::new();
     let mut appended = 0;
     while store.value(&audit(SEGMENTS as u64 + 1)).is_none() {
@@ -51,24 +51,24 @@
 }
 
 #[test]
-fn append_kept_writer_reads_once_a_segment() {
-    let store = Fake::default();
+fn append_reads_once_per_segment() {
+    let store = FakeStore::default();
     let mut writer = Writer::new();
     (0..20).for_each(|n| writer.append(&store, &[line(n)]).expect("the store is up"));
     assert_eq!(store.reads(), 1);
 }
 
 #[test]
-fn append_lost_answer_asked_again_is_there_once() {
-    // Symptom: the trail shows one change twice, or not at all.
-    // Sequence: an append's answer is lost; the writer, or its successor, asks again.
-    // Cause: an append that does not look for its own lines.
+fn append_retry_after_lost_response() {
+    // A change was in the trail twice, or not at all, after the writer or its successor
+    // retried an append whose response was lost: the retry did not look for its own
+    // lines.
     for fault in [Fault::LoseAnswer(vec![]), Fault::LoseRequest(vec![])] {
-        let store = Fake::default();
+        let store = FakeStore::default();
         let mut writer = Writer::new();
         writer.append(&store, &[line(1)]).expect("the store is up");
-        store.fault(AUDIT, fault);
-        writer.append(&store, &[line(2)]).expect_err("the answer is lost");
+        store.inject(AUDIT, fault);
+        writer.append(&store, &[line(2)]).expect_err("the response is lost");
         writer.append(&store, &[line(2)]).expect("the store is up");
         Writer::new().append(&store, &[line(2)]).expect("the store is up");
         assert_eq!(revisions(&store), [1, 2]);
@@ -76,19 +76,20 @@
 }
 
 #[test]
-fn append_lost_answer_that_filled_the_segment_is_there_once() {
-    // Symptom: the same lines end one segment and begin the next.
-    // Sequence: the append that fills a segment loses its answer; it is asked again.
-    // Cause: only the segment to be written is searched for the lines.
-    let store = Fake::default();
+fn append_retry_after_full_segment() {
+    // The same lines ended one segment and began the next: the response to the append
+    // that filled the segment was lost, and the retry searched only the segment to be
+    // written for its lines.
+    let store = FakeStore::default();
     let mut writer = Writer::new();
     let lines: Vec<Line> = (0..500).map(line).collect();
     let mut batches = lines.chunks(50);
-    let full = |store: &Fake| store.value(&audit(0)).is_some_and(|v| v.len() >= SEGMENT_BYTES);
-    while !full(&store) {
-        store.fault(AUDIT, Fault::LoseAnswer(vec![]));
+    let is_full =
+        |store: &FakeStore| store.value(&audit(0)).is_some_and(|v| v.len() >= SEGMENT_BYTES);
+    while !is_full(&store) {
+        store.inject(AUDIT, Fault::LoseAnswer(vec![]));
         let batch = batches.next().expect("500 lines fill a segment");
-        writer.append(&store, batch).expect_err("the answer is lost");
+        writer.append(&store, batch).expect_err("the response is lost");
         writer.append(&store, batch).expect("the store is up");
     }
     let seen = revisions(&store);
@@ -97,14 +98,14 @@
 }
 
 #[test]
-fn append_paused_writer_continues_at_the_end() {
-    // Symptom: new lines lie before old ones, and are dropped with them.
-    // Sequence: one writer is paused while another fills segments and drops them.
-    // Cause: the paused one goes on from the segment it remembers.
-    let store = Fake::default();
+fn append_after_pause() {
+    // A writer that was paused while another filled and dropped segments continued at
+    // the segment that it remembered: its new lines were before older ones, and dropped
+    // with them.
+    let store = FakeStore::default();
     let mut paused = Writer::new();
     while store.value(&audit(0)).is_none_or(|value| value.len() < SEGMENT_BYTES) {
-        paused.append(&store, &[line(store.writes(&audit(0)) as u64)]).expect("up");
+        paused.append(&store, &[line(store.writes(&audit(0)) as u64)]).expect("the store is up");
     }
     let mut next = 10_000;
     while store.value(&audit(SEGMENTS as u64 + 2)).is_none() {
@@ -119,25 +120,23 @@
 }
 
 #[test]
-fn append_two_writers_lose_nothing() {
-    // Symptom: lines of one writer are gone.
-    // Sequence: two writers know the same end of the trail and append in turn.
-    // Cause: a write that does not expect the revision it was decided on.
-    let store = Fake::default();
-    let (mut one, mut two) = (Writer::new(), Writer::new());
+fn append_two_writers() {
+    // Two writers that append in turn overwrote each other's lines: the write did not
+    // expect the revision that it was based on.
+    let store = FakeStore::default();
+    let (mut first, mut second) = (Writer::new(), Writer::new());
     for n in 0..200 {
-        one.append(&store, &[line(2 * n)]).expect("the store is up");
-        two.append(&store, &[line(2 * n + 1)]).expect("the store is up");
+        first.append(&store, &[line(2 * n)]).expect("the store is up");
+        second.append(&store, &[line(2 * n + 1)]).expect("the store is up");
     }
     assert_eq!(revisions(&store), (0..400).collect::<Vec<_>>());
 }
 
 #[test]
-fn append_unreadable_segment_is_passed_over() {
-    // Symptom: no change is audited any more.
-    // Sequence: something else writes the last segment.
-    // Cause: a segment that cannot be parsed stops the trail, or is overwritten.
-    let store = Fake::default();
+fn append_skips_unreadable_segment() {
+    // No change was audited after something else had written the last segment: a
+    // segment that can't be parsed must neither stop the trail nor be overwritten.
+    let store = FakeStore::default();
     store.set(&audit(0), "not JSON");
     store.set("audit/notes", "no segment");
     Writer::new().append(&store, &[line(1)]).expect("the store is up");
@@ -145,8 +144,8 @@
 }
 
 #[test]
-fn append_longest_lines_fit_the_store() {
-    let store = Fake::default();
+fn append_longest_lines() {
+    let store = FakeStore::default();
     let long = "\u{1}".repeat(20 * FIELD_CHARS);
     let longest = |revision| Line { from: long.clone(), to: long.clone(), ..line(revision) };
     let lines: Vec<Line> = (0..200).map(longest).collect();
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Drains: idempotent, and never under a name that no VM has.
+//! Tests of `drain` and `undrain`.
 
 mod fake;
 
@@ -6,127 +6,123 @@
 
 use corianderfork_provider::key::{CONFIG, audit};
 use corianderfork_provider::record::Audit;
-use fake::{Fake, Fault, json, sample, theirs};
+use fake::{FakeStore, Fault, bobs_record, config_text, run_json};
 
 const KEY: &str = "shared/drain/v01";
-const BOBS: &str = r#"{"by":"bob","reason":"disk"}"#;
+const BOBS_DRAIN: &str = r#"{"by":"bob","reason":"disk"}"#;
 
-fn fleet() -> Arc<Fake> {
-    let store = Arc::new(Fake::default());
-    store.set(CONFIG, &theirs(&sample(12, 8)));
+fn fleet() -> Arc<FakeStore> {
+    let store = Arc::new(FakeStore::default());
+    store.set(CONFIG, &bobs_record(&config_text(12, 8)));
     store
 }
 
-fn changes(store: &Fake) -> Vec<(String, u64)> {
+fn audited_changes(store: &FakeStore) -> Vec<(String, u64)> {
     let Some(value) = store.value(&audit(0)) else { return Vec::new() };
     let trail: Audit = serde_json::from_str(&value).expect("it is a segment");
     trail.lines.into_iter().map(|line| (line.what, line.revision)).collect()
 }
 
 #[test]
-fn drain_twice_and_undrain_twice_change_once() {
+fn drain_and_undrain_idempotent() {
     let store = fleet();
     let outcomes: Vec<_> = [
-        json(&store, &["drain", "v01", "--reason", "fan"]),
-        json(&store, &["drain", "v01", "--reason", "again"]),
-        json(&store, &["undrain", "v01"]),
-        json(&store, &["undrain", "v01"]),
+        run_json(&store, &["drain", "v01", "--reason", "fan"]),
+        run_json(&store, &["drain", "v01", "--reason", "again"]),
+        run_json(&store, &["undrain", "v01"]),
+        run_json(&store, &["undrain", "v01"]),
     ]
     .into_iter()
-    .map(|ran| (ran.code, ran.json()["outcome"].as_str().map(str::to_owned)))
+    .map(|result| (result.code, result.json()["outcome"].as_str().map(str::to_owned)))
     .collect();
-    let said = |text: &str| (0, Some(text.to_owned()));
-    let expected = [said("accepted"), said("unchanged"), said("accepted"), said("unchanged")];
+    let done = |outcome: &str| (0, Some(outcome.to_owned()));
+    let expected = [done("accepted"), done("unchanged"), done("accepted"), done("unchanged")];
     assert_eq!(outcomes, expected);
     assert_eq!(store.writes(KEY), 2);
-    assert_eq!(changes(&store), [("vm v01".to_owned(), 2), ("vm v01".to_owned(), 4)]);
+    assert_eq!(audited_changes(&store), [("vm v01".to_owned(), 2), ("vm v01".to_owned(), 4)]);
 }
 
 #[test]
-fn drain_unknown_vm_is_rejected_with_the_nearest() {
-    // Symptom: a drain is accepted, and the VM that was meant takes work on.
-    // Sequence: an operator misspells the VM's name.
-    // Cause: a record under any name is taken.
+fn drain_unknown_vm() {
+    // A drain under a misspelt name was accepted, and the intended VM kept taking work.
     let store = fleet();
-    let ran = json(&store, &["drain", "v1O"]);
-    assert_eq!((ran.code, ran.json()["outcome"].as_str()), (1, Some("rejected")));
-    assert!(ran.json()["help"].as_str().is_some_and(|help| help.contains("v0")));
+    let result = run_json(&store, &["drain", "v1O"]);
+    assert_eq!((result.code, result.json()["outcome"].as_str()), (1, Some("rejected")));
+    assert!(result.json()["help"].as_str().is_some_and(|help| help.contains("v0")));
     assert_eq!(store.writes("shared/drain/v1O"), 0);
 }
 
 #[test]
-fn drain_lost_answer_is_recognised() {
-    // Symptom: a drain reported as failed, with no line in the audit trail.
-    // Sequence: the write, or the request, is lost; the command reads back.
-    // Cause: a lost answer taken for the one or the other.
+fn drain_lost_response() {
+    // A drain was reported as failed, and not audited, if the request or the response
+    // was lost: without reading back, the command can't tell which.
     for fault in [Fault::LoseAnswer(vec![]), Fault::LoseRequest(vec![])] {
         let store = fleet();
-        store.fault(KEY, fault);
-        assert_eq!(json(&store, &["drain", "v01"]).json()["outcome"], "accepted");
-        assert_eq!((store.writes(KEY), changes(&store).len()), (1, 1));
+        store.inject(KEY, fault);
+        assert_eq!(run_json(&store, &["drain", "v01"]).json()["outcome"], "accepted");
+        assert_eq!((store.writes(KEY), audited_changes(&store).len()), (1, 1));
     }
 }
 
 #[test]
-fn drain_race_keeps_the_first_wish() {
-    // Symptom: Bob's reason is gone.
-    // Sequence: Ann finds no drain; Bob drains; Ann drains.
-    // Cause: a write that does not expect the key to be absent.
+fn drain_race_with_drain() {
+    // Ann's drain overwrote the one that Bob wrote after her read, and his reason: the
+    // write did not expect the key to be absent.
     let store = fleet();
-    store.fault(KEY, Fault::Race(Some(BOBS.to_owned())));
-    let ran = json(&store, &["drain", "v01"]);
-    assert_eq!((ran.code, &ran.json()["drain"]["by"]), (0, &serde_json::json!("bob")));
-    assert_eq!(store.value(KEY).as_deref(), Some(BOBS));
+    store.inject(KEY, Fault::Race(Some(BOBS_DRAIN.to_owned())));
+    let result = run_json(&store, &["drain", "v01"]);
+    assert_eq!((result.code, &result.json()["drain"]["by"]), (0, &serde_json::json!("bob")));
+    assert_eq!(store.value(KEY).as_deref(), Some(BOBS_DRAIN));
 }
 
 #[test]
-fn undrain_lost_answer_is_recognised() {
-    // Symptom: an undrain reported as a conflict with itself.
-    // Sequence: the delete takes effect; its answer is lost.
-    // Cause: an absent key taken for someone else's doing.
+fn undrain_lost_response() {
+    // An undrain whose response was lost was reported as a conflict: the absent key was
+    // taken for another operator's deletion.
     let store = fleet();
-    store.set(KEY, BOBS);
-    store.fault(KEY, Fault::LoseAnswer(vec![]));
-    let ran = json(&store, &["undrain", "v01"]);
-    assert_eq!((ran.code, ran.json()["outcome"].as_str()), (0, Some("accepted")));
-    assert_eq!(changes(&store), [("vm v01".to_owned(), 3)]);
+    store.set(KEY, BOBS_DRAIN);
+    store.inject(KEY, Fault::LoseAnswer(vec![]));
+    let result = run_json(&store, &["undrain", "v01"]);
+    assert_eq!((result.code, result.json()["outcome"].as_str()), (0, Some("accepted")));
+    assert_eq!(audited_changes(&store), [("vm v01".to_owned(), 3)]);
 }
 
 #[test]
-fn undrain_race_with_a_new_drain_is_conflict() {
-    // Symptom: a drain that Bob has just asked for is gone.
-    // Sequence: Ann reads the old drain; Bob replaces it; Ann deletes.
-    // Cause: a delete that does not expect a revision.
+fn undrain_race_with_drain() {
+    // Ann's delete removed the drain by which Bob had replaced the one that she read:
+    // the delete did not expect a revision.
     let store = fleet();
     store.set(KEY, r#"{"by":"ann","reason":"fan"}"#);
-    store.fault(KEY, Fault::Race(Some(BOBS.to_owned())));
-    assert_eq!(json(&store, &["undrain", "v01"]).code, 3);
-    assert_eq!(store.value(KEY).as_deref(), Some(BOBS));
+    store.inject(KEY, Fault::Race(Some(BOBS_DRAIN.to_owned())));
+    assert_eq!(run_json(&store, &["undrain", "v01"]).code, 3);
+    assert_eq!(store.value(KEY).as_deref(), Some(BOBS_DRAIN));
 }
 
 #[test]
-fn undrain_race_with_another_undrain_is_done() {
+fn undrain_race_with_undrain() {
     let store = fleet();
-    store.set(KEY, BOBS);
-    store.fault(KEY, Fault::Race(None));
-    assert_eq!(json(&store, &["undrain", "v01"]).code, 0);
-    assert!(changes(&store).is_empty());
+    store.set(KEY, BOBS_DRAIN);
+    store.inject(KEY, Fault::Race(None));
+    assert_eq!(run_json(&store, &["undrain", "v01"]).code, 0);
+    assert!(audited_changes(&store).is_empty());
 }
 
 #[test]
-fn drain_that_no_controller_has_heard_of_is_pending() {
-    // Symptom: an operator is told that a drain is accepted, and the VM gets requests
-    //   for a whole outage.
-    // Sequence: the drain is written; the store goes down before any watch has shown
-    //   it.
-    // Cause: the store's answer is taken for the word that somebody acts on it.
+fn drain_unacknowledged() {
+    // A drain was reported as accepted, but the VM got requests for a whole outage: the
+    // store went down after the write, before any watch delivered it. Success of the
+    // write does not mean that a controller knows of it.
     let store = fleet();
-    store.hear_nothing();
-    let ran = json(&store, &["drain", "v01"]);
-    assert_eq!((ran.code, ran.json()["outcome"].as_str()), (7, Some("pending")));
-    assert_eq!((store.writes(KEY), changes(&store).len()), (1, 1), "it stands, and is audited");
-    assert!(ran.took_ms >= 1_000, "it waits for a controller: {} ms", ran.took_ms);
-    // Asked again, it waits again; an answer is none before it is in force.
-    assert_eq!(json(&store, &["drain", "v01"]).code, 7);
+    store.stop_acknowledging();
+    let result = run_json(&store, &["drain", "v01"]);
+    assert_eq!((result.code, result.json()["outcome"].as_str()), (7, Some("pending")));
+    assert_eq!(
+        (store.writes(KEY), audited_changes(&store).len()),
+        (1, 1),
+        "it is written and audited"
+    );
+    assert!(result.elapsed_ms >= 1_000, "waited only {} ms for a controller", result.elapsed_ms);
+    // Repeated, it waits again, as the drain is still not in force.
+    assert_eq!(run_json(&store, &["drain", "v01"]).code, 7);
     assert_eq!(store.writes(KEY), 1);
 }
--- a/crates/cli/tests/fake/mod.rs
+++ b/crates/cli/tests/fake/mod.rs
@@ -1,6 +1,6 @@
-//! A store in memory that loses answers and races, and runs against it.
+//! An in-memory store with fault injection, and helpers that run commands on it.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "no test file uses all helpers")]
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,23 +9,23 @@
 use std::time::Duration;
 
 use corianderfork_cli::context::Clock;
-use corianderfork_cli::run::{Setup, run};
+use corianderfork_cli::run::{Environment, run};
 use corianderfork_model::Time;
 use corianderfork_provider::key::HEARD;
 use corianderfork_provider::store::{
     Change, Changes, Entry, Error, Expect, Found, LeaseId, Range, Revision, Store,
 };
 
-/// What happens to the next write of a key.
+/// A fault of the next write of a key.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// Someone else writes first.
+    /// Someone else writes the key first, or deletes it if `None`.
     Race(Option<String>),
-    /// It takes effect, the answer is lost, and then others write.
+    /// The write takes effect, the response is lost, and then others write.
     LoseAnswer(Vec<String>),
-    /// It never arrives, no answer comes, and then others write.
+    /// The request is lost, and then others write.
     LoseRequest(Vec<String>),
-    /// It takes effect, the answer is lost, and the store goes down.
+    /// The write takes effect, the response is lost, and the store goes down.
     LoseAnswerAndDown,
 }
 
@@ -36,15 +36,18 @@
     revision: u64,
     faults: VecDeque<(String, Fault)>,
     down: bool,
-    forgetful: bool,
+    /// Whether the history is compacted.
+    is_compacted: bool,
+    /// A key that is deleted while the next watch fails.
     cut_watch: Option<String>,
-    /// Whether no controller hears what is written.
-    unheard: bool,
+    /// Whether no controller acknowledges writes.
+    is_unacknowledged: bool,
     reads: u64,
 }
 
+/// A store in memory.
 #[derive(Default)]
-pub struct Fake(Mutex<Inner>);
+pub struct FakeStore(Mutex<Inner>);
 
 impl Inner {
     fn write(&mut self, key: &str, value: Option<&str>) -> Revision {
@@ -65,25 +68,25 @@
         revision
     }
 
-    fn up(&self) -> Result<(), Error> {
+    fn check_up(&self) -> Result<(), Error> {
         if self.down { Err(Error::Unavailable("down".to_owned())) } else { Ok(()) }
     }
 
-    /// What a controller says that has heard all, unless there is none.
-    fn heard(&self) -> Option<Entry> {
+    /// Returns the record of a controller that has acknowledged all writes.
+    fn acknowledgement(&self) -> Option<Entry> {
         let (key, revision) = (HEARD.to_owned(), Revision(self.revision));
         let value = format!("{{\"revision\":{}}}", self.revision);
-        (!self.unheard).then_some(Entry { key, value, revision, lease: None })
+        (!self.is_unacknowledged).then_some(Entry { key, value, revision, lease: None })
     }
 
     fn swap(&mut self, key: &str, value: Option<&str>, expect: Expect) -> Result<Revision, Error> {
         let current = self.entries.get(key);
-        let fits = match expect {
+        let matches = match expect {
             Expect::Absent => current.is_none(),
             Expect::Revision(revision) => current.is_some_and(|e| e.revision == revision),
             Expect::Anything => true,
         };
-        if !fits {
+        if !matches {
             return Err(Error::Conflict { key: key.to_owned(), current: current.cloned() });
         }
         Ok(self.write(key, value))
@@ -95,13 +98,13 @@
         value: Option<&str>,
         expect: Expect,
     ) -> Result<Revision, Error> {
-        self.up()?;
-        let lost = || Err(Error::Unknown("cut".to_owned()));
-        let fault = self.faults.iter().position(|(of, _)| key.starts_with(of.as_str()));
-        match fault.and_then(|at| self.faults.remove(at)).map(|(_, fault)| fault) {
+        self.check_up()?;
+        let response_lost = || Err(Error::Unknown("cut".to_owned()));
+        let fault = self.faults.iter().position(|(prefix, _)| key.starts_with(prefix.as_str()));
+        match fault.and_then(|index| self.faults.remove(index)).map(|(_, fault)| fault) {
             None => self.swap(key, value, expect),
-            Some(Fault::Race(theirs)) => {
-                self.write(key, theirs.as_deref());
+            Some(Fault::Race(other)) => {
+                self.write(key, other.as_deref());
                 self.swap(key, value, expect)
             }
             Some(Fault::LoseAnswer(others)) => {
@@ -109,46 +112,48 @@
                 others.iter().for_each(|other| {
                     self.write(key, Some(other));
                 });
-                lost()
+                response_lost()
             }
             Some(Fault::LoseRequest(others)) => {
                 others.iter().for_each(|other| {
                     self.write(key, Some(other));
                 });
-                lost()
+                response_lost()
             }
             Some(Fault::LoseAnswerAndDown) => {
                 self.swap(key, value, expect).expect("the test expects this write to fit");
                 self.down = true;
-                lost()
+                response_lost()
             }
         }
     }
 }
 
-impl Fake {
-    fn with<T>(&self, act: impl FnOnce(&mut Inner) -> T) -> T {
-        act(&mut self.0.lock().expect("no test panics while it holds the store"))
+impl FakeStore {
+    fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
+        f(&mut self.0.lock().expect("no test panics while it holds the lock"))
     }
 
-    pub fn fault(&self, key: &str, fault: Fault) {
+    /// Injects a fault into the next write of a key that begins with `key`.
+    pub fn inject(&self, key: &str, fault: Fault) {
         self.with(|inner| inner.faults.push_back((key.to_owned(), fault)));
     }
 
+    /// Writes an entry and returns its revision.
     pub fn set(&self, key: &str, value: &str) -> u64 {
         self.with(|inner| inner.write(key, Some(value)).0)
     }
 
-    pub fn down(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         self.with(|inner| inner.down = down);
     }
 
-    /// From now on no history is held.
-    pub fn forget(&self) {
-        self.with(|inner| inner.forgetful = true);
+    /// Makes each watch fail because the history is compacted.
+    pub fn compact(&self) {
+        self.with(|inner| inner.is_compacted = true);
     }
 
-    /// The next watch ends without an answer, and `key` is deleted meanwhile.
+    /// Makes the next watch fail without a response, and deletes `key` meanwhile.
     pub fn cut_watch(&self, key: &str) {
         self.with(|inner| inner.cut_watch = Some(key.to_owned()));
     }
@@ -161,12 +166,12 @@
         self.with(|inner| inner.entries.get(key).map_or(0, |entry| entry.revision.0))
     }
 
-    /// From now on no controller hears what is written.
-    pub fn hear_nothing(&self) {
-        self.with(|inner| inner.unheard = true);
+    /// Makes the controller acknowledge no write.
+    pub fn stop_acknowledging(&self) {
+        self.with(|inner| inner.is_unacknowledged = true);
     }
 
-    /// How often the key was written.
+    /// Returns the number of writes of a key.
     pub fn writes(&self, key: &str) -> usize {
         self.with(|inner| inner.history.iter().filter(|change| change.key == key).count())
     }
@@ -176,12 +181,16 @@
     }
 }
 
-impl Store for Fake {
+impl Store for FakeStore {
     fn get(&self, key: &str) -> Result<Found, Error> {
         self.with(|inner| {
             inner.reads += 1;
-            inner.up()?;
-            let entry = if key == HEARD { inner.heard() } else { inner.entries.get(key).cloned() };
+            inner.check_up()?;
+            let entry = if key == HEARD {
+                inner.acknowledgement()
+            } else {
+                inner.entries.get(key).cloned()
+            };
             Ok(Found { revision: Revision(inner.revision), entry })
         })
     }
@@ -189,7 +198,7 @@
     fn range(&self, prefix: &str) -> Result<Range, Error> {
         self.with(|inner| {
             inner.reads += 1;
-            inner.up()?;
+            inner.check_up()?;
             let entries = inner.entries.values().filter(|e| e.key.starts_with(prefix));
             Ok(Range { revision: Revision(inner.revision), entries: entries.cloned().collect() })
         })
@@ -205,12 +214,12 @@
 
     fn watch(&self, prefix: &str, after: Revision, _: Duration) -> Result<Changes, Error> {
         self.with(|inner| {
-            inner.up()?;
+            inner.check_up()?;
             if let Some(key) = inner.cut_watch.take() {
                 inner.write(&key, None);
                 return Err(Error::Unknown("silent".to_owned()));
             }
-            if inner.forgetful {
+            if inner.is_compacted {
                 return Err(Error::Compacted);
             }
             let later = inner.history.iter().filter(|c| c.revision > after);
@@ -232,11 +241,11 @@
     }
 }
 
-/// Time that passes in pauses only.
+/// A clock that advances only in [`Clock::sleep`].
 #[derive(Default)]
-pub struct Still(Cell<u64>);
+pub struct FakeClock(Cell<u64>);
 
-impl Clock for Still {
+impl Clock for FakeClock {
     fn now(&self) -> Time {
         Time::from_millis(self.0.get())
     }
@@ -245,62 +254,62 @@
         1_000_000 + self.0.get()
     }
 
-    fn pause(&self, time: Duration) {
-        self.0.set(self.0.get() + time.as_millis() as u64);
+    fn sleep(&self, duration: Duration) {
+        self.0.set(self.0.get() + duration.as_millis() as u64);
     }
 }
 
-/// How a run ended.
-pub struct Ran {
+/// The result of a run.
+pub struct RunResult {
     pub code: u8,
     pub out: String,
     pub err: String,
-    /// The time that passed, in milliseconds.
-    pub took_ms: u64,
+    /// The duration of the run on its clock, in milliseconds.
+    pub elapsed_ms: u64,
 }
 
-impl Ran {
+impl RunResult {
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.out).expect("the output is one JSON value")
     }
 }
 
-/// Runs a command line with JSON output.
-pub fn json(store: &Arc<Fake>, arguments: &[&str]) -> Ran {
+/// Runs a command with JSON output.
+pub fn run_json(store: &Arc<FakeStore>, arguments: &[&str]) -> RunResult {
     let fixed = ["--platform", "127.0.0.1:1", "--output", "json", "--by", "ann"];
-    let all: Vec<&str> = arguments.iter().chain(&fixed).copied().collect();
-    plain(store, &all)
+    let arguments: Vec<&str> = arguments.iter().chain(&fixed).copied().collect();
+    run_command(store, &arguments)
 }
 
-/// Runs a command line as it is.
-pub fn plain(store: &Arc<Fake>, arguments: &[&str]) -> Ran {
-    let clock = Still::default();
+/// Runs a command with the given arguments only.
+pub fn run_command(store: &Arc<FakeStore>, arguments: &[&str]) -> RunResult {
+    let clock = FakeClock::default();
     let (mut out, mut err) = (Vec::new(), Vec::new());
-    let connected = store.clone();
-    let mut setup = Setup {
-        connect: &move |_, _| connected.clone(),
+    let store = store.clone();
+    let mut environment = Environment {
+        connect: &move |_, _| store.clone(),
         clock: &clock,
-        terminal: false,
+        is_terminal: false,
         out: &mut out,
         err: &mut err,
     };
-    let code = run(["corianderctl"].iter().chain(arguments), &mut setup).number();
+    let code = run(["corianderctl"].iter().chain(arguments), &mut environment).number();
     let text = |bytes| String::from_utf8(bytes).expect("the output is text");
-    Ran { code, out: text(out), err: text(err), took_ms: clock.0.get() }
+    RunResult { code, out: text(out), err: text(err), elapsed_ms: clock.0.get() }
 }
 
-/// A file of the test.
-pub fn file(content: impl AsRef<[u8]>) -> String {
+/// Writes a temporary file and returns its path.
+pub fn temp_file(content: impl AsRef<[u8]>) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let name = format!("cli-{}-{number}.ini", std::process::id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, content).expect("the test's folder is writable");
+    std::fs::write(&path, content).expect("the folder for temporary files is writable");
     path.to_str().expect("the path is text").to_owned()
 }
 
-/// A valid configuration.
-pub fn sample(licences: u32, cores: u32) -> String {
+/// Returns a valid configuration.
+pub fn config_text(licences: u32, cores: u32) -> String {
     format!(
         "[fleet]\nversion = 1\nname = clubs\n\n[data_centre.kolkata]\nregion = bengal\n\n\
          [pool.registry]\n\n[rack.k1]\ndata_centre = kolkata\npool = registry\nvms = v[01..04]\n\
@@ -310,8 +319,8 @@
     )
 }
 
-/// The record of a configuration that someone else applied.
-pub fn theirs(text: &str) -> String {
-    let json = serde_json::json!({"text": text, "by": "bob", "note": "", "token": "bobs"});
-    json.to_string()
+/// Returns the record of a configuration that another operator, Bob, applied.
+pub fn bobs_record(text: &str) -> String {
+    let record = serde_json::json!({"text": text, "by": "bob", "note": "", "token": "bobs"});
+    record.to_string()
 }
--- a/crates/cli/tests/output.rs
+++ b/crates/cli/tests/output.rs
@@ -1,16 +1,16 @@
-//! What is printed, and the exit codes.
+//! Tests of the output and the exit codes.
 
 mod fake;
 
 use std::sync::Arc;
 
 use corianderfork_provider::key::{CONFIG, EXPLAIN, PLANNER, WAVE};
-use fake::{Fake, file, json, plain, sample, theirs};
+use fake::{FakeStore, bobs_record, config_text, run_command, run_json, temp_file};
 use serde_json::json as value;
 
-fn fleet() -> Arc<Fake> {
-    let store = Arc::new(Fake::default());
-    store.set(CONFIG, &theirs(&sample(12, 8)));
+fn fleet() -> Arc<FakeStore> {
+    let store = Arc::new(FakeStore::default());
+    store.set(CONFIG, &bobs_record(&config_text(12, 8)));
     for (vm, phase) in [("v01", "serving"), ("v02", "draining"), ("v03", "serving")] {
         let runner = value!({"service": "transfer", "address": "127.0.0.1:9000"});
         let record = value!({
@@ -37,119 +37,123 @@
         "passed": ["busy: load(transfer) is not above 80%"], "steps": ["hold"], "problems": []
     });
     store.set(EXPLAIN, &explain.to_string());
-    json(&store, &["undrain", "v02"]);
-    json(&store, &["drain", "v02", "--reason", "fan"]);
+    run_json(&store, &["undrain", "v02"]);
+    run_json(&store, &["drain", "v02", "--reason", "fan"]);
     store
 }
 
 #[test]
-fn show_json_parses_and_holds_the_records() {
+fn show_json() {
     let store = fleet();
-    let shown = |line: &[&str]| json(&store, line).json();
-    assert_eq!(shown(&["show", "config"])["by"], "bob");
-    assert_eq!(shown(&["show", "pools"])["rows"][0]["serving"], 2);
-    assert_eq!(shown(&["show", "vms"])["rows"][1]["drain"]["reason"], "fan");
-    assert_eq!(shown(&["show", "services"])["rows"][0]["able"], 2);
-    assert_eq!(shown(&["show", "waves"])["record"]["doing"], value!(["v02"]));
-    assert_eq!(shown(&["show", "members"])["planner"]["name"], "e1");
-    assert_eq!(shown(&["explain"])["record"]["rule"], "otherwise");
-    let audit = shown(&["show", "audit"]);
-    assert_eq!((audit["rows"].as_array().map(Vec::len), &audit), (Some(2), &shown(&["history"])));
+    let show = |arguments: &[&str]| run_json(&store, arguments).json();
+    assert_eq!(show(&["show", "config"])["by"], "bob");
+    assert_eq!(show(&["show", "pools"])["rows"][0]["serving"], 2);
+    assert_eq!(show(&["show", "vms"])["rows"][1]["drain"]["reason"], "fan");
+    assert_eq!(show(&["show", "services"])["rows"][0]["able"], 2);
+    assert_eq!(show(&["show", "waves"])["record"]["doing"], value!(["v02"]));
+    assert_eq!(show(&["show", "members"])["planner"]["name"], "e1");
+    assert_eq!(show(&["explain"])["record"]["rule"], "otherwise");
+    let audit = show(&["show", "audit"]);
+    assert_eq!((audit["rows"].as_array().map(Vec::len), &audit), (Some(2), &show(&["history"])));
 }
 
 #[test]
-fn show_table_holds_no_control_characters() {
-    // Symptom: a table with rows that no record has, or with rows hidden.
-    // Sequence: a reason with a line break or an escape sequence is shown.
-    // Cause: text of others printed as it is.
+fn show_table_control_characters() {
+    // A line break or an escape sequence in a reason, printed unchanged, added rows to
+    // the table or hid others.
     let store = fleet();
     for what in ["pools", "vms", "services", "waves", "members", "audit"] {
-        let ran = plain(&store, &["show", what, "--platform", "127.0.0.1:1"]);
-        assert_eq!(ran.code, 0, "{}", ran.err);
-        assert!(!ran.out.contains('\u{1b}') && !ran.out.contains("wave 3\n"), "{}", ran.out);
+        let result = run_command(&store, &["show", what, "--platform", "127.0.0.1:1"]);
+        assert_eq!(result.code, 0, "{}", result.err);
+        assert!(
+            !result.out.contains('\u{1b}') && !result.out.contains("wave 3\n"),
+            "{}",
+            result.out
+        );
     }
-    let ran = plain(&store, &["show", "vms", "--platform", "127.0.0.1:1"]);
-    assert_eq!(ran.out.lines().count(), 4);
+    let result = run_command(&store, &["show", "vms", "--platform", "127.0.0.1:1"]);
+    assert_eq!(result.out.lines().count(), 4);
 }
 
 #[test]
-fn show_before_the_first_configuration_is_empty() {
-    let store = Arc::new(Fake::default());
-    assert_eq!(json(&store, &["show", "config"]).code, 1);
+fn show_empty_store() {
+    let store = Arc::new(FakeStore::default());
+    assert_eq!(run_json(&store, &["show", "config"]).code, 1);
     for what in ["pools", "vms", "services", "waves", "members", "audit"] {
-        assert_eq!(json(&store, &["show", what]).code, 0, "{what}");
+        assert_eq!(run_json(&store, &["show", what]).code, 0, "{what}");
     }
 }
 
 #[test]
-fn show_unreadable_record_is_an_error_that_names_it() {
-    // Symptom: a crash, or a table without the VM.
-    // Sequence: a record is not of this version's shape.
-    // Cause: a record trusted to parse.
+fn show_invalid_record() {
+    // A record that this version can't parse must neither crash the command nor be left
+    // out of the table.
     let store = fleet();
     store.set("shared/vm/v02", "{}");
-    let ran = json(&store, &["show", "vms"]);
-    assert_eq!(ran.code, 4);
-    assert!(ran.json()["message"].as_str().is_some_and(|text| text.contains("shared/vm/v02")));
+    let result = run_json(&store, &["show", "vms"]);
+    assert_eq!(result.code, 4);
+    assert!(result.json()["message"].as_str().is_some_and(|text| text.contains("shared/vm/v02")));
 }
 
 #[test]
-fn watch_silent_connection_is_said_and_read_anew() {
-    // Symptom: a live table that stands still while the fleet moves.
-    // Sequence: the watch's connection goes silent; a VM changes meanwhile.
-    // Cause: a watch without a bound, or one resumed as if nothing had passed.
+fn watch_lost_connection() {
+    // The table stopped changing if a VM changed while the watch's connection was lost:
+    // the watch had no timeout, or was resumed without reading the records again.
     let store = fleet();
     store.cut_watch("shared/vm/v03");
-    let ran = json(&store, &["watch", "--count", "3"]);
-    let row = |line| serde_json::from_str(line).expect("one value a line");
-    let rows: Vec<serde_json::Value> = ran.out.lines().map(row).collect();
-    let able = |at: usize| &rows[at]["services"][0]["able"];
-    assert_eq!((ran.code, rows.len(), able(0), able(2)), (0, 3, &value!(2), &value!(1)));
-    assert_eq!((&rows[0]["problem"], &rows[0]["wave"]["failed"]), (&value!(null), &value!(1)));
-    assert!(rows[1]["problem"].is_string());
-    store.down(true);
-    assert_eq!(json(&store, &["watch", "--count", "2"]).code, 4);
+    let result = run_json(&store, &["watch", "--count", "3"]);
+    let parse = |line| serde_json::from_str(line).expect("one value per line");
+    let reports: Vec<serde_json::Value> = result.out.lines().map(parse).collect();
+    let able = |index: usize| &reports[index]["services"][0]["able"];
+    assert_eq!((result.code, reports.len(), able(0), able(2)), (0, 3, &value!(2), &value!(1)));
+    assert_eq!(
+        (&reports[0]["problem"], &reports[0]["wave"]["failed"]),
+        (&value!(null), &value!(1))
+    );
+    assert!(reports[1]["problem"].is_string());
+    store.set_down(true);
+    assert_eq!(run_json(&store, &["watch", "--count", "2"]).code, 4);
 }
 
 #[test]
-fn watch_compacted_history_is_read_anew() {
+fn watch_compacted_history() {
     let store = fleet();
-    store.forget();
-    let ran = json(&store, &["watch", "--count", "2"]);
-    assert_eq!((ran.code, ran.out.contains("does not answer")), (0, false));
+    store.compact();
+    let result = run_json(&store, &["watch", "--count", "2"]);
+    assert_eq!((result.code, result.out.contains("does not answer")), (0, false));
 }
 
 #[test]
-fn run_exit_codes_are_as_documented() {
+fn run_exit_codes() {
     let store = fleet();
-    let good = file(sample(12, 8));
-    assert_eq!(plain(&store, &["check", &good]).code, 0);
-    assert_eq!(plain(&store, &["--help"]).code, 0);
-    assert_eq!(plain(&store, &["completions", "bash"]).code, 0);
-    assert_eq!(plain(&store, &["check", "/nowhere"]).code, 1);
+    let path = temp_file(config_text(12, 8));
+    assert_eq!(run_command(&store, &["check", &path]).code, 0);
+    assert_eq!(run_command(&store, &["--help"]).code, 0);
+    assert_eq!(run_command(&store, &["completions", "bash"]).code, 0);
+    assert_eq!(run_command(&store, &["check", "/nowhere"]).code, 1);
     let long = "x".repeat(2_000);
-    let usages: [&[&str]; 6] = [
+    let invalid_lines: [&[&str]; 6] = [
         &[],
         &["frobnicate"],
         &["show", "nothing"],
         &["drain", "two words"],
         &["--platform", "nonsense", "show", "vms"],
-        &["apply", &good, "--platform", "127.0.0.1:1", "--note", &long],
+        &["apply", &path, "--platform", "127.0.0.1:1", "--note", &long],
     ];
-    for line in usages {
-        let ran = plain(&store, line);
-        assert_eq!((ran.code, ran.out.as_str()), (2, ""), "{line:?}");
+    for line in invalid_lines {
+        let result = run_command(&store, line);
+        assert_eq!((result.code, result.out.as_str()), (2, ""), "{line:?}");
     }
-    assert_eq!(json(&store, &["apply", &good, "--expect", "99"]).code, 3);
-    assert!(plain(&store, &["--help"]).out.contains("5  unknown"));
-    store.down(true);
-    assert_eq!(json(&store, &["show", "vms"]).code, 4);
+    assert_eq!(run_json(&store, &["apply", &path, "--expect", "99"]).code, 3);
+    assert!(run_command(&store, &["--help"]).out.contains("5  unknown"));
+    store.set_down(true);
+    assert_eq!(run_json(&store, &["show", "vms"]).code, 4);
 }
 
 #[test]
-fn check_mistake_points_at_line_and_column() {
-    let path = file(sample(12, 8).replace("licences", "licenses"));
-    let ran = plain(&Arc::new(Fake::default()), &["check", &path]);
-    assert!(ran.err.contains("line 22, column 1"), "{}", ran.err);
-    assert!(ran.err.contains("did you mean `licences`?"), "{}", ran.err);
+fn check_error_position() {
+    let path = temp_file(config_text(12, 8).replace("licences", "licenses"));
+    let result = run_command(&Arc::new(FakeStore::default()), &["check", &path]);
+    assert!(result.err.contains("line 22, column 1"), "{}", result.err);
+    assert!(result.err.contains("did you mean `licences`?"), "{}", result.err);
 }
