--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -118,7 +118,7 @@
                 "body",
             );
         };
-        let job = match caller::job(body) {
+        let job = match caller::parse_job(body) {
             Ok(job) => job,
             Err(why) => return (HttpResponse::new(400, caller::error(&why)), "bad job"),
         };
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use corianderfork_adapter::config::{Config, Wave};
-use corianderfork_adapter::worker::Listed;
+use corianderfork_adapter::worker::Listing;
 use corianderfork_jobs::queue::Queue;
 use corianderfork_model::Time;
 use serde_json::json;
@@ -78,7 +78,7 @@
     /// The fence of the fleet's planner, while this daemon holds that duty.
     pub planner: Cell<Option<u64>>,
     /// Listed workers by instance id.
-    pub listed_workers: RefCell<BTreeMap<String, Listed>>,
+    pub listed_workers: RefCell<BTreeMap<String, Listing>>,
     /// Whether the workers have been read once.
     pub workers_loaded: Cell<bool>,
     /// Until when workers are expected to register for a pool that this daemon owns.
@@ -273,6 +273,6 @@
     /// Returns the listed workers of a pool.
     pub fn workers_of(&self, pool: &str) -> Vec<corianderfork_jobs::worker::Registration> {
         let listed_workers = self.listed_workers.borrow();
-        listed_workers.values().filter(|s| s.pool == pool).map(|s| s.entry.clone()).collect()
+        listed_workers.values().filter(|s| s.pool == pool).map(|s| s.registration.clone()).collect()
     }
 }
--- a/crates/entry/src/owner/workers.rs
+++ b/crates/entry/src/owner/workers.rs
@@ -72,7 +72,7 @@
         let notes = self.pool.borrow_mut().take_notes();
         for note in notes {
             self.node.metrics.event(note.event);
-            let task = note.task.map(wire::task);
+            let task = note.task.map(wire::format_task);
             self.node.trace.line(
                 note.event,
                 json!({ "task": task, "worker": note.worker, "why": note.why, "fence": self.fence() }),
@@ -133,14 +133,14 @@
     }
 
     async fn poll(&self, poll: &Poll) -> Answer<corianderfork_jobs::pool::Report> {
-        let call = wire::look(poll);
+        let call = wire::poll(poll);
         let started = clock::now();
         let within =
             if poll.deadline_ms.is_some() { RESPONSE_TIMEOUT } else { FIRST_RESPONSE_TIMEOUT };
         let answer = self.node.client.call(poll.address, &call, poll.wait + within).await;
         self.count("look", started, answer.is_ok());
         match answer {
-            Ok((status, body)) => wire::looked(status, &body).unwrap_or(Answer::Lost),
+            Ok((status, body)) => wire::parse_poll(status, &body).unwrap_or(Answer::Lost),
             Err(_) => Answer::Lost,
         }
     }
@@ -151,13 +151,13 @@
         let answer = self.node.client.call(order.address, &call, RESPONSE_TIMEOUT).await;
         self.count("order", started, answer.is_ok());
         let answer = match answer {
-            Ok((status, body)) => wire::ordered(status, &body).unwrap_or(Answer::Lost),
+            Ok((status, body)) => wire::parse_order(status, &body).unwrap_or(Answer::Lost),
             Err(CallError::Unsent | CallError::Lost) => Answer::Lost,
         };
         if !matches!(answer, Answer::Done(_)) {
             self.node.trace.line(
                 "order not confirmed",
-                json!({ "task": wire::task(order.task), "run": order.run, "worker": order.id,
+                json!({ "task": wire::format_task(order.task), "run": order.run, "worker": order.id,
                     "answer": format!("{answer:?}"), "took_ms": ms(clock::now() - started) }),
             );
         }
--- a/crates/jobs/src/pool/load.rs
+++ b/crates/jobs/src/pool/load.rs
@@ -1,4 +1,4 @@
-//! How busy a pool is, and how much room it needs.
+//! The load of a pool and the room that it needs.
 
 use std::time::Duration;
 
@@ -12,211 +12,234 @@
 use crate::work::Work;
 use crate::worker::{self, Worker};
 
-/// The shortest time within which what waits is to be done: a worker takes longer
-/// than this to come, and what has to begin sooner can't be helped by it.
-const SOONEST: Duration = Duration::from_millis(1_000);
-/// Within how long work is to be done that will be late whatever is done.
-const CATCH_UP: Duration = Duration::from_millis(3_000);
-/// A second: work over it is room.
-const ONCE: Duration = Duration::from_secs(1);
+/// Shortest time within which waiting work is planned to be done. A new worker takes longer
+/// than this to arrive, so it can't help work that has to start sooner.
+const MIN_HORIZON: Duration = Duration::from_millis(1_000);
+/// Time within which work is planned to be done that will be late in any case.
+const LATE_HORIZON: Duration = Duration::from_millis(3_000);
+/// Converts room to work: the work of one second of it.
+const ONE_SECOND: Duration = Duration::from_secs(1);
 
-/// How busy a pool is.
+/// The load of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Workers that take work.
+    /// Number of workers that take new tasks.
     pub workers: u32,
-    /// Workers besides that take none since they are too many, and are to run
-    /// empty.
+    /// Number of other workers that take none because the pool has too many, and that are being
+    /// emptied.
     pub surplus: u32,
-    /// Workers that take work and carry lasting tasks.
+    /// Number of workers that take new tasks and host long-running ones or have room reserved
+    /// for them.
     pub rooted: u32,
-    /// What they have, all together.
+    /// Total room of the workers that take new tasks.
     pub room: Room,
-    /// What runs takes.
+    /// Room that runs use.
     pub used: Room,
-    /// What tasks wait for whose turn has come.
+    /// Room that the waiting tasks of ready steps need.
     pub waiting: Room,
-    /// What lasting tasks take or wait for.
+    /// Room that long-running tasks use or wait for.
     pub lasting: Room,
-    /// What all other work needs to be in time: what is known, and what goes on
-    /// coming in.
+    /// Room that all other work needs to be in time: the known work, and the work that is
+    /// expected to keep arriving.
     pub needed: Room,
-    /// By how much that changes from one second to the next by chance.
+    /// Random variation of `needed` from one second to the next.
     pub noise: Room,
-    /// Lasting tasks that have waited for a worker for a while, and steps that no
-    /// worker of the pool may run: there is none that has what one needs, however
-    /// much all have together.
+    /// Number of long-running tasks that have waited for a worker for a while, plus steps that
+    /// no worker of the pool may run. No single worker has what they need, whatever the total
+    /// room.
     pub unfit: u32,
-    /// Of these, steps that the service which gives advice allows on none of the
-    /// pool's workers: it judges lives of workers, and another life of the same VM
-    /// may be allowed.
+    /// Number of steps among these that the advice service allows on none of the pool's
+    /// workers. It decides about worker instances, so another instance of the same VM may be
+    /// allowed.
     #[serde(default)]
     pub refused: u32,
 }
 
 impl Pool {
-    /// How busy the pool is.
+    /// Returns the load of the pool.
     pub fn load(&self, now: Time) -> Load {
         let mut load = Load::default();
         for worker in self.workers.values() {
             load.used.add(&worker.used);
-            if worker.is_able() && !worker.is_vacating(now) {
+            if worker.is_healthy() && !worker.is_vacating(now) {
                 load.workers += 1;
-                load.rooted += u32::from(self.is_rooted(worker));
+                load.rooted += u32::from(self.hosts_long_running(worker));
                 load.room.add(&worker.room);
             }
-            let is_surplus = worker.is_able() && worker.is_vacating(now) && worker.is_surplus;
+            let is_surplus = worker.is_healthy() && worker.is_vacating(now) && worker.is_surplus;
             load.surplus += u32::from(is_surplus);
         }
-        let (mut stock, mut widest) = (Stock::default(), Work::default());
+        let (mut workload, mut largest) = (Workload::default(), Work::default());
         for entry in self.jobs.values().filter(|entry| !entry.state.is_final()) {
             entry.add_waiting(&mut load.waiting);
-            let (barred, refused) = self.barred(now, entry);
-            load.unfit += entry.unfit(now) + barred;
+            let (unrunnable, refused) = self.unrunnable(now, entry);
+            load.unfit += entry.unplaced_tasks(now) + unrunnable;
             load.refused += refused;
             if entry.long_running {
-                load.lasting.add(&entry.room_left());
+                load.lasting.add(&entry.unfinished_room());
                 continue;
             }
-            for row in entry.occurrences.values() {
-                self.add_stock(now, entry, row, &mut stock);
-                widest = widest.max(&entry.widest_gang(row));
+            for occurrence in entry.occurrences.values() {
+                self.add_workload(now, entry, occurrence, &mut workload);
+                largest = largest.max(&entry.largest_gang(occurrence));
             }
         }
         let flow = self.flow.rate(now);
         load.noise = self.flow.noise(now).to_room();
-        load.needed = stock.needed(&flow).max(&widest).to_room();
+        load.needed = workload.needed(&flow).max(&largest).to_room();
         load
     }
 
-    /// Adds what runs and waits of an occurrence.
-    fn add_stock(&self, now: Time, entry: &Entry, row: &Occurrence, stock: &mut Stock) {
+    /// Adds the running and waiting work of an occurrence.
+    fn add_workload(
+        &self,
+        now: Time,
+        entry: &Entry,
+        occurrence: &Occurrence,
+        workload: &mut Workload,
+    ) {
         let predict = |step: &Step| Duration::from_millis(self.predict(&entry.queue, step));
-        let takes: Vec<Duration> = entry.steps.iter().map(predict).collect();
+        let durations: Vec<Duration> = entry.steps.iter().map(predict).collect();
         let left = chain_ms(&entry.steps, |index, _| {
-            if row.is_open(index) { worker::millis(takes[index]) } else { 0 }
+            if occurrence.has_unfinished_tasks(index) {
+                worker::millis(durations[index])
+            } else {
+                0
+            }
         });
         let end = now + Duration::from_millis(left);
-        let within =
-            if end > entry.due(row) { CATCH_UP } else { (entry.due(row) - end).max(SOONEST) };
-        for (index, (step, state)) in entry.steps.iter().zip(&row.steps).enumerate() {
-            if !row.is_ready(step) {
+        let horizon = if end > entry.deadline(occurrence) {
+            LATE_HORIZON
+        } else {
+            (entry.deadline(occurrence) - end).max(MIN_HORIZON)
+        };
+        for (index, (step, state)) in entry.steps.iter().zip(&occurrence.steps).enumerate() {
+            if !occurrence.is_ready(step) {
                 continue;
             }
             let room = step.room();
-            stock.room.add(&Work::of(&room.times(state.left), ONCE));
-            let waiting = Work::of(&room.times(state.waiting), takes[index]);
-            stock.backlog.add(&waiting.per(within));
+            workload.ready.add(&Work::of(&room.times(state.unfinished), ONE_SECOND));
+            let waiting = Work::of(&room.times(state.waiting), durations[index]);
+            workload.backlog.add(&waiting.per(horizon));
         }
     }
 
-    /// Whether a worker is among those that [`Pool::load`] counts.
+    /// Returns whether [`Pool::load`] counts a worker.
     pub fn is_counted(&self, id: &str) -> bool {
-        self.worker(id).is_some_and(|(_, worker)| worker.is_able())
+        self.worker(id).is_some_and(|(_, worker)| worker.is_healthy())
     }
 
-    /// Steps of a job that none of the pool's workers may run: all lack a label,
-    /// are too small, are not among those that advice names, or have no room beside
-    /// what lasts there. Another worker may; without one the job would wait for ever.
-    /// And how many of them there are
-    /// for the last of these reasons alone.
-    fn barred(&self, now: Time, entry: &Entry) -> (u32, u32) {
-        let (mut barred, mut refused) = (0, 0);
-        let steps = entry.occurrences.values().flat_map(|row| entry.steps.iter().zip(&row.steps));
+    /// Returns the number of steps of a job that none of the pool's workers may run, and how
+    /// many of them only because of advice.
+    ///
+    /// All workers lack a label, are too small, are refused by advice, or have no room beside
+    /// their long-running tasks. Another worker may be able to run the step; without one the
+    /// job would wait forever.
+    fn unrunnable(&self, now: Time, entry: &Entry) -> (u32, u32) {
+        let (mut unrunnable, mut refused) = (0, 0);
+        let steps = entry
+            .occurrences
+            .values()
+            .flat_map(|occurrence| entry.steps.iter().zip(&occurrence.steps));
         for (step, state) in steps {
-            let is_stuck = state.stuck.is_some_and(|since| now - since > evacuate::BLOCKED);
-            if entry.long_running || state.waiting == 0 || !is_stuck {
+            let is_blocked =
+                state.waiting_since.is_some_and(|since| now - since > evacuate::BLOCKED_AFTER);
+            if entry.long_running || state.waiting == 0 || !is_blocked {
                 continue;
             }
-            let could =
-                |worker: &Worker| worker.is_kept_or_surplus(now) && advice::could(worker, step);
-            let may = |(key, worker): (worker::Key, &Worker)| {
-                let has_room = worker.room.fits(&self.lasting_on(worker), &step.room());
-                could(worker) && !state.advice.is_bad(key) && has_room
+            let could_run = |worker: &Worker| {
+                worker.is_usable_or_surplus(now) && advice::meets_requirements(worker, step)
+            };
+            let can_run = |(key, worker): (worker::Key, &Worker)| {
+                let has_room = worker.room.fits(&self.long_running_room(worker), &step.room());
+                could_run(worker) && !state.advice.is_refused(key) && has_room
             };
-            if !self.workers.iter().any(may) {
-                barred += 1;
-                refused += u32::from(self.workers.values().any(could));
+            if !self.workers.iter().any(can_run) {
+                unrunnable += 1;
+                refused += u32::from(self.workers.values().any(could_run));
             }
         }
-        (barred, refused)
+        (unrunnable, refused)
     }
 
-    /// What lasting tasks take there, and what is kept for some: it doesn't come free
-    /// by itself.
-    pub(super) fn lasting_on(&self, worker: &Worker) -> Room {
-        let is_lasting = |name: &task::Name| {
+    /// Returns the room that long-running tasks use on a worker or have reserved. It doesn't
+    /// become free by itself.
+    pub(super) fn long_running_room(&self, worker: &Worker) -> Room {
+        let is_long_running = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
             step.is_some_and(|step| step.long_running)
         };
         let mut room = Room::default();
-        let hosted = worker.hosted.iter().filter(|(name, _)| is_lasting(name));
-        hosted.for_each(|(_, hosted)| room.add(&hosted.room));
-        worker.kept.values().for_each(|kept| room.add(kept));
+        let long_running = worker.allocations.iter().filter(|(name, _)| is_long_running(name));
+        long_running.for_each(|(_, allocation)| room.add(&allocation.room));
+        worker.reserved.values().for_each(|reserved| room.add(reserved));
         room
     }
 
-    /// Whether lasting tasks run there, or have room kept.
-    pub(crate) fn is_rooted(&self, worker: &Worker) -> bool {
-        let is_lasting = |name: &task::Name| {
+    /// Returns whether a worker hosts long-running tasks or has room reserved for them.
+    pub(crate) fn hosts_long_running(&self, worker: &Worker) -> bool {
+        let is_long_running = |name: &task::Name| {
             let step = self.entry(name.job).and_then(|entry| entry.step(*name));
             step.is_some_and(|step| step.long_running)
         };
-        !worker.kept.is_empty() || worker.hosted.keys().any(is_lasting)
+        !worker.reserved.is_empty() || worker.allocations.keys().any(is_long_running)
     }
 }
 
-/// What runs and waits of work that ends by itself.
+/// Running and waiting work that ends by itself.
 #[derive(Default)]
-struct Stock {
-    /// What all tasks take whose turn has come.
-    room: Work,
-    /// What is needed for what waits to be done while it is in time.
+struct Workload {
+    /// Work of one second of all unfinished tasks of ready steps.
+    ready: Work,
+    /// Room, as work per second, needed for the waiting tasks to be done in time.
     backlog: Work,
 }
 
-impl Stock {
-    /// The room that keeps up with `flow` and clears what waits; but no more than
-    /// there are tasks for, unless the flow says that more come.
+impl Workload {
+    /// Returns the room that keeps up with `flow` and works off the backlog, but no more than
+    /// there are tasks for, unless the flow predicts more.
     fn needed(&self, flow: &Work) -> Work {
-        let mut both = *flow;
-        both.add(&self.backlog);
-        flow.max(&both.min(&self.room))
+        let mut total = *flow;
+        total.add(&self.backlog);
+        flow.max(&total.min(&self.ready))
     }
 }
 
 impl Occurrence {
-    /// Whether a step has tasks that aren't done.
-    fn is_open(&self, step: usize) -> bool {
-        self.steps.get(step).is_some_and(|state| state.left > 0)
+    /// Returns whether a step has unfinished tasks.
+    fn has_unfinished_tasks(&self, step: usize) -> bool {
+        self.steps.get(step).is_some_and(|state| state.unfinished > 0)
     }
 }
 
 impl Entry {
-    /// Adds what its tasks wait for whose turn has come.
+    /// Adds the room that the waiting tasks of ready steps need.
     fn add_waiting(&self, waiting: &mut Room) {
-        for row in self.occurrences.values() {
-            for (step, state) in self.steps.iter().zip(&row.steps) {
-                if row.is_ready(step) {
+        for occurrence in self.occurrences.values() {
+            for (step, state) in self.steps.iter().zip(&occurrence.steps) {
+                if occurrence.is_ready(step) {
                     waiting.add(&step.room().times(state.waiting));
                 }
             }
         }
     }
 
-    /// What all tasks take that aren't done.
-    fn room_left(&self) -> Room {
+    /// Returns the room that all unfinished tasks need.
+    fn unfinished_room(&self) -> Room {
         let mut room = Room::default();
-        let steps = self.occurrences.values().flat_map(|row| self.steps.iter().zip(&row.steps));
-        steps.for_each(|(step, state)| room.add(&step.room().times(state.left)));
+        let steps = self
+            .occurrences
+            .values()
+            .flat_map(|occurrence| self.steps.iter().zip(&occurrence.steps));
+        steps.for_each(|(step, state)| room.add(&step.room().times(state.unfinished)));
         room
     }
 
-    /// What the widest gang takes whose turn has come: it starts as a whole.
-    fn widest_gang(&self, row: &Occurrence) -> Work {
-        let gangs = self.steps.iter().zip(&row.steps).filter(|(step, _)| step.gang);
-        let ready = gangs.filter(|(step, state)| state.left > 0 && row.is_ready(step));
-        let room = |(step, _): (&Step, _)| Work::of(&step.room().times(step.count), ONCE);
+    /// Returns the work per second of the largest ready gang, which can only start as a whole.
+    fn largest_gang(&self, occurrence: &Occurrence) -> Work {
+        let gangs = self.steps.iter().zip(&occurrence.steps).filter(|(step, _)| step.gang);
+        let ready = gangs.filter(|(step, state)| state.unfinished > 0 && occurrence.is_ready(step));
+        let room = |(step, _): (&Step, _)| Work::of(&step.room().times(step.count), ONE_SECOND);
         ready.map(room).fold(Work::default(), |most, room| most.max(&room))
     }
 }
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use corianderfork_coord::claim::{Action, Ask, Event, Verdict, segment};
+use corianderfork_coord::claim::{self, Action, Event, Verdict, segment};
 use corianderfork_coord::lease::{self, Holder, Token};
 use corianderfork_model::Time;
 use corianderfork_runtime::clock;
@@ -142,7 +142,10 @@
         let key = self.next_key;
         self.next_key += 1;
         self.pending_replies.insert(key, request.reply);
-        self.feed_claim(cx, Event::Ask(Ask { key, id: request.id, attempt: request.attempt }));
+        self.feed_claim(
+            cx,
+            Event::Request(claim::Request { key, id: request.id, attempt: request.attempt }),
+        );
     }
 
     fn on_message(&mut self, cx: CX![], message: Message) {
@@ -177,7 +180,7 @@
         let Some(holder) = &mut self.holder else { return };
         let now = self.hub.shared.clock.now();
         let actions = holder.on_event(now, event);
-        let due = self.lease_alarm.set(holder.wake());
+        let due = self.lease_alarm.set(holder.next_tick());
         if let Some(at) = due {
             after!(at - now, [cx], wake_lease(at));
         }
@@ -242,7 +245,7 @@
         if let Some(ids) = remembered_ids {
             ::log::info!(shard = self.shard, ids; "became owner of a claim shard");
         }
-        let due = machine.wake();
+        let due = machine.next_tick();
         if let Some(at) = self.claim_alarm.set(due) {
             after!(at - now, [cx], wake_claim(at));
         }
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_coord::claim::{self, End};
 use corianderfork_model::service::Class;
-use corianderfork_routing::outcome::{self, Attempt, Doubt, Refusal, Why};
+use corianderfork_routing::outcome::{self, Attempt, Doubt, Reason, Refusal};
 use corianderfork_routing::router::RunnerKey;
 use corianderfork_wire::peer::Verdict;
 
@@ -218,7 +218,7 @@
                 progress.fallback.get_or_insert(response);
                 Ok(outcome.attempt)
             }
-            Attempt::Refused(_) | Attempt::NotSent => Ok(outcome.attempt),
+            Attempt::Rejected(_) | Attempt::NotSent => Ok(outcome.attempt),
         }
     }
 
@@ -246,7 +246,7 @@
     }
 
     fn refused_response(&self, refusal: &Refusal) -> Response {
-        self.shared.metrics.refusals.with_label_values(&[refusal_reason(refusal.why)]).inc();
+        self.shared.metrics.refusals.with_label_values(&[refusal_reason(refusal.reason)]).inc();
         Response::refused(refusal)
     }
 
@@ -264,22 +264,22 @@
     match attempt {
         Attempt::Answered => "answered",
         Attempt::Failed => "failed",
-        Attempt::Refused(_) => "refused",
+        Attempt::Rejected(_) => "refused",
         Attempt::NotSent => "not-sent",
         Attempt::Unknown(_) => "unknown",
     }
 }
 
-const fn refusal_reason(why: Why) -> &'static str {
+const fn refusal_reason(why: Reason) -> &'static str {
     match why {
-        Why::NoRunner => "no-runner",
-        Why::NoneServing => "none-serving",
-        Why::NoneHealthy => "none-healthy",
-        Why::Busy => "busy",
-        Why::QueueFull => "queue-full",
-        Why::Hopeless => "hopeless",
-        Why::Displaced => "displaced",
-        Why::RetryBudget => "retry-budget",
+        Reason::NoRunner => "no-runner",
+        Reason::NoneServing => "none-serving",
+        Reason::NoneHealthy => "none-healthy",
+        Reason::Busy => "busy",
+        Reason::QueueFull => "queue-full",
+        Reason::DeadlineTooSoon => "hopeless",
+        Reason::Displaced => "displaced",
+        Reason::RetryBudget => "retry-budget",
         _ => "other",
     }
 }
