--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -28,7 +28,7 @@
     /// The operator's note on the change.
     pub note: &'a str,
     /// The expected revision in force; 0 if none is.
-    pub expect: Option<u64>,
+    pub expected_revision: Option<u64>,
     /// A unique value by which the command recognises its own write.
     pub token: String,
 }
@@ -45,7 +45,7 @@
 }
 
 /// A write that took effect.
-struct Written {
+struct WriteResult {
     revision: store::Revision,
     replaced: bool,
 }
@@ -69,7 +69,7 @@
     let warnings = ini::check(request.path, &file)?.warnings;
     let text = ini::without_base(&file);
     let base = base(context)?;
-    match request.expect {
+    match request.expected_revision {
         Some(expected) => check_revision(expected, &base, text)?,
         // A file that names no revision is accepted only if no configuration is in
         // force: an old copy would silently undo what others changed since.
@@ -92,7 +92,7 @@
         let summary = format!("unchanged: revision {} is the same already\n", json.revision);
         return Ok(Report::new(summary, &json).note(rendered_warnings));
     }
-    let Written { revision, replaced } = write(context, request, &base, text)?;
+    let WriteResult { revision, replaced } = write(context, request, &base, text)?;
     let acknowledged = acknowledge::wait(context, revision);
     let audit_failure = audit(context, request, &base, revision, &changes);
     acknowledged?;
@@ -142,7 +142,7 @@
     request: &Request<'_>,
     base: &Base,
     text: &str,
-) -> Result<Written, Error> {
+) -> Result<WriteResult, Error> {
     let config = Config {
         text: text.to_owned(),
         by: context.operator.to_owned(),
@@ -156,7 +156,7 @@
     }
     let write = Write { key: key::CONFIG, value: Some(&value), base: &base.found };
     match cas::write(context, &write) {
-        Ok(Outcome::Applied { revision, replaced }) => Ok(Written { revision, replaced }),
+        Ok(Outcome::Applied { revision, replaced }) => Ok(WriteResult { revision, replaced }),
         Ok(Outcome::Conflict(current)) => {
             let current_text = current.as_ref().map(config_text).unwrap_or_default();
             let changed_by_others = ini::changes(&base.text, &current_text);
--- a/crates/cli/src/cas.rs
+++ b/crates/cli/src/cas.rs
@@ -124,10 +124,10 @@
 }
 
 /// Returns the outcome of `write`, given the `first` change since its base and
-/// whether it was `replaced` since.
-fn outcome(write: &Write<'_>, first: Change, replaced: bool, current: Option<Entry>) -> Outcome {
+/// whether another change followed (`is_replaced`).
+fn outcome(write: &Write<'_>, first: Change, is_replaced: bool, current: Option<Entry>) -> Outcome {
     if is_own_write(first.entry.as_ref(), write) {
-        return Outcome::Applied { revision: first.revision, replaced };
+        return Outcome::Applied { revision: first.revision, replaced: is_replaced };
     }
     Outcome::Conflict(current)
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -39,7 +39,7 @@
         /// The cause.
         cause: io::Error,
     },
-    /// The file is not text.
+    /// The file is not UTF-8 text.
     #[error("`{path}` is not UTF-8 text: invalid byte at offset {offset}")]
     NotUtf8 {
         /// The file.
@@ -69,12 +69,12 @@
         /// The revision in force, and who applied it.
         current: String,
     },
-    /// The drain was changed since it was read.
+    /// The drain was changed after it was read.
     #[error("the drain of `{0}` was changed by someone else meanwhile; nothing was changed")]
     DrainConflict(String),
     /// Another wave is in progress.
     #[error("wave {0} is under way; nothing was changed")]
-    WaveUnderWay(u64),
+    WaveInProgress(u64),
     /// There is no wave to resume or halt.
     #[error("there is no wave to resume or halt; nothing was changed")]
     NoWave,
@@ -92,7 +92,7 @@
     /// A record in the store can't be read.
     #[error("the record `{key}` in the platform's store cannot be read: {cause}")]
     Record {
-        /// Its key.
+        /// The record's key.
         key: String,
         /// The cause.
         cause: String,
@@ -191,7 +191,7 @@
             | Kind::NoConfig
             | Kind::UnknownVm { .. }
             | Kind::NoWave => Code::Rejected,
-            Kind::Conflict { .. } | Kind::DrainConflict(_) | Kind::WaveUnderWay(_) => {
+            Kind::Conflict { .. } | Kind::DrainConflict(_) | Kind::WaveInProgress(_) => {
                 Code::Conflict
             }
             Kind::Record { .. } | Kind::Store(_) => Code::Unavailable,
@@ -225,7 +225,9 @@
                  them) and apply it with `--expect` and the revision that you merged"
             }
             Kind::DrainConflict(_) => "check `show vms` and try again",
-            Kind::WaveUnderWay(_) => "check `show waves`; halt the wave, or wait until it is done",
+            Kind::WaveInProgress(_) => {
+                "check `show waves`; halt the wave, or wait until it is done"
+            }
             Kind::NoWave => "check `show waves`; `wave start` starts one",
             Kind::UnknownVm { help, .. } => help,
             Kind::NoConfig => "apply one with `corianderctl apply FILE`",
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -38,9 +38,9 @@
     pub clock: &'a dyn Clock,
     /// Whether `out` is a terminal.
     pub is_terminal: bool,
-    /// The standard output.
+    /// The output for results.
     pub out: &'a mut dyn Write,
-    /// The standard error output, for errors and notes.
+    /// The output for errors and notes.
     pub err: &'a mut dyn Write,
 }
 
@@ -110,7 +110,7 @@
 ) -> Result<(), Failure> {
     match name {
         "check" => print(&check::run(text(arguments, "file"))?, options, environment)?,
-        "completions" => completions(arguments, environment)?,
+        "completions" => print_completions(arguments, environment)?,
         _ => with_platform(name, arguments, options, environment)?,
     }
     Ok(())
@@ -181,7 +181,7 @@
     Request {
         path: text(arguments, "file"),
         note: text(arguments, "note"),
-        expect: arguments.get_one("expect").copied(),
+        expected_revision: arguments.get_one("expect").copied(),
         token: Uuid::now_v7().to_string(),
     }
 }
@@ -194,7 +194,10 @@
     arguments.get_one("vm").expect("clap requires the argument")
 }
 
-fn completions(arguments: &ArgMatches, environment: &mut Environment<'_>) -> Result<(), Error> {
+fn print_completions(
+    arguments: &ArgMatches,
+    environment: &mut Environment<'_>,
+) -> Result<(), Error> {
     let shell = *arguments.get_one::<Shell>("shell").expect("clap requires the argument");
     let mut script = Vec::new();
     clap_complete::generate(shell, &mut command::command(), command::NAME, &mut script);
--- a/crates/cli/src/wave.rs
+++ b/crates/cli/src/wave.rs
@@ -75,7 +75,7 @@
     match order {
         Order::Start { vms, step, within, reason } => {
             if let Some(wave) = before.filter(|wave| is_in_progress(wave)) {
-                return Err(Kind::WaveUnderWay(wave.number).into());
+                return Err(Kind::WaveInProgress(wave.number).into());
             }
             let began_ms = context.clock.unix_ms();
             Ok(Wave {
@@ -120,7 +120,7 @@
     let write = Write { key: key::WAVE, value: Some(&value), base: found };
     let revision = match cas::write(context, &write) {
         Ok(Outcome::Applied { revision, .. }) => revision,
-        Ok(Outcome::Conflict(_)) => return Err(Kind::WaveUnderWay(wave.number).into()),
+        Ok(Outcome::Conflict(_)) => return Err(Kind::WaveInProgress(wave.number).into()),
         Err(Failure::NotApplied(error)) => return Err(Error::unchanged(&error)),
         Err(Failure::Unknown(error)) => return Err(Kind::Unknown(error.to_string()).into()),
     };
--- a/crates/cli/tests/apply.rs
+++ b/crates/cli/tests/apply.rs
@@ -98,7 +98,7 @@
     // A write that took effect was retried after its response was lost, and was applied
     // twice or reported as a conflict with itself.
     let store = Arc::new(FakeStore::default());
-    store.inject(CONFIG, Fault::LoseAnswer(vec![]));
+    store.inject(CONFIG, Fault::LoseResponse(vec![]));
     let result = run_json(&store, &["apply", &temp_file(config_text(12, 8))]);
     assert_eq!((result.code, result.json()["outcome"].as_str()), (0, Some("accepted")));
     assert_eq!((store.writes(CONFIG), result.json()["revision"].as_u64()), (1, Some(1)));
@@ -124,7 +124,7 @@
     // undid Bob's change.
     let store = Arc::new(FakeStore::default());
     store.set(CONFIG, &bobs_record(&config_text(12, 8)));
-    store.inject(CONFIG, Fault::LoseAnswer(vec![bobs_record(&config_text(14, 9))]));
+    store.inject(CONFIG, Fault::LoseResponse(vec![bobs_record(&config_text(14, 9))]));
     let result = run_json(&store, &["apply", &temp_file(config_text(12, 9)), "--expect", "1"]);
     assert_eq!((result.code, &result.json()["replaced"]), (0, &serde_json::json!(true)));
     assert_eq!((result.json()["revision"].as_u64(), audited_revisions(&store)), (Some(2), vec![2]));
@@ -149,7 +149,7 @@
     // compacted the history that would tell whether the write took effect.
     let store = Arc::new(FakeStore::default());
     store.compact();
-    store.inject(CONFIG, Fault::LoseAnswer(vec![bobs_record(&config_text(14, 8))]));
+    store.inject(CONFIG, Fault::LoseResponse(vec![bobs_record(&config_text(14, 8))]));
     let result = run_json(&store, &["apply", &temp_file(config_text(12, 9))]);
     assert_eq!((result.code, result.json()["outcome"].as_str()), (5, Some("unknown")));
 }
@@ -160,7 +160,7 @@
     // hung as reading back had no deadline, or reported that nothing was changed as it
     // took a later error for that of the write.
     let store = Arc::new(FakeStore::default());
-    store.inject(CONFIG, Fault::LoseAnswerAndDown);
+    store.inject(CONFIG, Fault::LoseResponseAndDown);
     let result = run_json(&store, &["apply", &temp_file(config_text(12, 8)), "--timeout", "7"]);
     assert_eq!((result.code, result.json()["outcome"].as_str()), (5, Some("unknown")));
     assert!((7_000..9_000).contains(&result.elapsed_ms), "{}", result.elapsed_ms);
@@ -181,7 +181,7 @@
 fn apply_audit_lost_response() {
     // A change had no line in the audit trail, or two, after the response to the audit's
     // write was lost: it was not retried, or retried without looking for the line.
-    for fault in [Fault::LoseAnswer(vec![]), Fault::LoseRequest(vec![])] {
+    for fault in [Fault::LoseResponse(vec![]), Fault::LoseRequest(vec![])] {
         let store = Arc::new(FakeStore::default());
         store.inject(AUDIT, fault);
         let result = run_json(&store, &["apply", &temp_file(config_text(12, 8))]);
@@ -195,7 +195,7 @@
     // The store went down after the change and before the audit, and the failure of the
     // audit was reported as one of the change, which was in force.
     let store = Arc::new(FakeStore::default());
-    store.inject(AUDIT, Fault::LoseAnswerAndDown);
+    store.inject(AUDIT, Fault::LoseResponseAndDown);
     let result = run_json(&store, &["apply", &temp_file(config_text(12, 8)), "--timeout", "2"]);
     assert_eq!((result.code, &result.json()["audited"]), (0, &serde_json::json!(false)));
 }
--- a/crates/cli/tests/audit.rs
+++ b/crates/cli/tests/audit.rs
@@ -63,7 +63,7 @@
     // A change was in the trail twice, or not at all, after the writer or its successor
     // retried an append whose response was lost: the retry did not look for its own
     // lines.
-    for fault in [Fault::LoseAnswer(vec![]), Fault::LoseRequest(vec![])] {
+    for fault in [Fault::LoseResponse(vec![]), Fault::LoseRequest(vec![])] {
         let store = FakeStore::default();
         let mut writer = Writer::new();
         writer.append(&store, &[line(1)]).expect("the store is up");
@@ -87,7 +87,7 @@
     let is_full =
         |store: &FakeStore| store.value(&audit(0)).is_some_and(|v| v.len() >= SEGMENT_BYTES);
     while !is_full(&store) {
-        store.inject(AUDIT, Fault::LoseAnswer(vec![]));
+        store.inject(AUDIT, Fault::LoseResponse(vec![]));
         let batch = batches.next().expect("500 lines fill a segment");
         writer.append(&store, batch).expect_err("the response is lost");
         writer.append(&store, batch).expect("the store is up");
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -56,7 +56,7 @@
 fn drain_lost_response() {
     // A drain was reported as failed, and not audited, if the request or the response
     // was lost: without reading back, the command can't tell which.
-    for fault in [Fault::LoseAnswer(vec![]), Fault::LoseRequest(vec![])] {
+    for fault in [Fault::LoseResponse(vec![]), Fault::LoseRequest(vec![])] {
         let store = fleet();
         store.inject(KEY, fault);
         assert_eq!(run_json(&store, &["drain", "v01"]).json()["outcome"], "accepted");
@@ -81,7 +81,7 @@
     // taken for another operator's deletion.
     let store = fleet();
     store.set(KEY, BOBS_DRAIN);
-    store.inject(KEY, Fault::LoseAnswer(vec![]));
+    store.inject(KEY, Fault::LoseResponse(vec![]));
     let result = run_json(&store, &["undrain", "v01"]);
     assert_eq!((result.code, result.json()["outcome"].as_str()), (0, Some("accepted")));
     assert_eq!(audited_changes(&store), [("vm v01".to_owned(), 3)]);
--- a/crates/cli/tests/fake/mod.rs
+++ b/crates/cli/tests/fake/mod.rs
@@ -22,11 +22,11 @@
     /// Someone else writes the key first, or deletes it if `None`.
     Race(Option<String>),
     /// The write takes effect, the response is lost, and then others write.
-    LoseAnswer(Vec<String>),
+    LoseResponse(Vec<String>),
     /// The request is lost, and then others write.
     LoseRequest(Vec<String>),
     /// The write takes effect, the response is lost, and the store goes down.
-    LoseAnswerAndDown,
+    LoseResponseAndDown,
 }
 
 #[derive(Default)]
@@ -35,7 +35,7 @@
     history: Vec<Change>,
     revision: u64,
     faults: VecDeque<(String, Fault)>,
-    down: bool,
+    is_down: bool,
     /// Whether the history is compacted.
     is_compacted: bool,
     /// A key that is deleted while the next watch fails.
@@ -69,7 +69,7 @@
     }
 
     fn check_up(&self) -> Result<(), Error> {
-        if self.down { Err(Error::Unavailable("down".to_owned())) } else { Ok(()) }
+        if self.is_down { Err(Error::Unavailable("down".to_owned())) } else { Ok(()) }
     }
 
     /// Returns the record of a controller that has acknowledged all writes.
@@ -107,7 +107,7 @@
                 self.write(key, other.as_deref());
                 self.swap(key, value, expect)
             }
-            Some(Fault::LoseAnswer(others)) => {
+            Some(Fault::LoseResponse(others)) => {
                 self.swap(key, value, expect).expect("the test expects this write to fit");
                 others.iter().for_each(|other| {
                     self.write(key, Some(other));
@@ -120,9 +120,9 @@
                 });
                 response_lost()
             }
-            Some(Fault::LoseAnswerAndDown) => {
+            Some(Fault::LoseResponseAndDown) => {
                 self.swap(key, value, expect).expect("the test expects this write to fit");
-                self.down = true;
+                self.is_down = true;
                 response_lost()
             }
         }
@@ -145,7 +145,7 @@
     }
 
     pub fn set_down(&self, down: bool) {
-        self.with(|inner| inner.down = down);
+        self.with(|inner| inner.is_down = down);
     }
 
     /// Makes each watch fail because the history is compacted.
--- a/crates/config/src/budget.rs
+++ b/crates/config/src/budget.rs
@@ -14,26 +14,26 @@
 /// VM counts of a pool by size, and the failure domains that the VMs are in.
 #[derive(Default)]
 struct Capacity {
-    sizes: HashMap<Size, u64>,
+    vms_by_size: HashMap<Size, u64>,
     racks: HashSet<RackId>,
     data_centres: HashSet<DataCentreId>,
 }
 
 impl Capacity {
     fn vms(&self) -> u64 {
-        self.sizes.values().sum()
+        self.vms_by_size.values().sum()
     }
 
     /// Returns how many copies of `size` the VMs can hold when they are empty.
     fn max_copies(&self, size: &Size) -> u64 {
-        self.sizes.iter().fold(0, |copies: u64, (vm, count)| {
+        self.vms_by_size.iter().fold(0, |copies: u64, (vm, count)| {
             copies.saturating_add(copies_per_vm(vm, size).saturating_mul(*count))
         })
     }
 
     fn total(&self) -> Total {
         let mut total = Total::default();
-        self.sizes.iter().for_each(|(size, count)| total.add(size, *count));
+        self.vms_by_size.iter().for_each(|(size, count)| total.add(size, *count));
         total
     }
 }
@@ -97,7 +97,7 @@
     let mut capacities: HashMap<PoolId, Capacity> = HashMap::new();
     for (id, vm) in fleet.vms() {
         let capacity = capacities.entry(vm.home).or_default();
-        *capacity.sizes.entry(vm.size).or_default() += 1;
+        *capacity.vms_by_size.entry(vm.size).or_default() += 1;
         capacity.racks.insert(vm.rack);
         capacity.data_centres.insert(fleet.data_centre_of(id));
     }
@@ -128,7 +128,7 @@
         let name = || service.name.to_string();
         let licences = service.licences;
         if max > licences {
-            let kind = Budget::Licences { service: name(), copies: max, licences };
+            let kind = Budget::TooFewLicences { service: name(), copies: max, licences };
             let help = format!("lower `max_copies` to {licences}, or raise `licences`");
             self.error(service, "max_copies", kind, help);
         }
@@ -218,7 +218,7 @@
             let mut quota = Total::default();
             quota.add(&team.quota, 1);
             if let Some(resource) = demand.exceeded_resource(&quota) {
-                let kind = Budget::Quota { team: name.to_owned(), resource };
+                let kind = Budget::QuotaExceeded { team: name.to_owned(), resource };
                 self.sink.error(span, kind, "raise the quota, or lower `min_copies`");
             }
         }
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -215,7 +215,7 @@
     },
     /// More copies than licences.
     #[error("`{service}` may run {copies} copies on {licences} licences")]
-    Licences {
+    TooFewLicences {
         /// The service.
         service: String,
         /// The maximum number of copies.
@@ -265,7 +265,7 @@
     #[error(
         "the minimum copies of all services of team `{team}` need more {resource} than its quota"
     )]
-    Quota {
+    QuotaExceeded {
         /// The team.
         team: String,
         /// `cores`, `memory` or `accelerators`.
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -11,7 +11,7 @@
 use crate::keys::Keys;
 use crate::sink::{Sink, Span};
 use crate::text::{self, Section};
-use crate::topology::Racks;
+use crate::topology::RackReader;
 use crate::{
     Configuration, MAX_BYTES, Settings, VERSION, budget, rules, schema, services, topology,
 };
@@ -32,7 +32,7 @@
     }
     let sections = text::read(text, &mut sink);
     if sections.is_empty() {
-        // Replaces the syntax errors, of which each line would have one.
+        // Replaces the syntax errors, one per line, which would not help.
         let mut sink = Sink::new(text);
         sink.error(start, Kind::NotIni, "begin with `[fleet]` and `version = 1`");
         return Err(sink.into_diagnostics());
@@ -63,7 +63,7 @@
     let declarations = declarations(sections, &mut sink);
     budget::check(&declarations, sections, &mut sink);
     let fleet = declarations.fleet;
-    let rule_sections: Vec<_> = of_kind(sections, "rule").collect();
+    let rule_sections: Vec<_> = sections_of_kind(sections, "rule").collect();
     let rules = rules::read(&fleet, &rule_sections, end, &mut sink);
     if let Some(rules) = &rules {
         rules::report_lints(rules, &rule_sections, &mut sink);
@@ -78,7 +78,7 @@
     }
 }
 
-fn of_kind<'k, 'a>(
+fn sections_of_kind<'k, 'a>(
     sections: &'k [Section<'a>],
     kind: &'k str,
 ) -> impl Iterator<Item = &'k Section<'a>> {
@@ -86,23 +86,23 @@
 }
 
 fn settings(sections: &[Section<'_>], start: Span, sink: &mut Sink<'_>) -> Option<Settings> {
-    let Some(section) = of_kind(sections, "fleet").next() else {
+    let Some(section) = sections_of_kind(sections, "fleet").next() else {
         let help = "begin with `[fleet]`, `version = 1` and `name = …`";
         sink.error(start, Kind::MissingSection("fleet"), help);
         return None;
     };
     let mut keys = Keys { section, sink };
-    version(&mut keys);
+    check_version(&mut keys);
     let name: Option<Name> = keys.name("name");
     let utc_offset_minutes =
         keys.number("utc_offset_minutes", -MAX_UTC_OFFSET_MINUTES, MAX_UTC_OFFSET_MINUTES, 0);
     let default = u32::try_from(Situation::STALE_AFTER.as_secs()).unwrap_or(MAX_STALE_SECONDS);
-    let stale = keys.number("stale_after_seconds", 1, MAX_STALE_SECONDS, default);
-    let stale_after = Duration::from_secs(stale.into());
+    let stale_seconds = keys.number("stale_after_seconds", 1, MAX_STALE_SECONDS, default);
+    let stale_after = Duration::from_secs(stale_seconds.into());
     Some(Settings { name: name?, utc_offset_minutes, stale_after })
 }
 
-fn version(keys: &mut Keys<'_, '_, '_>) {
+fn check_version(keys: &mut Keys<'_, '_, '_>) {
     let Some(piece) = keys.required("version") else { return };
     let version = keys.number("version", 1, u32::MAX, VERSION);
     if version != VERSION {
@@ -126,26 +126,26 @@
 /// that refer to them.
 fn declarations(sections: &[Section<'_>], sink: &mut Sink<'_>) -> Declarations {
     let mut fleet = Fleet::default();
-    for section in of_kind(sections, "weights") {
+    for section in sections_of_kind(sections, "weights") {
         services::weights(&mut fleet, Keys { section, sink });
     }
-    for section in of_kind(sections, "data_centre") {
+    for section in sections_of_kind(sections, "data_centre") {
         topology::data_centre(&mut fleet, Keys { section, sink });
     }
-    for section in of_kind(sections, "pool") {
+    for section in sections_of_kind(sections, "pool") {
         topology::pool(&mut fleet, Keys { section, sink });
     }
-    for section in of_kind(sections, "team") {
+    for section in sections_of_kind(sections, "team") {
         services::team(&mut fleet, Keys { section, sink });
     }
     let before = sink.count();
-    let mut racks = Racks::default();
-    for section in of_kind(sections, "rack") {
-        racks.add(&mut fleet, section, sink);
+    let mut rack_reader = RackReader::default();
+    for section in sections_of_kind(sections, "rack") {
+        rack_reader.read(&mut fleet, section, sink);
     }
     let racks_valid = sink.count() == before;
     let mut valid_services = HashSet::new();
-    for section in of_kind(sections, "service") {
+    for section in sections_of_kind(sections, "service") {
         let before = sink.count();
         let service = services::service(&mut fleet, section, sink);
         valid_services.extend(service.filter(|_| sink.count() == before));
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -48,8 +48,8 @@
 }
 
 /// Returns the parsed value, or reports the error at its position in `piece`.
-fn valid<T>(parsed: Result<T, Error>, piece: Piece<'_>, sink: &mut Sink<'_>) -> Option<T> {
-    parsed
+fn valid<T>(result: Result<T, Error>, piece: Piece<'_>, sink: &mut Sink<'_>) -> Option<T> {
+    result
         .map_err(|error| {
             let span = piece.span().subspan(error.offset(), error.len());
             sink.error(span, error.kind().clone(), error.help());
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -71,8 +71,8 @@
             continue;
         }
         let name = section.title.text.to_owned();
-        let kind = Kind::Duplicate { what: "section", name, first_line: sink.line(first) };
-        sink.error(section.title.span(), kind, "merge the two, or rename one");
+        let error = Kind::Duplicate { what: "section", name, first_line: sink.line(first) };
+        sink.error(section.title.span(), error, "merge the two, or rename one");
     }
     known
 }
--- a/crates/config/src/topology.rs
+++ b/crates/config/src/topology.rs
@@ -44,15 +44,15 @@
     }
 }
 
-/// Adds racks with their VMs, and detects duplicate VM names.
+/// Reads racks with their VMs, and detects duplicate VM names.
 #[derive(Default)]
-pub(crate) struct Racks {
+pub(crate) struct RackReader {
     /// Where each VM was first declared.
     first_spans: HashMap<Name, Span>,
 }
 
-impl Racks {
-    pub(crate) fn add(&mut self, fleet: &mut Fleet, section: &Section<'_>, sink: &mut Sink<'_>) {
+impl RackReader {
+    pub(crate) fn read(&mut self, fleet: &mut Fleet, section: &Section<'_>, sink: &mut Sink<'_>) {
         let mut keys = Keys { section, sink };
         let name = keys.section_name();
         let data_centre = keys.reference(
--- a/crates/config/tests/mistakes.rs
+++ b/crates/config/tests/mistakes.rs
@@ -162,7 +162,7 @@
     use Budget::*;
     let counts = "min_copies = 8\nmax_copies = 15";
     assert!(matches!(budget(counts, "min_copies = 9\nmax_copies = 8"), MinAboveMax { .. }));
-    assert!(matches!(budget("max_copies = 15", "max_copies = 16"), Licences { .. }));
+    assert!(matches!(budget("max_copies = 15", "max_copies = 16"), TooFewLicences { .. }));
     let single = "min_copies = 1\nmax_copies = 1";
     assert!(matches!(budget(counts, single), SingleCopy { .. }));
     let large = "cores = 17\nmemory_gb = 10";
@@ -174,7 +174,7 @@
     ));
     assert!(matches!(
         budget("quota_cores = 480", "quota_cores = 50"),
-        Quota { resource: "cores", .. }
+        QuotaExceeded { resource: "cores", .. }
     ));
     let text = INDUS.replace("data_centre = johar", "data_centre = gulberg");
     let text = text.replace("data_centre = cantt", "data_centre = gulberg");
