--- a/crates/entry/src/gateway/accept.rs
+++ b/crates/entry/src/gateway/accept.rs
@@ -1,4 +1,4 @@
-//! Jobs on their way into the store.
+//! Storing of submitted jobs.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,187 +11,204 @@
 use tokio::time::timeout;
 
 use super::Gateway;
-use super::lookup_log::Sought;
-use crate::admission::{Admission, Offer};
-use crate::attempts::Tries;
+use super::lookup_log::PoolLookup;
+use crate::admission::{Admission, Submission};
+use crate::attempts::Attempts;
 use crate::clock;
-use crate::lookup::Next;
-use crate::placement::Entry;
-use crate::server::Asked;
+use crate::lookup::LookupStep;
+use crate::placement::QueueRecord;
+use crate::server::HttpRequest;
 use crate::store::Error;
 
-/// How long the store is asked to take a job before the caller is told that it
-/// did not. Within a quarter of the time that callers wait.
-const ACCEPT: Duration = Duration::from_millis(700);
-/// The part of the time that a caller waits in which its job is to be stored.
-const PATIENCE: u32 = 4;
-/// The pause between two tries.
-const PAUSE: Duration = Duration::from_millis(40);
-/// Writes of jobs under way at once: a second one goes out while the first
-/// waits for its answer.
-const WRITES: usize = 4;
-/// What became of a job handed in.
-pub(super) enum Accepted {
+/// How long storing a job is attempted before the caller is told that it wasn't stored.
+/// This is within a quarter of the time that callers wait.
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
+/// The fraction of a caller's deadline within which its job is to be stored, as a divisor.
+const DEADLINE_DIVISOR: u32 = 4;
+/// The pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// The most writes of jobs in flight: further ones are sent while the first waits for its
+/// response.
+const MAX_WRITES: usize = 4;
+
+/// The outcome of a submission.
+pub(super) enum StoreResult {
     /// It is stored in this pool, at this revision.
     Stored(String, u64),
     /// It was stored before.
     Known,
     /// It was not stored and never will be.
     NotStored,
-    /// Nobody knows.
+    /// It is not known whether it was stored.
     Unknown,
 }
 
 /// A job that waits for its write.
-pub(super) struct Waiting {
-    /// Tells tries of one job apart.
-    number: u64,
-    offer: Offer,
-    until: Time,
-    /// Whether a write of it may have been done though nobody said so.
-    maybe: bool,
-    told: oneshot::Sender<Accepted>,
-    /// Kept while a write holds it.
-    under_way: Option<UnderWay>,
+pub(super) struct PendingJob {
+    /// Identifies this attempt among those of the same job.
+    attempt: u64,
+    submission: Submission,
+    deadline: Time,
+    /// Whether a write of it may have been carried out unconfirmed.
+    may_be_written: bool,
+    result_sender: oneshot::Sender<StoreResult>,
+    /// Held while a write includes the job.
+    in_flight: Option<InFlight>,
 }
 
-/// Counts a try of a job, or a write that holds it, until it is dropped: a write goes
-/// on when its caller's time is over.
-struct UnderWay {
-    tries: Rc<RefCell<Tries>>,
+/// Counts an attempt to store a job, or a write that includes it, until dropped. A write
+/// continues after its caller's time is over.
+struct InFlight {
+    attempts: Rc<RefCell<Attempts>>,
     id: String,
 }
 
-impl UnderWay {
-    fn new(tries: &Rc<RefCell<Tries>>, id: &str) -> Self {
-        tries.borrow_mut().begins(id);
-        Self { tries: tries.clone(), id: id.to_owned() }
+impl InFlight {
+    fn new(attempts: &Rc<RefCell<Attempts>>, id: &str) -> Self {
+        attempts.borrow_mut().begin(id);
+        Self { attempts: attempts.clone(), id: id.to_owned() }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.tries.borrow_mut().ends(&self.id);
+        self.attempts.borrow_mut().end(&self.id);
     }
 }
 
 impl Gateway {
-    /// Has a job stored, within a part of the time that its caller waits.
-    pub(super) async fn store(self: &Rc<Self>, offer: Offer, within: Duration) -> Accepted {
-        let (told, accepted) = oneshot::channel();
-        let (number, until) = (self.offers.get(), clock::now() + within);
-        self.offers.set(number + 1);
-        let _trying = UnderWay::new(&self.node.tries, &offer.id);
-        let job = Waiting { number, offer, until, maybe: false, told, under_way: None };
-        self.waiting.borrow_mut().push_back(job);
-        self.write_some();
-        match timeout(within, accepted).await {
-            Ok(accepted) => accepted.unwrap_or(Accepted::Unknown),
-            Err(_) => self.withdraw(number),
+    /// Stores a job; gives up after `within`.
+    pub(super) async fn store(
+        self: &Rc<Self>,
+        submission: Submission,
+        within: Duration,
+    ) -> StoreResult {
+        let (result_sender, result) = oneshot::channel();
+        let (attempt, deadline) = (self.submission_count.get(), clock::now() + within);
+        self.submission_count.set(attempt + 1);
+        let _in_flight = InFlight::new(&self.node.attempts, &submission.id);
+        let job = PendingJob {
+            attempt,
+            submission,
+            deadline,
+            may_be_written: false,
+            result_sender,
+            in_flight: None,
+        };
+        self.pending_jobs.borrow_mut().push_back(job);
+        self.start_write();
+        match timeout(within, result).await {
+            Ok(result) => result.unwrap_or(StoreResult::Unknown),
+            Err(_) => self.withdraw(attempt),
         }
     }
 
-    /// Gives a job up whose time is over. One that still waits for its write is
-    /// certainly not stored; a write that is under way may yet be carried out.
-    fn withdraw(&self, number: u64) -> Accepted {
-        let mut waiting = self.waiting.borrow_mut();
-        let before = waiting.len();
-        waiting.retain(|job| job.number != number || job.maybe);
-        if waiting.len() < before { Accepted::NotStored } else { Accepted::Unknown }
+    /// Gives up on a job whose time is over. If it still waits for its write, it is
+    /// certainly not stored; a write in flight may still be carried out.
+    fn withdraw(&self, attempt: u64) -> StoreResult {
+        let mut pending_jobs = self.pending_jobs.borrow_mut();
+        let len_before = pending_jobs.len();
+        pending_jobs.retain(|job| job.attempt != attempt || job.may_be_written);
+        if pending_jobs.len() < len_before { StoreResult::NotStored } else { StoreResult::Unknown }
     }
 
-    /// Starts a write of what waits, unless enough are under way: what comes
-    /// meanwhile goes together in the next.
-    fn write_some(self: &Rc<Self>) {
-        if self.writing.get() >= WRITES || self.waiting.borrow().is_empty() {
+    /// Starts a write of waiting jobs, unless enough writes are in flight. Jobs that arrive
+    /// meanwhile go into the next one together.
+    fn start_write(self: &Rc<Self>) {
+        if self.writes_in_flight.get() >= MAX_WRITES || self.pending_jobs.borrow().is_empty() {
             return;
         }
-        let count = self.admission(self.waiting.borrow().iter()).count();
-        let mut jobs: Vec<Waiting> = self.waiting.borrow_mut().drain(..count).collect();
+        let count = self.admission(self.pending_jobs.borrow().iter()).count();
+        let mut jobs: Vec<PendingJob> = self.pending_jobs.borrow_mut().drain(..count).collect();
         for job in &mut jobs {
-            job.under_way = Some(UnderWay::new(&self.node.tries, &job.offer.id));
+            job.in_flight = Some(InFlight::new(&self.node.attempts, &job.submission.id));
         }
-        self.writing.set(self.writing.get() + 1);
+        self.writes_in_flight.set(self.writes_in_flight.get() + 1);
         let gateway = self.clone();
         spawn_local(async move {
             gateway.write(jobs).await;
-            gateway.writing.set(gateway.writing.get() - 1);
-            gateway.write_some();
+            gateway.writes_in_flight.set(gateway.writes_in_flight.get() - 1);
+            gateway.start_write();
         });
     }
 
-    /// What of some jobs goes together in one write, by what is known of their
+    /// Returns the admission of the jobs that fit in one write, given what is known of their
     /// queues.
-    fn admission<'a>(&self, jobs: impl Iterator<Item = &'a Waiting>) -> Admission {
+    fn admission<'a>(&self, jobs: impl Iterator<Item = &'a PendingJob>) -> Admission {
         let table = self.node.table.borrow();
-        Admission::new(jobs.map(|job| &job.offer), &table)
+        Admission::new(jobs.map(|job| &job.submission), &table)
     }
 
-    /// Takes in queues' records. Whether any of them is news.
-    fn learn(&self, entries: Vec<(String, Entry)>) -> bool {
+    /// Updates queues' records. Returns whether any of them changed.
+    fn update_queues(&self, records: Vec<(String, QueueRecord)>) -> bool {
         let mut table = self.node.table.borrow_mut();
-        entries.into_iter().fold(false, |is_news, (queue, entry)| {
-            // Each is taken in, also behind the first that is news.
-            table.learn(&queue, entry) || is_news
+        records.into_iter().fold(false, |is_changed, (queue, record)| {
+            // `update_queue` comes first so that every record is updated.
+            table.update_queue(&queue, record) || is_changed
         })
     }
 
-    /// Writes jobs until each is known to be stored or its time is over.
-    async fn write(self: &Rc<Self>, mut jobs: Vec<Waiting>) {
+    /// Retries a write of jobs until each is known to be stored or its time is over.
+    async fn write(self: &Rc<Self>, mut jobs: Vec<PendingJob>) {
         while !jobs.is_empty() {
             let admission = self.admission(jobs.iter());
-            // A queue that has just come to another pool takes more of a write.
+            // Jobs of a queue that was just moved to another pool need more rows.
             for mut job in jobs.drain(admission.count()..).rev() {
-                job.under_way = None;
-                self.waiting.borrow_mut().push_front(job);
+                job.in_flight = None;
+                self.pending_jobs.borrow_mut().push_front(job);
             }
-            jobs = self.sift(&admission, jobs).await;
+            jobs = self.resolve_unchecked(&admission, jobs).await;
             if jobs.is_empty() {
                 return;
             }
-            let txn = admission.txn(jobs.iter().map(|job| &job.offer));
-            let mut is_news = false;
+            let txn = admission.txn(jobs.iter().map(|job| &job.submission));
+            let mut is_changed = false;
             match self.node.store.txn(&txn).await {
                 Ok(Outcome::Written(revision)) => {
-                    self.learn(admission.written(revision));
+                    self.update_queues(admission.written_records(revision));
                     for job in jobs {
-                        let pool = admission.pool(&job.offer).to_owned();
-                        // A caller that left finds its job when it asks again.
-                        let _ = job.told.send(Accepted::Stored(pool, revision));
+                        let pool = admission.pool(&job.submission).to_owned();
+                        // A caller that left finds its job when it retries.
+                        let _ = job.result_sender.send(StoreResult::Stored(pool, revision));
                     }
                     return;
                 }
                 Ok(Outcome::Conflict(items)) => {
-                    is_news = self.learn(admission.seen(&items));
-                    let is_stored = |job: &Waiting| admission.is_stored(&job.offer, &items);
-                    let (stored, rest): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_stored);
-                    is_news |= !stored.is_empty();
-                    jobs = rest;
-                    tell_known(stored);
+                    is_changed = self.update_queues(admission.conflicting_records(&items));
+                    let is_stored = |job: &PendingJob| admission.is_stored(&job.submission, &items);
+                    let (stored, remaining): (Vec<_>, Vec<_>) =
+                        jobs.into_iter().partition(is_stored);
+                    is_changed |= !stored.is_empty();
+                    jobs = remaining;
+                    report_known(stored);
                 }
                 Ok(Outcome::NoLease) | Err(Error::Unknown) => {
-                    jobs.iter_mut().for_each(|job| job.maybe = true);
+                    jobs.iter_mut().for_each(|job| job.may_be_written = true);
                 }
                 Err(Error::NotDone(_)) => {}
             }
-            jobs = self.give_up(jobs, self.node.store.is_away());
-            if !is_news {
-                tokio::time::sleep(PAUSE).await;
+            jobs = self.give_up(jobs, self.node.store.is_down());
+            if !is_changed {
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    /// Tells those that are known in a pool for which their write has no room, and
-    /// keeps the others. Where that can't be read, a caller is told to come back.
-    async fn sift(self: &Rc<Self>, admission: &Admission, jobs: Vec<Waiting>) -> Vec<Waiting> {
-        let mut rest = Vec::new();
+    /// Checks the earlier pools that don't fit into the write. Reports the jobs found there
+    /// and returns the others; where a pool can't be read, the job is given up.
+    async fn resolve_unchecked(
+        self: &Rc<Self>,
+        admission: &Admission,
+        jobs: Vec<PendingJob>,
+    ) -> Vec<PendingJob> {
+        let mut remaining = Vec::new();
         'jobs: for job in jobs {
-            for pool in admission.unchecked(&job.offer) {
-                let mut sought = Sought::unasked(pool);
-                match self.look_up(pool, &job.offer.id, &mut sought).await {
-                    Ok(Next::Absent) => {}
+            for pool in admission.unchecked_pools(&job.submission) {
+                let mut log = PoolLookup::store_only(pool);
+                match self.look_up(pool, &job.submission.id, &mut log).await {
+                    Ok(LookupStep::Absent) => {}
                     Ok(_) => {
-                        tell_known(vec![job]);
+                        report_known(vec![job]);
                         continue 'jobs;
                     }
                     Err(_) => {
@@ -200,40 +217,42 @@
                     }
                 }
             }
-            rest.push(job);
+            remaining.push(job);
         }
-        rest
+        remaining
     }
 
-    /// Answers those whose time is over, or all if the store is away, and keeps the
-    /// others.
-    fn give_up(self: &Rc<Self>, jobs: Vec<Waiting>, is_away: bool) -> Vec<Waiting> {
+    /// Gives up jobs whose time is over, or all if the store is down. Returns the others.
+    fn give_up(self: &Rc<Self>, jobs: Vec<PendingJob>, is_down: bool) -> Vec<PendingJob> {
         let now = clock::now();
-        let is_over = |job: &Waiting| is_away || now >= job.until;
-        let (over, rest): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_over);
-        for job in over {
-            let accepted = if job.maybe { Accepted::Unknown } else { Accepted::NotStored };
-            let is_heard = job.told.send(accepted).is_ok();
-            // Its caller left, and asks again elsewhere.
-            if job.maybe && !is_heard {
+        let is_expired = |job: &PendingJob| is_down || now >= job.deadline;
+        let (expired, remaining): (Vec<_>, Vec<_>) = jobs.into_iter().partition(is_expired);
+        for job in expired {
+            let result =
+                if job.may_be_written { StoreResult::Unknown } else { StoreResult::NotStored };
+            let is_received = job.result_sender.send(result).is_ok();
+            // The caller left and may retry at another entry VM.
+            if job.may_be_written && !is_received {
                 let gateway = self.clone();
-                spawn_local(async move { gateway.note_unsure(&job.offer.id).await });
+                spawn_local(async move { gateway.note_unsure(&job.submission.id).await });
             }
         }
-        rest
+        remaining
     }
 }
 
-fn tell_known(jobs: Vec<Waiting>) {
+fn report_known(jobs: Vec<PendingJob>) {
     for job in jobs {
-        // A caller that left finds its job when it asks again.
-        let _ = job.told.send(Accepted::Known);
+        // A caller that left finds its job when it retries.
+        let _ = job.result_sender.send(StoreResult::Known);
     }
 }
 
-/// How long a caller's job may wait to be stored: a part of the time that the
-/// caller waits. One that is close to its deadline is told before it.
-pub(super) fn patience(asked: &Asked) -> Duration {
-    let deadline = asked.deadline_ms.map_or(ACCEPT, |ms| Duration::from_millis(ms) / PATIENCE);
-    ACCEPT.min(deadline).max(PAUSE)
+/// Returns how long a job may wait to be stored: a fraction of the caller's deadline, so
+/// that a caller with a short deadline gets its response before it.
+pub(super) fn store_timeout(request: &HttpRequest) -> Duration {
+    let deadline = request
+        .deadline_ms
+        .map_or(STORE_TIMEOUT, |ms| Duration::from_millis(ms) / DEADLINE_DIVISOR);
+    STORE_TIMEOUT.min(deadline).max(RETRY_PAUSE)
 }
--- a/crates/entry/src/outage.rs
+++ b/crates/entry/src/outage.rs
@@ -1,30 +1,29 @@
-//! Whether the store is away.
+//! Detection of outages of the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use corianderfork_model::Time;
 
-/// How long a call may go without an answer before the store is taken to be away.
-/// It answers in milliseconds, in some 400 when it is at its slowest, and a store
-/// that is only slow must not be taken for one that is gone.
-const SILENT: Duration = Duration::from_millis(550);
-/// Calls that have to fail in a row, with no answer in between.
-const FAILURES: u32 = 2;
-/// How long there has to be no answer where calls fail at once: one process that
-/// is restarted resets all connections of a moment.
-const FAILING: Duration = Duration::from_millis(250);
+/// How long a call may be pending before the store is considered down. The store responds
+/// in milliseconds, in some 400 when it is at its slowest, and a store that is only slow must
+/// not be taken for one that is down.
+const SILENCE_LIMIT: Duration = Duration::from_millis(550);
+/// How many calls have to fail in a row, with no response in between.
+const MIN_FAILURES: u32 = 2;
+/// How long there has to be no response if calls fail at once: a restart of one process
+/// resets all connections at one moment.
+const MIN_FAILING_TIME: Duration = Duration::from_millis(250);
 
-/// A call under way.
+/// A call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Call(u64);
+pub struct CallId(u64);
 
-/// What is known of the store from calls to it, by whatever way. Pure.
+/// The availability of the store, as observed by calls through any route. It does no I/O.
 ///
-/// While it is away no job can be accepted. A caller whose job is written to it
-/// all the same is told after some hundreds of milliseconds that nobody knows
-/// whether it was stored, and asks again; one that is refused at once, unwritten,
-/// knows that its job was not run and when to come back.
+/// During an outage no job can be accepted. A caller whose job is written anyway is told
+/// after some hundreds of milliseconds that the outcome is unknown, and retries; one that is
+/// refused at once, unwritten, knows that its job was not run and when to come back.
 ///
 /// ```
 /// use corianderfork_entry::outage::Outage;
@@ -32,58 +31,60 @@
 ///
 /// let at = Time::from_millis;
 /// let mut outage = Outage::default();
-/// let call = outage.sent(at(0));
-/// assert!(!outage.is_away(at(400)), "it may be slow");
-/// assert!(outage.is_away(at(600)));
-/// outage.answered(at(700), call);
-/// assert!(!outage.is_away(at(700)));
+/// let call = outage.note_sent(at(0));
+/// assert!(!outage.is_down(at(400)), "the store may only be slow");
+/// assert!(outage.is_down(at(600)));
+/// outage.note_response(at(700), call);
+/// assert!(!outage.is_down(at(700)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Outage {
     calls: u64,
-    /// Calls under way that have not been answered, and when they were sent.
-    pending: BTreeMap<Call, Time>,
-    /// Calls that failed since the last answer.
+    /// Calls in flight, and when they were sent.
+    pending: BTreeMap<CallId, Time>,
+    /// Calls that failed since the last response.
     failures: u32,
-    answered: Time,
+    last_response: Time,
 }
 
 impl Outage {
-    /// A call is sent that is to be answered at once.
-    pub fn sent(&mut self, now: Time) -> Call {
+    /// Records that a call was sent that should get a response at once.
+    pub fn note_sent(&mut self, now: Time) -> CallId {
         self.calls += 1;
-        self.pending.insert(Call(self.calls), now);
-        Call(self.calls)
+        self.pending.insert(CallId(self.calls), now);
+        CallId(self.calls)
     }
 
-    /// A call was answered.
-    pub fn answered(&mut self, now: Time, call: Call) {
+    /// Records that a call got a response.
+    pub fn note_response(&mut self, now: Time, call: CallId) {
         self.pending.remove(&call);
-        self.heard(now);
+        self.note_contact(now);
     }
 
-    /// The store was heard of by another way than a call that was [sent](Self::sent).
-    pub fn heard(&mut self, now: Time) {
-        self.answered = now;
+    /// Records a response of the store to anything but a call that was
+    /// [sent](Self::note_sent).
+    pub fn note_contact(&mut self, now: Time) {
+        self.last_response = now;
         self.failures = 0;
     }
 
-    /// A call ended without an answer, or was turned away.
-    pub fn failed(&mut self, call: Call) {
+    /// Records that a call ended without a response or was rejected.
+    pub fn note_failure(&mut self, call: CallId) {
         self.pending.remove(&call);
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Whether the store is taken to be away.
-    pub fn is_away(&self, now: Time) -> bool {
-        // Calls that were sent before the last answer may have been lost alone.
-        let waits = |sent: &Time| *sent >= self.answered && now - *sent >= SILENT;
-        let is_failing = self.failures >= FAILURES && now - self.answered >= FAILING;
+    /// Whether the store is considered down.
+    pub fn is_down(&self, now: Time) -> bool {
+        // Calls sent before the last response may have been lost individually.
+        let waits = |sent: &Time| *sent >= self.last_response && now - *sent >= SILENCE_LIMIT;
+        let is_failing =
+            self.failures >= MIN_FAILURES && now - self.last_response >= MIN_FAILING_TIME;
         is_failing || self.pending.values().any(waits)
     }
 
-    /// How long ago it last answered, and how many calls have failed since.
+    /// Returns the time since the last response and the number of calls failed since.
     pub fn evidence(&self, now: Time) -> (Duration, u32) {
-        (now - self.answered, self.failures)
+        (now - self.last_response, self.failures)
     }
 }
--- a/crates/entry/src/owner/predecessors.rs
+++ b/crates/entry/src/owner/predecessors.rs
@@ -1,4 +1,4 @@
-//! What an owner learns of those that owned its pool before.
+//! Communication with the former owners of a pool.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,55 +8,57 @@
 
 use super::{Owner, ms};
 use crate::clock;
-use crate::duty::Former;
+use crate::duty::FormerHolder;
 use crate::node::Node;
-use crate::peer::{self, Ask, Reply};
+use crate::peer::{self, Message, Reply};
 
-/// How long a former owner may take over its answer.
-const ANSWER: Duration = Duration::from_millis(250);
-/// The pause until former owners that didn't answer are asked again.
-const PAUSE: Duration = Duration::from_millis(500);
+/// How long a former owner may take to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The pause before former owners that didn't respond are asked again.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 impl Owner {
-    /// Tells former owners that they are replaced, and hears until when what they granted
-    /// holds. Those that don't answer are waited out instead.
-    pub(super) async fn ask_predecessors(&self) {
-        let formers = self.formers_to_ask();
-        let ask = Ask::Retire { duty: self.name.clone(), fence: self.fence() };
-        let answers: Vec<_> = formers
+    /// Tells former owners that they are replaced, and learns until when their grants hold.
+    /// For those that don't respond, the longest possible lease is waited out.
+    pub(super) async fn query_predecessors(&self) {
+        let former_holders = self.holders_to_query();
+        let message = Message::Retire { duty: self.name.clone(), fence: self.fence() };
+        let answers: Vec<_> = former_holders
             .into_iter()
-            .map(|former| spawn_local(ask_former(self.node.clone(), former, ask.clone())))
+            .map(|former| {
+                spawn_local(notify_former_holder(self.node.clone(), former, message.clone()))
+            })
             .collect();
         for answer in answers {
             if let Ok((former, Some(reply))) = answer.await {
-                self.hear_predecessor(&former, reply);
+                self.handle_reply(&former, reply);
             }
         }
     }
 
-    fn formers_to_ask(&self) -> Vec<Former> {
+    fn holders_to_query(&self) -> Vec<FormerHolder> {
         let mut predecessors = self.predecessors.borrow_mut();
         predecessors.observe(clock::now(), &self.node.table.borrow());
-        predecessors.to_ask()
+        predecessors.to_query()
     }
 
-    fn hear_predecessor(&self, former: &Former, reply: Reply) {
+    fn handle_reply(&self, former: &FormerHolder, reply: Reply) {
         let Reply::Retired { grants, process } = reply else { return };
         let now = clock::now();
         let mut predecessors = self.predecessors.borrow_mut();
         match process {
             Some(process) if process.boot != former.boot => {
-                // At its address another machine may answer.
+                // Another machine may respond at its address.
                 if process.name == former.name {
-                    predecessors.end(now, former);
+                    predecessors.mark_ended(now, former);
                 }
             }
-            _ => grants.iter().for_each(|grants| predecessors.learn(now, former, grants)),
+            _ => grants.iter().for_each(|grants| predecessors.record_report(now, former, grants)),
         }
     }
 
-    /// Waits no longer for former owners than what is known of them asks for. Whether all
-    /// of them are accounted for.
+    /// Shortens the wait for former owners to what is known of their grants. Returns
+    /// whether all of them are accounted for.
     pub(super) fn limit_inherited(&self) -> bool {
         let mut predecessors = self.predecessors.borrow_mut();
         predecessors.observe(clock::now(), &self.node.table.borrow());
@@ -66,25 +68,29 @@
         true
     }
 
-    /// Learns of former owners until all are accounted for, or all waits are over.
+    /// Queries former owners until all are accounted for or the wait is over.
     pub(super) async fn follow_predecessors(self: Rc<Self>) {
-        let begun = clock::now();
+        let started = clock::now();
         while !self.retired.get() && !self.limit_inherited() {
             if !self.pool.borrow().is_recovering(clock::now()) {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
-            self.ask_predecessors().await;
+            tokio::time::sleep(RETRY_PAUSE).await;
+            self.query_predecessors().await;
         }
         self.node.trace.line(
-            "former owners accounted for",
-            json!({ "duty": self.name, "fence": self.fence(), "took_ms": ms(clock::now() - begun) }),
+            "grants of former owners known",
+            json!({ "duty": self.name, "fence": self.fence(), "took_ms": ms(clock::now() - started) }),
         );
     }
 }
 
-async fn ask_former(node: Rc<Node>, former: Former, ask: Ask) -> (Former, Option<Reply>) {
+async fn notify_former_holder(
+    node: Rc<Node>,
+    former: FormerHolder,
+    message: Message,
+) -> (FormerHolder, Option<Reply>) {
     let Some(address) = former.peers else { return (former, None) };
-    let reply = peer::ask(&node.peers, address, &ask, ANSWER).await.ok();
+    let reply = peer::send(&node.peers, address, &message, RESPONSE_TIMEOUT).await.ok();
     (former, reply)
 }
--- a/crates/entry/src/trace.rs
+++ b/crates/entry/src/trace.rs
@@ -1,4 +1,4 @@
-//! Structured lines on standard output, one a decision.
+//! The log: structured lines on standard output, one for each decision.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,15 +10,15 @@
 
 use crate::clock;
 
-/// Lines that may wait to be written. A reader of the output that stalls costs
-/// lines, which are counted, and never a caller's time.
-const QUEUE: usize = 2_048;
-/// Lines a second, in the long run: at about 200 bytes a line, 60 KB a second.
-const RATE: f64 = 300.0;
-/// Lines at once.
-const BURST: f64 = 1_500.0;
+/// The most lines waiting to be written. If a reader of the output stalls, lines are dropped
+/// and counted; callers are never delayed.
+const MAX_QUEUED_LINES: usize = 2_048;
+/// The sustained rate of lines a second: at about 200 bytes a line, 60 KB a second.
+const LINES_PER_SECOND: f64 = 300.0;
+/// The most lines in a burst.
+const MAX_BURST: f64 = 1_500.0;
 
-/// Writes the log. Clones write to the same.
+/// Writes the log. Clones write to the same log.
 #[derive(Clone)]
 pub struct Trace {
     sender: SyncSender<String>,
@@ -28,24 +28,24 @@
 }
 
 impl Trace {
-    /// Starts the thread that writes: the output may block, the daemon must not.
+    /// Starts the writer thread: the output may block, the daemon must not.
     pub fn start(node: &str) -> Self {
-        let (sender, receiver) = sync_channel(QUEUE);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         let started =
             std::thread::Builder::new().name("log".to_owned()).spawn(move || write(&receiver));
         if let Err(error) = started {
-            eprintln!("no thread for the log ({error}); the log stays empty");
+            eprintln!("cannot start the log thread ({error}); nothing will be logged");
         }
-        let budget = Arc::new(Mutex::new((BURST, Instant::now())));
+        let budget = Arc::new(Mutex::new((MAX_BURST, Instant::now())));
         Self { sender, dropped: Arc::default(), budget, node: node.into() }
     }
 
-    /// Writes a line that is seldom: starts, stops, duties, dependencies.
-    pub fn key(&self, event: &'static str, fields: Value) {
+    /// Writes a rare line, bypassing the rate limit: starts, stops, duties, dependencies.
+    pub fn unlimited(&self, event: &'static str, fields: Value) {
         self.send(event, &fields);
     }
 
-    /// Writes a line, unless there have been too many lately.
+    /// Writes a line unless the rate limit is exceeded.
     pub fn line(&self, event: &'static str, fields: Value) {
         if !self.take_budget() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -72,11 +72,11 @@
     }
 
     fn take_budget(&self) -> bool {
-        // Only the daemon's one thread takes this lock.
+        // Only the daemon's single thread takes this lock.
         let Ok(mut budget) = self.budget.lock() else { return false };
         let (left, at) = *budget;
         let now = Instant::now();
-        let left = (left + now.duration_since(at).as_secs_f64() * RATE).min(BURST);
+        let left = (left + now.duration_since(at).as_secs_f64() * LINES_PER_SECOND).min(MAX_BURST);
         let is_left = left >= 1.0;
         *budget = (if is_left { left - 1.0 } else { left }, now);
         is_left
@@ -93,7 +93,7 @@
             lines.push_str(&line);
             lines.push('\n');
         }
-        // There is nobody to tell that the output is gone.
+        // There is nowhere to report that the output is gone.
         let _ = std::io::stdout().write_all(lines.as_bytes());
     }
 }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -95,7 +95,7 @@
 
     /// Creates a response for a request that the router refused.
     pub fn refused(refusal: &Refusal) -> Self {
-        Self::not_run(&refusal.why.to_string(), refusal.retry_after)
+        Self::not_run(&refusal.reason.to_string(), refusal.retry_after)
     }
 
     /// Creates the response to a request whose id has a timestamp in the future; it was
