--- a/crates/e2e/benches/processes/latency.rs
+++ b/crates/e2e/benches/processes/latency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use corianderfork_e2e::config::SMALL;
-use corianderfork_e2e::play;
+use corianderfork_e2e::playground;
 use corianderfork_e2e::system::{Config, System};
 use corianderfork_standins::load::{self, Load, Summary};
 use serde_json::json;
@@ -110,7 +110,7 @@
                 None => {}
             }
             let text = format!("{SMALL}\n; change {}\n", took.len());
-            took.push(play::change(&system, &text));
+            took.push(playground::change(&system, &text));
         }
         took.sort();
         let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize].as_millis();
--- a/crates/e2e/src/bin/playground.rs
+++ b/crates/e2e/src/bin/playground.rs
@@ -5,7 +5,7 @@
 
 use clap::{Arg, ArgAction, Command};
 use corianderfork_e2e::config::User;
-use corianderfork_e2e::play;
+use corianderfork_e2e::playground;
 
 fn main() -> ExitCode {
     let args = Command::new("playground")
@@ -25,7 +25,7 @@
         )
         .get_matches();
     let name = args.get_one::<String>("user").map_or("gourmoti", String::as_str);
-    let table = play::run(User::find(name).unwrap_or_default());
+    let table = playground::run(User::find(name).unwrap_or_default());
     println!("{table}");
     if args.get_flag("once") && !table.is_clean() {
         return ExitCode::FAILURE;
--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -14,6 +14,6 @@
 pub mod entry;
 pub mod fleet;
 pub mod http;
-pub mod play;
+pub mod playground;
 pub mod system;
 pub mod wait;
--- a/crates/e2e/src/play.rs
+++ b/crates/e2e/src/playground.rs
@@ -213,6 +213,6 @@
     format!("{:.2}", duration.as_secs_f64())
 }
 
-fn latency(latency: &corianderfork_standins::bench::Latency) -> String {
+fn latency(latency: &corianderfork_standins::latency::Latency) -> String {
     format!("{:.1} / {:.1}", latency.p50_us as f64 / 1e3, latency.p99_us as f64 / 1e3)
 }
--- a/crates/e2e/tests/config.rs
+++ b/crates/e2e/tests/config.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_e2e::config::SMALL;
 use corianderfork_e2e::system::{Config, System};
-use corianderfork_e2e::{http, play, wait};
+use corianderfork_e2e::{http, playground, wait};
 use corianderfork_provider::key;
 use corianderfork_provider::store::Store;
 use serde_json::json;
@@ -19,7 +19,7 @@
 }
 
 fn in_force(system: &System, entry: usize) -> Option<f64> {
-    play::config_revision(system.entries[entry].callers())
+    playground::config_revision(system.entries[entry].callers())
 }
 
 #[test]
@@ -33,7 +33,7 @@
     for entry in 0..system.entries.len() {
         system.cut(entry, &json!({ "silent": true }));
     }
-    let took = play::change(&system, SMALL);
+    let took = playground::change(&system, SMALL);
     assert!(took < PROMISED, "in force after {took:?}");
 }
 
@@ -44,7 +44,7 @@
     // Cause: it asks nobody but the store.
     let system = System::converged(Config::new(SMALL).faults());
     system.cut(0, &json!({ "cut": true }));
-    let took = play::change(&system, SMALL);
+    let took = playground::change(&system, SMALL);
     assert!(took < PROMISED, "in force after {took:?}");
 }
 
@@ -56,7 +56,7 @@
     // replaced.
     // Cause: a new process reads its configuration from the store alone.
     let mut system = System::converged(Config::new(SMALL));
-    play::change(&system, SMALL);
+    playground::change(&system, SMALL);
     let newest = revision(&system);
     system.store_down(true);
     system.replace(0);
--- a/crates/standins/src/bench.rs
+++ b/crates/standins/src/latency.rs
@@ -43,7 +43,7 @@
     /// The sum of what came in.
     ///
     /// ```
-    /// use corianderfork_standins::bench::Recorder;
+    /// use corianderfork_standins::latency::Recorder;
     ///
     /// let mut recorder = Recorder::default();
     /// (1..=100).for_each(|us| recorder.record_us(us));
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -21,7 +21,6 @@
 pub mod answer;
 pub mod backend;
 pub mod behaviour;
-pub mod bench;
 mod body;
 pub mod clock;
 pub mod connections;
@@ -29,6 +28,7 @@
 pub mod fleet;
 pub mod history;
 pub mod http;
+pub mod latency;
 pub mod ledger;
 pub mod load;
 pub mod platform;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -11,10 +11,10 @@
 use uuid::Uuid;
 
 use crate::answer;
-use crate::bench::{Latency, Recorder};
 use crate::clock::unix_ms;
 use crate::history::{Attempt, Call, Fault, Outcome};
 use crate::http::lock;
+use crate::latency::{Latency, Recorder};
 
 const MAX_ANSWER: u64 = 16 << 20;
 const IDLE: usize = 64;
