--- a/crates/e2e/tests/at_most_once.rs
+++ b/crates/e2e/tests/at_most_once.rs
@@ -62,7 +62,7 @@
     config.attempts = 1;
     let client = Client::new(config);
     let keys = calls.iter().filter_map(|call| call.key.as_ref()?.parse().ok());
-    keys.map(|key: Uuid| client.transfer_again(key, "transfer", &mut rng)).collect()
+    keys.map(|key: Uuid| client.transfer_with_key(key, "transfer", &mut rng)).collect()
 }
 
 fn answered(calls: &[Call]) -> usize {
@@ -83,7 +83,7 @@
     config.attempts = 3;
     let client = Client::new(config);
     let calls: Vec<_> =
-        (0..CALLS).map(|n| client.transfer_again(key(n as u64), "transfer", &mut rng)).collect();
+        (0..CALLS).map(|n| client.transfer_with_key(key(n as u64), "transfer", &mut rng)).collect();
     let runs = system.runs();
     let findings = history::check(&runs, &calls);
     assert!(findings.is_clean(), "{findings:?}");
--- a/crates/standins/src/backend.rs
+++ b/crates/standins/src/backend.rs
@@ -1,4 +1,4 @@
-//! Many runners in one process, started and stopped as the platform says.
+//! Many runners in one process, started and stopped as the platform requests.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -15,19 +15,20 @@
 use crate::fleet::{Phase, State, Task, Usage, Vm};
 use crate::http::{Reply, Request, Response, Server, Service, lock, spawn};
 use crate::ledger::Ledger;
-use crate::runner::{Config, Open, Shown};
+use crate::runner::{Config, Handle, Status};
 
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const TIMEOUT: Duration = Duration::from_secs(2);
-const USAGE_MS: u64 = 1000;
-const MEMORY_MIB: u64 = 512;
-const ADMIN_CONNECTIONS: usize = 64;
+const USAGE_INTERVAL_MS: u64 = 1000;
+const REPORTED_MEMORY_MIB: u64 = 512;
+const MAX_ADMIN_CONNECTIONS: usize = 64;
 
+/// The VM and the service of a runner.
 type Key = (String, String);
 
 #[derive(Debug)]
-struct Held {
-    open: Open,
+struct Instance {
+    handle: Handle,
     generation: u64,
     boots: u64,
 }
@@ -37,32 +38,32 @@
 pub struct Host {
     config: Config,
     ledger: Arc<Ledger>,
-    runners: Mutex<HashMap<Key, Held>>,
-    /// Runners of earlier starts, until nothing is in flight there.
-    closing: Mutex<Vec<Open>>,
+    runners: Mutex<HashMap<Key, Instance>>,
+    /// Replaced runners that still have requests in flight.
+    closing: Mutex<Vec<Handle>>,
 }
 
 #[derive(Deserialize)]
-struct View {
+struct Snapshot {
     tasks: Vec<Task>,
     vms: Vec<Vm>,
 }
 
 #[derive(Deserialize)]
-struct Which {
+struct Filter {
     vm: Option<String>,
     service: Option<String>,
 }
 
-impl Which {
-    fn fits(&self, (vm, service): &Key) -> bool {
+impl Filter {
+    fn matches(&self, (vm, service): &Key) -> bool {
         self.vm.as_ref().is_none_or(|v| v == vm)
             && self.service.as_ref().is_none_or(|s| s == service)
     }
 }
 
 impl Host {
-    /// A host without runners.
+    /// Creates a host without runners.
     pub fn new(config: Config) -> Arc<Self> {
         let (ledger, runners) = (Arc::default(), Mutex::default());
         Arc::new(Self { config, ledger, runners, closing: Mutex::default() })
@@ -75,10 +76,10 @@
     /// Fails if the listener's address can't be read.
     pub fn serve_admin(self: &Arc<Self>, listener: TcpListener) -> io::Result<Server> {
         let connections = Arc::new(Connections::default());
-        Server::start(listener, ADMIN_CONNECTIONS, connections, self.clone())
+        Server::start(listener, MAX_ADMIN_CONNECTIONS, connections, self.clone())
     }
 
-    /// Opens a runner that no platform asked for.
+    /// Starts a runner that no platform requested.
     ///
     /// # Errors
     ///
@@ -87,22 +88,24 @@
         self.start(vm, service, 0, 0)
     }
 
-    /// Follows the platform at `platform` until the process ends.
-    pub fn follow(self: &Arc<Self>, platform: SocketAddr) {
+    /// Starts a thread that follows the tasks of the platform at `address` until
+    /// the process ends.
+    pub fn follow(self: &Arc<Self>, address: SocketAddr) {
         let host = self.clone();
         spawn(move || {
-            let api = Api::new(platform);
-            let mut measured = unix_ms();
+            let platform = Platform::new(address);
+            let mut measured_ms = unix_ms();
             loop {
-                if let Some(view) = api.view() {
-                    host.reconcile(&api, &view);
+                if let Some(snapshot) = platform.snapshot() {
+                    host.reconcile(&platform, &snapshot);
                 }
                 let now = unix_ms();
-                if now >= measured + USAGE_MS {
-                    api.post("/_backend/usage", &json!({ "usage": host.usage(now, measured) }));
-                    measured = now;
+                if now >= measured_ms + USAGE_INTERVAL_MS {
+                    platform
+                        .post("/_backend/usage", &json!({ "usage": host.usage(now, measured_ms) }));
+                    measured_ms = now;
                 }
-                thread::sleep(POLL);
+                thread::sleep(POLL_INTERVAL);
             }
         });
     }
@@ -114,34 +117,34 @@
         generation: u64,
         boots: u64,
     ) -> io::Result<SocketAddr> {
-        let open = Open::start(vm, service, &self.config, self.ledger.clone())?;
-        let address = open.address();
-        let held = Held { open, generation, boots };
-        lock(&self.runners).insert((vm.to_owned(), service.to_owned()), held);
+        let handle = Handle::start(vm, service, &self.config, self.ledger.clone())?;
+        let address = handle.address();
+        let instance = Instance { handle, generation, boots };
+        lock(&self.runners).insert((vm.to_owned(), service.to_owned()), instance);
         Ok(address)
     }
 
-    /// Makes the runners what the platform wants. Works from the whole view
-    /// each time, so that a lost report is made up for at the next poll.
-    fn reconcile(&self, api: &Api, view: &View) {
+    /// Starts and stops runners to match the platform's tasks. Compares the whole
+    /// snapshot each time, so that the next poll makes up for a lost report.
+    fn reconcile(&self, platform: &Platform, snapshot: &Snapshot) {
         let tasks: HashMap<_, _> =
-            view.tasks.iter().map(|t| ((t.vm.clone(), t.service.clone()), t)).collect();
-        let vms: HashMap<_, _> = view.vms.iter().map(|vm| (vm.name.as_str(), vm)).collect();
-        self.retire(&tasks, &vms);
+            snapshot.tasks.iter().map(|t| ((t.vm.clone(), t.service.clone()), t)).collect();
+        let vms: HashMap<_, _> = snapshot.vms.iter().map(|vm| (vm.name.as_str(), vm)).collect();
+        self.stop_outdated(&tasks, &vms);
         for (key, task) in &tasks {
             let runners = lock(&self.runners);
-            let Some(held) = runners.get(key) else {
+            let Some(instance) = runners.get(key) else {
                 drop(runners);
-                self.begin(api, task, &vms);
+                self.start_task(platform, task, &vms);
                 continue;
             };
-            let address = held.open.address().to_string();
+            let address = instance.handle.address().to_string();
             let state = match task.state {
                 Phase::Stopping => {
-                    held.open.leave();
-                    if held.open.try_close() { Phase::Stopped } else { Phase::Stopping }
+                    instance.handle.leave();
+                    if instance.handle.try_close() { Phase::Stopped } else { Phase::Stopping }
                 }
-                _ if held.open.is_warm() => Phase::Running,
+                _ if instance.handle.is_warm() => Phase::Running,
                 _ => Phase::Starting,
             };
             drop(runners);
@@ -149,52 +152,53 @@
                 lock(&self.runners).remove(key);
             }
             if state != task.state || address != task.address {
-                api.report(task, state, address);
+                platform.report(task, state, address);
             }
         }
     }
 
-    /// Ends the runners that belong to an earlier boot or start.
-    fn retire(&self, tasks: &HashMap<Key, &Task>, vms: &HashMap<&str, &Vm>) {
+    /// Stops the runners of an earlier boot of their VM or an earlier start of
+    /// their task.
+    fn stop_outdated(&self, tasks: &HashMap<Key, &Task>, vms: &HashMap<&str, &Vm>) {
         let mut closing = lock(&self.closing);
-        closing.retain(|open| !open.try_close());
+        closing.retain(|handle| !handle.try_close());
         let mut runners = lock(&self.runners);
-        let ended = |(key, held): (&Key, &Held)| {
-            let rebooted = vms.get(key.0.as_str()).is_none_or(|vm| vm.boots != held.boots);
-            let replaced = tasks.get(key).is_none_or(|t| t.generation != held.generation);
+        let outdated = |(key, instance): (&Key, &Instance)| {
+            let rebooted = vms.get(key.0.as_str()).is_none_or(|vm| vm.boots != instance.boots);
+            let replaced = tasks.get(key).is_none_or(|t| t.generation != instance.generation);
             (rebooted || replaced).then(|| (key.clone(), rebooted))
         };
-        let ended: Vec<_> = runners.iter().filter_map(ended).collect();
-        for (key, rebooted) in ended {
-            let Some(held) = runners.remove(&key) else { continue };
+        let outdated: Vec<_> = runners.iter().filter_map(outdated).collect();
+        for (key, rebooted) in outdated {
+            let Some(instance) = runners.remove(&key) else { continue };
             if rebooted {
-                held.open.cut();
+                instance.handle.cut();
             } else {
-                held.open.leave();
-                closing.push(held.open);
+                instance.handle.leave();
+                closing.push(instance.handle);
             }
         }
     }
 
-    fn begin(&self, api: &Api, task: &Task, vms: &HashMap<&str, &Vm>) {
+    fn start_task(&self, platform: &Platform, task: &Task, vms: &HashMap<&str, &Vm>) {
         let Some(vm) = vms.get(task.vm.as_str()) else { return };
         if task.state == Phase::Stopping {
-            api.report(task, Phase::Stopped, String::new());
+            platform.report(task, Phase::Stopped, String::new());
         } else if vm.state == State::Live {
-            let started = self.start(&task.vm, &task.service, task.generation, vm.boots);
-            if let Ok(address) = started {
-                api.report(task, Phase::Starting, address.to_string());
+            let address = self.start(&task.vm, &task.service, task.generation, vm.boots);
+            if let Ok(address) = address {
+                platform.report(task, Phase::Starting, address.to_string());
             }
         }
     }
 
     fn usage(&self, now: u64, since: u64) -> Vec<Usage> {
         let span = (now - since) as f64;
-        let measure = |((vm, service), held): (&Key, &Held)| Usage {
+        let measure = |((vm, service), instance): (&Key, &Instance)| Usage {
             vm: vm.clone(),
             service: service.clone(),
-            milli_cores: (held.open.take_busy_ms() / span * 1000.0) as u64,
-            memory_mib: MEMORY_MIB,
+            milli_cores: (instance.handle.take_busy_ms() / span * 1000.0) as u64,
+            memory_mib: REPORTED_MEMORY_MIB,
             at_ms: now,
         };
         lock(&self.runners).iter().map(measure).collect()
@@ -206,24 +210,25 @@
                 "/_runs" => Response::json(200, &self.ledger.runs()),
                 "/_runners" => {
                     let runners = lock(&self.runners);
-                    let shown: Vec<Shown> = runners.values().map(|h| h.open.shown()).collect();
-                    Response::json(200, &json!({ "runners": shown }))
+                    let statuses: Vec<Status> =
+                        runners.values().map(|instance| instance.handle.status()).collect();
+                    Response::json(200, &json!({ "runners": statuses }))
                 }
                 _ => Response { status: 404, ..Response::default() },
             });
         }
-        let which: Which = serde_json::from_slice(&request.body)?;
+        let filter: Filter = serde_json::from_slice(&request.body)?;
         let mut runners = lock(&self.runners);
-        let keys: Vec<Key> = runners.keys().filter(|key| which.fits(key)).cloned().collect();
-        let fitting = || keys.iter().filter_map(|key| runners.get(key));
+        let keys: Vec<Key> = runners.keys().filter(|key| filter.matches(key)).cloned().collect();
+        let matching = || keys.iter().filter_map(|key| runners.get(key));
         match request.path.as_str() {
             "/_behave" => {
-                let behave: Behaviour = serde_json::from_slice(&request.body)?;
-                fitting().for_each(|held| held.open.behave(behave));
+                let behaviour: Behaviour = serde_json::from_slice(&request.body)?;
+                matching().for_each(|instance| instance.handle.behave(behaviour));
             }
-            "/_leave" => fitting().for_each(|held| held.open.leave()),
+            "/_leave" => matching().for_each(|instance| instance.handle.leave()),
             "/_cut" => {
-                fitting().for_each(|held| held.open.cut());
+                matching().for_each(|instance| instance.handle.cut());
                 keys.iter().for_each(|key| drop(runners.remove(key)));
             }
             _ => return Ok(Response { status: 404, ..Response::default() }),
@@ -239,28 +244,28 @@
     }
 }
 
-/// The platform as the backend stand-in sees it.
-struct Api {
+/// A client of the platform stand-in's `/_backend` paths.
+struct Platform {
     agent: ureq::Agent,
     base: String,
 }
 
-impl Api {
-    fn new(platform: SocketAddr) -> Self {
+impl Platform {
+    fn new(address: SocketAddr) -> Self {
         let config = ureq::Agent::config_builder().proxy(None).timeout_global(Some(TIMEOUT));
-        Self { agent: config.build().into(), base: format!("http://{platform}") }
+        Self { agent: config.build().into(), base: format!("http://{address}") }
     }
 
-    fn view(&self) -> Option<View> {
-        let mut answer = self.agent.get(format!("{}/_backend", self.base)).call().ok()?;
-        serde_json::from_slice(&answer.body_mut().read_to_vec().ok()?).ok()
+    fn snapshot(&self) -> Option<Snapshot> {
+        let mut response = self.agent.get(format!("{}/_backend", self.base)).call().ok()?;
+        serde_json::from_slice(&response.body_mut().read_to_vec().ok()?).ok()
     }
 
     fn post(&self, path: &str, body: &impl Serialize) {
         let body = serde_json::to_vec(body).unwrap_or_default();
-        // Lost ones are made up for at the next poll.
-        let sent = self.agent.post(format!("{}{path}", self.base)).send(&body[..]);
-        let _ = sent.map(|mut answer| answer.body_mut().read_to_vec());
+        // The next poll makes up for a lost report.
+        let result = self.agent.post(format!("{}{path}", self.base)).send(&body[..]);
+        let _ = result.map(|mut response| response.body_mut().read_to_vec());
     }
 
     fn report(&self, task: &Task, state: Phase, address: String) {
--- a/crates/standins/src/behaviour.rs
+++ b/crates/standins/src/behaviour.rs
@@ -1,28 +1,29 @@
-//! How a runner misbehaves on demand.
+//! Misbehaviour of a runner that tests switch on.
 
 use serde::Deserialize;
 
-/// How a runner misbehaves. The numbers count down, one answer each.
+/// How a runner misbehaves. Each count is the number of responses still to be
+/// affected.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Behaviour {
-    /// Milliseconds added to each run, its slot held.
+    /// Milliseconds added to each run, which occupies its slot meanwhile.
     pub late_ms: u64,
-    /// Answers that carry another request's id and body.
+    /// Responses that carry another request's id and body.
     pub crossed: u32,
-    /// Answers cut off half way.
+    /// Responses truncated half way.
     pub truncated: u32,
-    /// Requests run and never answered, their connection left open.
+    /// Requests that run and get no response, with the connection left open.
     pub silent: u32,
-    /// Whether each request is answered 500 at once.
+    /// Whether each request gets a 500 response at once.
     pub failing: bool,
-    /// Requests run and answered by closing the connection.
+    /// Requests that run and whose connection is then closed without a response.
     pub die_after_run: u32,
 }
 
-/// What is done instead of answering.
+/// How the next response deviates from a correct one.
 #[derive(Debug)]
-pub(crate) enum Twist {
+pub(crate) enum Misbehaviour {
     None,
     Crossed,
     Truncated,
@@ -31,17 +32,22 @@
 }
 
 impl Behaviour {
-    /// Takes one misbehaviour off the counts.
-    pub(crate) fn twist(&mut self) -> Twist {
+    /// Returns the next misbehaviour and decrements its count.
+    pub(crate) fn take_next(&mut self) -> Misbehaviour {
         let counts =
             [&mut self.die_after_run, &mut self.silent, &mut self.truncated, &mut self.crossed];
-        let twists = [Twist::Die, Twist::Silent, Twist::Truncated, Twist::Crossed];
-        for (count, twist) in counts.into_iter().zip(twists) {
+        let misbehaviours = [
+            Misbehaviour::Die,
+            Misbehaviour::Silent,
+            Misbehaviour::Truncated,
+            Misbehaviour::Crossed,
+        ];
+        for (count, misbehaviour) in counts.into_iter().zip(misbehaviours) {
             if *count > 0 {
                 *count -= 1;
-                return twist;
+                return misbehaviour;
             }
         }
-        Twist::None
+        Misbehaviour::None
     }
 }
--- a/crates/standins/src/bin/standin-backend.rs
+++ b/crates/standins/src/bin/standin-backend.rs
@@ -1,4 +1,4 @@
-//! Stands in for the backend servers of a whole fleet.
+//! A stand-in for the backend servers of a whole fleet.
 
 use std::error::Error;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/standins/src/bin/standin-fault.rs
+++ b/crates/standins/src/bin/standin-fault.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that fails on demand.
+//! A TCP proxy that injects faults on demand.
 
 use std::error::Error;
 use std::net::TcpListener;
--- a/crates/standins/src/bin/standin-load.rs
+++ b/crates/standins/src/bin/standin-load.rs
@@ -1,4 +1,4 @@
-//! Stands in for callers.
+//! A stand-in for callers.
 
 use std::error::Error;
 use std::fs::File;
@@ -42,12 +42,12 @@
         attempts: text(&args, "attempts").parse()?,
         body: text(&args, "body").parse()?,
     };
-    let out: Box<dyn Write + Send> = match args.get_one::<String>("history") {
+    let history: Box<dyn Write + Send> = match args.get_one::<String>("history") {
         Some(path) => Box::new(File::create(path)?),
         None => Box::new(io::sink()),
     };
-    let out = Mutex::new(out);
-    let summary = load.run(&config, &|call| load::write(&out, call));
+    let history = Mutex::new(history);
+    let summary = load.run(&config, &|call| load::write(&history, call));
     println!("{}", serde_json::to_string(&summary)?);
     Ok(())
 }
--- a/crates/standins/src/bin/standin-platform.rs
+++ b/crates/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! Stands in for the platform.
+//! A stand-in for the platform.
 
 use std::error::Error;
 use std::net::TcpListener;
@@ -21,9 +21,9 @@
         .get_matches();
     let text = |name| args.get_one::<String>(name).cloned().unwrap_or_default();
     let ms = |name| args.get_one::<u64>(name).copied().unwrap_or_default();
-    let listed = text("vms");
-    let listed = fs::read_to_string(&listed).unwrap_or(listed);
-    let names = listed.split([',', '\n']).map(str::trim).filter(|name| !name.is_empty());
+    let vms = text("vms");
+    let vms = fs::read_to_string(&vms).unwrap_or(vms);
+    let names = vms.split([',', '\n']).map(str::trim).filter(|name| !name.is_empty());
     let config = Config {
         reboot_ms: ms("reboot-ms"),
         list_lag_ms: ms("list-lag-ms"),
--- a/crates/standins/src/body.rs
+++ b/crates/standins/src/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of the platform's calls.
+//! Request bodies of the platform's HTTP interface.
 
 use serde::Deserialize;
 
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,14 +1,15 @@
-//! The platform's VMs and tasks, and how late its lists show them.
+//! The platform's VMs and tasks, and the delay with which its lists show them.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-const KEPT: usize = 64;
-/// The part of a reboot in which the VM is still `leaving`.
-const LEAVING_PART: u64 = 10;
+/// The entries kept of each VM's states and each task's usage reports.
+const MAX_HISTORY: usize = 64;
+/// A VM is `leaving` for the reboot time divided by this.
+const LEAVING_DIVISOR: u64 = 10;
 
-/// What a VM is doing.
+/// The state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -19,7 +20,7 @@
     Gone,
 }
 
-/// What a task is doing.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -30,33 +31,33 @@
     Stopped,
 }
 
-/// A VM as listed.
+/// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// The VM's name.
     pub name: String,
-    /// Its state, maybe as of some time ago.
+    /// Its state, which may be outdated if the list lags.
     pub state: State,
-    /// How often it has gone down; its runners don't survive that. Known to
-    /// the backend stand-in only.
+    /// How often it has gone down, which ends its runners. Only the backend
+    /// stand-in sees this.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub boots: u64,
 }
 
-/// A task as listed, and as the backend stand-in reports it.
+/// A task in the platform's list and in reports of the backend stand-in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
     /// The VM it runs on.
     pub vm: String,
-    /// The service it carries.
+    /// The service it serves.
     pub service: String,
-    /// Where it listens, empty until it does.
+    /// The address it listens on, empty until then.
     #[serde(default)]
     pub address: String,
-    /// What it is doing.
+    /// The task's state.
     pub state: Phase,
-    /// Which start it is of; a report about an earlier one is ignored. Known to
-    /// the backend stand-in only.
+    /// Which start of the task this is. Reports about an earlier start are
+    /// ignored. Only the backend stand-in sees this.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub generation: u64,
 }
@@ -78,25 +79,25 @@
 }
 
 #[derive(Debug)]
-struct Record {
+struct VmHistory {
     states: VecDeque<(u64, State)>,
     boots: u64,
-    reboot_from: Option<u64>,
+    reboot_began: Option<u64>,
 }
 
-impl Record {
+impl VmHistory {
     fn state(&self) -> State {
         self.states.back().map_or(State::Gone, |(_, s)| *s)
     }
 
     fn set(&mut self, now: u64, state: State) {
         self.states.push_back((now, state));
-        if self.states.len() > KEPT {
+        if self.states.len() > MAX_HISTORY {
             self.states.pop_front();
         }
     }
 
-    fn as_of(&self, at: u64) -> Option<State> {
+    fn state_at(&self, at: u64) -> Option<State> {
         self.states.iter().rev().find(|(since, _)| *since <= at).map(|(_, s)| *s)
     }
 }
@@ -104,7 +105,7 @@
 /// All VMs, tasks and usage reports.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    vms: BTreeMap<String, Record>,
+    vms: BTreeMap<String, VmHistory>,
     tasks: BTreeMap<(String, String), Task>,
     usage: BTreeMap<(String, String), VecDeque<Usage>>,
     generations: u64,
@@ -112,51 +113,52 @@
 }
 
 impl Fleet {
-    /// A fleet without VMs in which a reboot takes `reboot_ms`.
+    /// Creates a fleet without VMs in which a reboot takes `reboot_ms`.
     pub fn new(reboot_ms: u64) -> Self {
         Self { reboot_ms, ..Self::default() }
     }
 
-    /// Sets a VM's state, adding it if need be. A VM that is gone loses its
+    /// Sets a VM's state, adding the VM if necessary. A VM that is gone loses its
     /// tasks.
     pub fn set(&mut self, now: u64, name: &str, state: State) {
-        let fresh = || Record { states: VecDeque::new(), boots: 0, reboot_from: None };
-        let vm = self.vms.entry(name.to_owned()).or_insert_with(fresh);
+        let new = || VmHistory { states: VecDeque::new(), boots: 0, reboot_began: None };
+        let vm = self.vms.entry(name.to_owned()).or_insert_with(new);
         vm.set(now, state);
-        vm.reboot_from = None;
+        vm.reboot_began = None;
         if state == State::Gone {
             vm.boots += 1;
             self.tasks.retain(|(vm, _), _| vm != name);
         }
     }
 
-    /// The VMs, as they were `lag` milliseconds before `now`.
+    /// Returns the VMs as they were `lag` milliseconds before `now`.
     pub fn vms(&self, now: u64, lag: u64) -> Vec<Vm> {
-        let shown = |(name, vm): (&String, &Record)| {
-            let state = vm.as_of(now.saturating_sub(lag))?;
+        let vm_at = |(name, vm): (&String, &VmHistory)| {
+            let state = vm.state_at(now.saturating_sub(lag))?;
             Some(Vm { name: name.clone(), state, boots: vm.boots })
         };
-        self.vms.iter().filter_map(shown).collect()
+        self.vms.iter().filter_map(vm_at).collect()
     }
 
-    /// Begins a reboot; one under way goes on. False if there is no such VM.
+    /// Begins a reboot, unless one is in progress. Returns false if there is no such
+    /// VM.
     pub fn reboot(&mut self, now: u64, name: &str) -> bool {
         let Some(vm) = self.vms.get_mut(name) else { return false };
         if vm.state() == State::Gone {
             return false;
         }
-        if vm.reboot_from.is_none() {
+        if vm.reboot_began.is_none() {
             vm.set(now, State::Leaving);
-            vm.reboot_from = Some(now);
+            vm.reboot_began = Some(now);
         }
         true
     }
 
-    /// Moves reboots on.
+    /// Advances reboots in progress.
     pub fn tick(&mut self, now: u64) {
         for (name, vm) in &mut self.vms {
-            let Some(from) = vm.reboot_from else { continue };
-            if vm.state() == State::Leaving && now >= from + self.reboot_ms / LEAVING_PART {
+            let Some(began) = vm.reboot_began else { continue };
+            if vm.state() == State::Leaving && now >= began + self.reboot_ms / LEAVING_DIVISOR {
                 vm.set(now, State::Rebooting);
                 vm.boots += 1;
                 // The platform starts the VM's tasks again once it is back.
@@ -165,26 +167,27 @@
                     task.state = Phase::Starting;
                     task.address.clear();
                 }
-            } else if vm.state() == State::Rebooting && now >= from + self.reboot_ms {
+            } else if vm.state() == State::Rebooting && now >= began + self.reboot_ms {
                 vm.set(now, State::Live);
-                vm.reboot_from = None;
+                vm.reboot_began = None;
             }
         }
     }
 
-    /// The tasks.
+    /// Returns all tasks.
     pub fn tasks(&self) -> Vec<&Task> {
         self.tasks.values().collect()
     }
 
-    /// The tasks and the VMs as everybody may see them.
+    /// Returns the tasks and the VMs without the fields that only the backend
+    /// stand-in sees.
     pub fn public(&self, now: u64, lag: u64) -> (Vec<Task>, Vec<Vm>) {
         let tasks = self.tasks.values().map(|t| Task { generation: 0, ..t.clone() }).collect();
         let vms = self.vms(now, lag).into_iter().map(|vm| Vm { boots: 0, ..vm }).collect();
         (tasks, vms)
     }
 
-    /// Starts a task unless it is there already. False if there is no such VM.
+    /// Starts a task unless it exists. Returns false if there is no such VM.
     pub fn start(&mut self, vm: &str, service: &str) -> bool {
         if self.vms.get(vm).is_none_or(|v| v.state() == State::Gone) {
             return false;
@@ -201,13 +204,13 @@
         true
     }
 
-    /// Stops a task. False if there is no such task.
+    /// Stops a task. Returns false if there is no such task.
     pub fn stop(&mut self, vm: &str, service: &str) -> bool {
         let task = self.tasks.get_mut(&(vm.to_owned(), service.to_owned()));
         task.map(|t| t.state = Phase::Stopping).is_some()
     }
 
-    /// Takes the backend stand-in's word on a task.
+    /// Applies the backend stand-in's report on a task.
     pub fn report(&mut self, report: Task) {
         let key = (report.vm.clone(), report.service.clone());
         let Some(task) = self.tasks.get_mut(&key) else { return };
@@ -224,25 +227,25 @@
         }
     }
 
-    /// Takes usage reports in.
+    /// Stores usage reports.
     pub fn report_usage(&mut self, reports: Vec<Usage>) {
         for report in reports {
             let key = (report.vm.clone(), report.service.clone());
             let kept = self.usage.entry(key).or_default();
             kept.push_back(report);
-            if kept.len() > KEPT {
+            if kept.len() > MAX_HISTORY {
                 kept.pop_front();
             }
         }
     }
 
-    /// The latest usage reports measured by `at_ms`.
+    /// Returns each runner's latest usage report measured at or before `at_ms`.
     pub fn usage(&self, at_ms: u64) -> Vec<&Usage> {
         let latest = |kept: &'_ VecDeque<Usage>| kept.iter().rposition(|u| u.at_ms <= at_ms);
         self.usage.values().filter_map(|kept| kept.get(latest(kept)?)).collect()
     }
 
-    /// How often each VM has gone down, for VMs that ever did.
+    /// Returns how often each VM has gone down, without VMs that never did.
     pub fn boots(&self) -> BTreeMap<&str, u64> {
         let down = self.vms.iter().filter(|(_, vm)| vm.boots > 0);
         down.map(|(name, vm)| (name.as_str(), vm.boots)).collect()
--- a/crates/standins/src/history.rs
+++ b/crates/standins/src/history.rs
@@ -1,10 +1,11 @@
-//! What callers were told, against what backend servers did.
+//! Histories of callers' results and of backend servers' runs, and the check
+//! that compares them.
 
 use std::collections::{HashMap, HashSet};
 
 use serde::{Deserialize, Serialize};
 
-/// One run at a backend server, written down before its work began.
+/// One run at a backend server, recorded before its work began.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
 pub struct Run {
@@ -16,14 +17,15 @@
     pub vm: String,
     /// The service.
     pub service: String,
-    /// When, in Unix milliseconds.
+    /// When it began, in Unix milliseconds.
     pub at_ms: u64,
-    /// The how manieth run of this key (or id, without a key) it is.
+    /// The number of this run among those of the key, or of the id without a key,
+    /// counted from 1.
     pub count: u32,
 }
 
 impl Run {
-    /// A run as a backend server writes it down.
+    /// Creates the record of a run.
     pub fn new(
         id: &str,
         key: Option<&str>,
@@ -37,7 +39,7 @@
     }
 }
 
-/// Refusals that promise the request was not run, by kind.
+/// Counts, by kind, the refusals that promise that the request was not run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 #[allow(missing_docs)]
@@ -48,35 +50,35 @@
     pub not_here: u64,
 }
 
-/// The backend servers' history, as `GET /_runs` gives it.
+/// The backend servers' history, as `GET /_runs` returns it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Runs {
     /// Each run, in order.
     pub runs: Vec<Run>,
-    /// Requests in flight when their runner was cut off.
+    /// Requests that were in flight when their runner was cut off.
     pub cut: u64,
-    /// The most requests that one runner had accepted and not answered.
+    /// The largest number of requests in flight at one runner.
     pub max_in_flight: u64,
     /// Refusals by kind.
     pub refused: Refusals,
 }
 
-/// What a caller was told.
+/// The outcome that a caller saw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// A whole answer.
+    /// The request ran and got a response.
     Answered,
-    /// Promised not to have run.
+    /// The request is promised not to have run.
     NotRun,
-    /// May have run.
+    /// The request may have run.
     Unknown,
     /// The connection was refused, so nothing was sent.
     Unreachable,
 }
 
-/// What is wrong with an answer that claims to be the request's own.
+/// What is wrong with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
@@ -86,11 +88,11 @@
     Truncated,
 }
 
-/// One try of a call at one proxy.
+/// One attempt of a call at one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The id it was sent with: each attempt has its own, so that the backend
-    /// servers' history tells which of them ran.
+    /// The request id. Each attempt has its own, so that the backend servers'
+    /// history shows which attempts ran.
     pub id: String,
     /// Where it was sent.
     pub target: String,
@@ -98,11 +100,11 @@
     pub at_ms: u64,
     /// How long it took, in microseconds.
     pub took_us: u64,
-    /// What it came to.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// The answer's status, 0 without one.
+    /// The response's status, 0 without a response.
     pub status: u16,
-    /// What is wrong with the answer.
+    /// What is wrong with the response.
     pub fault: Option<Fault>,
 }
 
@@ -117,7 +119,7 @@
     pub service: String,
     /// When it began, in Unix milliseconds.
     pub at_ms: u64,
-    /// What it came to in all.
+    /// The outcome over all attempts.
     pub outcome: Outcome,
     /// The last attempt's status.
     pub status: u16,
@@ -125,38 +127,38 @@
     pub attempts: Vec<Attempt>,
 }
 
-/// What [`check`] found: keys (or ids, for calls without a key).
+/// The result of [`check`], as idempotency keys, or ids of calls without a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Findings {
     /// Keys that ran more than once.
     pub doubled: Vec<String>,
-    /// Answered, but never run.
+    /// Calls that got a response but never ran.
     pub lost: Vec<String>,
-    /// Answered with another request's answer.
+    /// Calls that got another request's response.
     pub crossed: Vec<String>,
-    /// Answered with a part of the answer.
+    /// Calls that got a truncated response.
     pub truncated: Vec<String>,
-    /// Attempts of which it was told that they were not run, but they ran.
+    /// Ids of attempts that ran although the caller was told they did not.
     pub ran_though_not_run: Vec<String>,
-    /// Requests cut off in flight at a backend server.
+    /// Requests cut off while in flight at a backend server.
     pub cut: u64,
 }
 
 impl Findings {
-    /// Whether no promise to callers was broken. Requests cut off don't count
-    /// here: an unplanned failure cuts some off rightly.
+    /// Whether every promise to callers was kept. Ignores requests cut off, since
+    /// an unplanned failure may cut off some.
     pub fn is_clean(&self) -> bool {
         let lists = [&self.doubled, &self.lost, &self.crossed, &self.truncated];
         lists.iter().all(|list| list.is_empty()) && self.ran_though_not_run.is_empty()
     }
 }
 
-/// Compares the backend servers' history with the callers'.
+/// Compares the backend servers' history with the callers' calls.
 pub fn check(runs: &Runs, calls: &[Call]) -> Findings {
     let mut findings = Findings { cut: runs.cut, ..Findings::default() };
-    let mut by_key: HashMap<&str, u32> = HashMap::new();
+    let mut runs_by_key: HashMap<&str, u32> = HashMap::new();
     for key in runs.runs.iter().filter_map(|run| run.key.as_deref()) {
-        let count = by_key.entry(key).or_default();
+        let count = runs_by_key.entry(key).or_default();
         *count += 1;
         if *count == 2 {
             findings.doubled.push(key.to_owned());
@@ -165,16 +167,16 @@
     let ids: HashSet<&str> = runs.runs.iter().map(|run| run.id.as_str()).collect();
     for call in calls {
         let ran = match &call.key {
-            Some(key) => by_key.contains_key(key.as_str()),
+            Some(key) => runs_by_key.contains_key(key.as_str()),
             None => call.attempts.iter().any(|attempt| ids.contains(attempt.id.as_str())),
         };
-        findings.judge(call, ran, &ids);
+        findings.add_call(call, ran, &ids);
     }
     findings
 }
 
 impl Findings {
-    fn judge(&mut self, call: &Call, ran: bool, ids: &HashSet<&str>) {
+    fn add_call(&mut self, call: &Call, ran: bool, ids: &HashSet<&str>) {
         let name = || call.key.as_ref().unwrap_or(&call.id).clone();
         let told_not_run =
             |a: &Attempt| matches!(a.outcome, Outcome::NotRun | Outcome::Unreachable);
@@ -182,8 +184,8 @@
         if answered && !ran {
             self.lost.push(name());
         }
-        let told = call.attempts.iter().filter(|attempt| told_not_run(attempt));
-        let broken = told.filter(|attempt| ids.contains(attempt.id.as_str()));
+        let not_run = call.attempts.iter().filter(|attempt| told_not_run(attempt));
+        let broken = not_run.filter(|attempt| ids.contains(attempt.id.as_str()));
         self.ran_though_not_run.extend(broken.map(|attempt| attempt.id.clone()));
         for fault in call.attempts.iter().filter_map(|a| a.fault) {
             match fault {
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,9 +1,9 @@
 //! A small HTTP/1.1 server that can misbehave.
 //!
-//! `tiny_http` always answers whole, so it cannot stand in for a server that
-//! truncates an answer, cuts the connection after the work was done or falls
-//! silent. This one has a thread a connection and leaves such a [`Reply`] to
-//! its [`Service`].
+//! `tiny_http` always sends complete responses, so it cannot stand in for a server
+//! that truncates a response, closes the connection after the work was done or
+//! stops responding. This server uses a thread per connection, and its [`Service`]
+//! chooses the [`Reply`].
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,21 +13,22 @@
 
 use crate::connections::Connections;
 
-const MAX_HEAD: u64 = 32 * 1024;
-const MAX_BODY: usize = 4 * 1024 * 1024;
-const STACK: usize = 256 * 1024;
+const MAX_HEAD_BYTES: u64 = 32 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 
-/// Locks `mutex`, also after a thread that held it panicked.
+/// Locks `mutex` even if it is poisoned.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a thread with a small stack; the stand-ins have hundreds.
+/// Starts a thread with a small stack, since the stand-ins have hundreds of
+/// threads. Returns whether it started.
 pub fn spawn(work: impl FnOnce() + Send + 'static) -> bool {
-    thread::Builder::new().stack_size(STACK).spawn(work).is_ok()
+    thread::Builder::new().stack_size(STACK_BYTES).spawn(work).is_ok()
 }
 
-/// One request, read whole.
+/// A complete request.
 #[derive(Debug, Default)]
 pub struct Request {
     /// The method, such as `GET`.
@@ -41,29 +42,30 @@
 }
 
 impl Request {
-    /// The value of the header `name`, whatever its case.
+    /// Returns the value of the header `name`, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
         found.map(|(_, v)| v.as_str())
     }
 
-    /// The query's parameter `name`, decoded.
+    /// Returns the decoded query parameter `name`.
     pub fn param(&self, name: &str) -> Option<String> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.into_iter().find(|(n, _)| *n == name).map(|(_, v)| decode(v))
     }
 
-    /// The query's parameter `name` as a number, 0 if it isn't one.
+    /// Returns the query parameter `name` as a number, or 0 if it is absent or not a
+    /// number.
     pub fn number(&self, name: &str) -> u64 {
         self.param(name).and_then(|v| v.parse().ok()).unwrap_or(0)
     }
 
-    fn closes(&self) -> bool {
+    fn wants_close(&self) -> bool {
         self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
-/// One answer.
+/// A response.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     /// The status code.
@@ -75,32 +77,33 @@
 }
 
 impl Response {
-    /// An answer with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Self {
         let headers = vec![("Content-Type", "application/json".to_owned())];
         Self { status, headers, body: serde_json::to_vec(body).unwrap_or_default() }
     }
 }
 
-/// What a service does with a request.
+/// How a service replies to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// Answers whole.
+    /// Sends the complete response.
     Whole(Response),
-    /// Announces the whole length, sends half of the body and closes.
+    /// Announces the full length, sends half of the body and closes the
+    /// connection.
     Truncated(Response),
-    /// Closes without an answer.
+    /// Closes the connection without a response.
     Cut,
-    /// Keeps the connection open and never answers.
+    /// Keeps the connection open and never responds.
     Silent,
 }
 
-/// What answers the requests of a [`Server`].
+/// Handles the requests of a [`Server`].
 pub trait Service: Send + Sync + 'static {
-    /// Handles one request; may block.
+    /// Handles one request. May block.
     fn call(&self, request: &Request) -> Reply;
 
-    /// Called once after the reply to each request was written or dropped.
+    /// Runs after the reply to each request was written or dropped.
     fn finished(&self) {}
 }
 
@@ -113,8 +116,8 @@
 }
 
 impl Server {
-    /// Serves `listener` with at most `limit` connections; more are closed at
-    /// accept.
+    /// Serves `listener` with at most `limit` connections. Further connections are
+    /// closed on accept.
     ///
     /// # Errors
     ///
@@ -133,12 +136,12 @@
         Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The switches for its connections.
+    /// Returns its open connections.
     pub fn connections(&self) -> &Connections {
         &self.connections
     }
@@ -146,9 +149,9 @@
     /// Stops listening and closes each connection at once.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
-        // The listener is blocked in accept; a connection of our own wakes it.
+        // A connection wakes the thread that is blocked in accept.
         let _ = TcpStream::connect(self.address);
-        self.connections.cut();
+        self.connections.close_all();
     }
 }
 
@@ -167,13 +170,13 @@
         let Some(id) = connections.admit(&stream, limit) else { continue };
         let (connections, service) = (connections.clone(), service.clone());
         spawn(move || {
-            let _ = exchange(stream, id, &connections, service.as_ref());
-            connections.forget(id);
+            let _ = serve_connection(stream, id, &connections, service.as_ref());
+            connections.remove(id);
         });
     }
 }
 
-fn exchange(
+fn serve_connection(
     stream: TcpStream,
     id: u64,
     connections: &Connections,
@@ -183,16 +186,16 @@
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
     while let Some(request) = read(&mut reader)? {
-        // The stand-in's own switches stay reachable whatever they are set to.
-        let faulty = !request.path.starts_with("/_");
-        if faulty && connections.is_silent(id) {
-            return swallow(reader);
+        // Faults don't apply to the stand-in's own paths, which switch them.
+        let is_affected = !request.path.starts_with("/_");
+        if is_affected && connections.is_silent(id) {
+            return discard(reader);
         }
         let mut reply = service.call(&request);
-        if faulty && connections.is_silent(id) {
+        if is_affected && connections.is_silent(id) {
             reply = Reply::Silent;
         }
-        let goes_on = match &reply {
+        let result = match &reply {
             Reply::Whole(response) => write(&mut writer, response, response.body.len()),
             Reply::Truncated(response) => {
                 let _ = write(&mut writer, response, response.body.len() / 2);
@@ -203,9 +206,9 @@
         };
         service.finished();
         if matches!(reply, Reply::Silent) {
-            return swallow(reader);
+            return discard(reader);
         }
-        if goes_on.is_err() || request.closes() {
+        if result.is_err() || request.wants_close() {
             break;
         }
     }
@@ -213,53 +216,53 @@
     Ok(())
 }
 
-/// Reads and forgets until the other end closes.
-fn swallow(mut reader: impl Read) -> io::Result<()> {
+/// Discards input until the peer closes the connection.
+fn discard(mut reader: impl Read) -> io::Result<()> {
     io::copy(&mut reader, &mut io::sink()).map(drop)
 }
 
-/// Reads one request, or `None` at the end of the connection.
+/// Reads one request. Returns `None` at the end of the connection.
 fn read(reader: &mut BufReader<TcpStream>) -> io::Result<Option<Request>> {
-    let mut head = reader.take(MAX_HEAD);
+    let mut head = reader.take(MAX_HEAD_BYTES);
     let mut line = String::new();
     if head.read_line(&mut line)? == 0 {
         return Ok(None);
     }
-    let bad = || io::Error::from(io::ErrorKind::InvalidData);
+    let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let mut words = line.split_whitespace();
-    let method = words.next().ok_or_else(bad)?.to_owned();
-    let target = words.next().ok_or_else(bad)?;
+    let method = words.next().ok_or_else(invalid)?.to_owned();
+    let target = words.next().ok_or_else(invalid)?;
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let (path, query) = (path.to_owned(), query.to_owned());
     let mut headers = Vec::new();
     loop {
         line.clear();
         if head.read_line(&mut line)? == 0 {
-            return Err(bad());
+            return Err(invalid());
         }
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
     let mut request = Request { method, path, query, headers, body: Vec::new() };
     if request.header("transfer-encoding").is_some() {
-        return Err(bad());
+        return Err(invalid());
     }
-    let len = request.header("content-length").map_or(Ok(0), str::parse).map_err(|_| bad())?;
-    if len > MAX_BODY {
-        return Err(bad());
+    let len = request.header("content-length").map_or(Ok(0), str::parse).map_err(|_| invalid())?;
+    if len > MAX_BODY_BYTES {
+        return Err(invalid());
     }
     request.body.resize(len, 0);
     reader.read_exact(&mut request.body)?;
     Ok(Some(request))
 }
 
-fn write(writer: &mut TcpStream, response: &Response, sent: usize) -> io::Result<()> {
+fn write(writer: &mut TcpStream, response: &Response, body_len: usize) -> io::Result<()> {
     let mut out = format!("HTTP/1.1 {} -\r\n", response.status).into_bytes();
     for (name, value) in &response.headers {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     }
     out.extend_from_slice(format!("Content-Length: {}\r\n\r\n", response.body.len()).as_bytes());
-    out.extend_from_slice(&response.body[..sent]);
+    out.extend_from_slice(&response.body[..body_len]);
     writer.write_all(&out)
 }
 
--- a/crates/standins/src/latency.rs
+++ b/crates/standins/src/latency.rs
@@ -1,18 +1,18 @@
-//! Latencies, measured.
+//! Latency statistics.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-const LONGEST_US: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+const MAX_US: u64 = 600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Latencies as they come in.
+/// Records latencies into a histogram.
 #[derive(Clone, Debug)]
 pub struct Recorder(Histogram<u64>);
 
-/// Latencies summed up, in microseconds.
+/// A summary of recorded latencies, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Latency {
@@ -24,23 +24,23 @@
 
 impl Default for Recorder {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS);
         Self(histogram.expect("the bounds are valid"))
     }
 }
 
 impl Recorder {
-    /// Adds one measurement.
-    pub fn record(&mut self, took: Duration) {
-        self.record_us(took.as_micros() as u64);
+    /// Records one latency.
+    pub fn record(&mut self, latency: Duration) {
+        self.record_us(latency.as_micros() as u64);
     }
 
-    /// Adds one measurement in microseconds.
+    /// Records one latency in microseconds.
     pub fn record_us(&mut self, us: u64) {
         self.0.saturating_record(us);
     }
 
-    /// The sum of what came in.
+    /// Returns the summary of the recorded latencies.
     ///
     /// ```
     /// use corianderfork_standins::latency::Recorder;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,12 +1,11 @@
-//! Stand-ins for what surrounds the system: the platform, backend servers, a
-//! network that fails and callers. Never shipped.
+//! Stand-ins for the system's environment: the platform, backend servers, a
+//! faulty network and callers. Never shipped.
 //!
-//! Each is a program of its own (`standin-platform`, `standin-backend`,
-//! `standin-fault`, `standin-load`), since the system's parts have to be tested
-//! as processes that can be killed and frozen. [`spawn::Process`] starts one and
-//! waits until it says `ready`. What callers were told and what backend servers
-//! did are written down apart from the code under test, and [`history::check`]
-//! compares the two.
+//! Each is a separate program (`standin-platform`, `standin-backend`,
+//! `standin-fault`, `standin-load`), since tests need processes that they can kill
+//! and freeze. [`spawn::Process`] starts one and waits until it prints `ready`.
+//! Callers' results and backend servers' runs are recorded outside of the code
+//! under test, and [`history::check`] compares the two.
 //!
 //! ```
 //! use corianderfork_standins::history::{self, Call, Run, Runs};
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers: a bounded load, and a history of what they were told.
+//! Callers that generate a bounded load and record a history of its outcomes.
 
 use std::io::{self, Write};
 use std::sync::Mutex;
@@ -16,31 +16,33 @@
 use crate::http::lock;
 use crate::latency::{Latency, Recorder};
 
-const MAX_ANSWER: u64 = 16 << 20;
-const IDLE: usize = 64;
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// How a caller goes about it.
+/// The settings of a [`Client`].
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where to send, each `ip:port`: proxies, or backend servers directly.
+    /// The `ip:port` of each proxy or backend server to call.
     pub targets: Vec<String>,
-    /// How long one attempt may take.
+    /// The timeout of one attempt.
     pub timeout: Duration,
-    /// Attempts in all, each at another target.
+    /// The most attempts of one call, each at the next target.
     pub attempts: usize,
-    /// The bytes of a transfer's body.
+    /// The length of a transfer's body in bytes.
     pub body: usize,
 }
 
 impl Config {
-    /// Three attempts of at most 5 s, with 128 bytes of body.
+    /// Returns settings for three attempts of at most 5 s each and bodies of 128
+    /// bytes.
     pub fn new(targets: Vec<String>) -> Self {
         Self { targets, timeout: Duration::from_secs(5), attempts: 3, body: 128 }
     }
 }
 
-/// A caller. It asks again, with the same id and key, after an attempt whose
-/// outcome is unknown: what an at-most-once promise has to stand.
+/// A caller that retries with the same key after an attempt whose outcome is
+/// unknown or whose target refused the connection. An at-most-once promise must
+/// withstand such retries.
 #[derive(Debug)]
 pub struct Client {
     agent: ureq::Agent,
@@ -48,7 +50,7 @@
 }
 
 impl Client {
-    /// A caller with connections of its own.
+    /// Creates a caller with its own connection pool.
     pub fn new(config: Config) -> Self {
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -57,30 +59,30 @@
             .proxy(None)
             .timeout_global(Some(config.timeout))
             .user_agent("standin-load")
-            .max_idle_connections(IDLE)
-            .max_idle_connections_per_host(IDLE)
+            .max_idle_connections(MAX_IDLE_CONNECTIONS)
+            .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS)
             .build();
         Self { agent: agent.into(), config }
     }
 
-    /// Looks something up: idempotent.
+    /// Makes a lookup, which is idempotent.
     pub fn lookup(&self, service: &str, rng: &mut SmallRng) -> Call {
-        // The time keeps a second run with the same seed from using an id again.
+        // The time keeps a second run with the same seed from reusing an id.
         let id = format!("l-{:x}-{:016x}", unix_ms(), rng.random::<u64>());
         self.call(id, None, service, rng)
     }
 
-    /// Transfers something: non-idempotent, under a key of its own.
+    /// Makes a transfer, which is not idempotent, under a new key.
     pub fn transfer(&self, service: &str, rng: &mut SmallRng) -> Call {
         let at_ms = unix_ms();
         let key = uuid::Builder::from_unix_timestamp_millis(at_ms, &rng.random()).into_uuid();
-        self.transfer_again(key, service, rng)
+        self.transfer_with_key(key, service, rng)
     }
 
-    /// Transfers under a key that may have been used before.
-    pub fn transfer_again(&self, key: Uuid, service: &str, rng: &mut SmallRng) -> Call {
+    /// Makes a transfer under `key`, which may have been used before.
+    pub fn transfer_with_key(&self, key: Uuid, service: &str, rng: &mut SmallRng) -> Call {
         let key = key.to_string();
-        let id = format!("{}-{:08x}", transfer_id(&key), rng.random::<u32>());
+        let id = format!("{}-{:08x}", transfer_id_prefix(&key), rng.random::<u32>());
         self.call(id, Some(key), service, rng)
     }
 
@@ -97,17 +99,17 @@
         let targets = &self.config.targets;
         let first = rng.random_range(0..targets.len());
         for n in 0..self.config.attempts {
-            // An id of its own for each attempt tells which of them ran.
+            // Separate ids show which of the attempts ran.
             let id = if n == 0 { call.id.clone() } else { format!("{}.{n}", call.id) };
             let attempt = self.attempt(&call, id, &targets[(first + n) % targets.len()]);
             call.status = attempt.status;
-            let again = matches!(attempt.outcome, Outcome::Unknown | Outcome::Unreachable);
+            let is_retried = matches!(attempt.outcome, Outcome::Unknown | Outcome::Unreachable);
             call.attempts.push(attempt);
-            if !again {
+            if !is_retried {
                 break;
             }
         }
-        call.outcome = total(&call.attempts);
+        call.outcome = combined_outcome(&call.attempts);
         call
     }
 
@@ -116,7 +118,7 @@
         let sent = call.key.as_ref().map_or(Vec::new(), |key| self.body(key));
         let result = self.exchange(call, &id, target, &sent);
         let (outcome, status, fault) = match result {
-            Ok(answer) => answer.judge(&id, call, &sent),
+            Ok(response) => response.evaluate(&id, call, &sent),
             Err(ureq::Error::Io(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
                 (Outcome::Unreachable, 0, None)
             }
@@ -132,7 +134,7 @@
         id: &str,
         target: &str,
         sent: &[u8],
-    ) -> Result<Answer, ureq::Error> {
+    ) -> Result<Response, ureq::Error> {
         let url = format!("http://{target}/{}/run", call.service);
         let mut response = match &call.key {
             None => self.agent.get(url).header("Request-Id", id).call()?,
@@ -147,8 +149,8 @@
         };
         let (outcome, not_run, id) = (header("outcome"), header("not-run"), header("request-id"));
         let status = response.status().as_u16();
-        let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_vec()?;
-        Ok(Answer { status, outcome, not_run, id, body })
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec()?;
+        Ok(Response { status, outcome, not_run, id, body })
     }
 
     fn body(&self, key: &str) -> Vec<u8> {
@@ -156,7 +158,7 @@
     }
 }
 
-struct Answer {
+struct Response {
     status: u16,
     outcome: Option<String>,
     not_run: Option<String>,
@@ -164,21 +166,21 @@
     body: Vec<u8>,
 }
 
-impl Answer {
-    fn judge(&self, id: &str, call: &Call, sent: &[u8]) -> (Outcome, u16, Option<Fault>) {
+impl Response {
+    fn evaluate(&self, id: &str, call: &Call, sent: &[u8]) -> (Outcome, u16, Option<Fault>) {
         let outcome = match self.outcome.as_deref() {
             Some("answered") => Outcome::Answered,
             Some("not-run") => Outcome::NotRun,
             Some(_) => Outcome::Unknown,
-            // Straight from a backend server.
+            // A backend server's own response has no `outcome` header.
             None if self.not_run.is_some() => Outcome::NotRun,
             None => Outcome::Answered,
         };
         if outcome != Outcome::Answered {
             return (outcome, self.status, None);
         }
-        let other = self.id.as_ref().is_some_and(|echoed| echoed != id);
-        let fault = match other {
+        let is_crossed = self.id.as_ref().is_some_and(|echoed| echoed != id);
+        let fault = match is_crossed {
             true => Some(Fault::Crossed),
             false => self.check(id, call, sent),
         };
@@ -186,71 +188,71 @@
     }
 }
 
-impl Answer {
-    /// Whether the body belongs to this attempt or, for a repeat that was given
-    /// the first answer, to an earlier one under the same key.
+impl Response {
+    /// Checks that the body belongs to this attempt, or to an earlier one under the
+    /// same key whose response a retry may get.
     fn check(&self, id: &str, call: &Call, sent: &[u8]) -> Option<Fault> {
-        let own = answer::check(id, &call.service, sent, &self.body);
-        let Some(key) = call.key.as_deref().filter(|_| own.is_some()) else { return own };
-        let other = answer::id(&self.body).filter(|other| other.starts_with(&transfer_id(key)));
-        other.map_or(own, |other| answer::check(other, &call.service, sent, &self.body))
+        let fault = answer::check(id, &call.service, sent, &self.body);
+        let Some(key) = call.key.as_deref().filter(|_| fault.is_some()) else { return fault };
+        let earlier = answer::id(&self.body).filter(|id| id.starts_with(&transfer_id_prefix(key)));
+        earlier.map_or(fault, |earlier| answer::check(earlier, &call.service, sent, &self.body))
     }
 }
 
-/// What the ids of all attempts under `key` begin with.
-fn transfer_id(key: &str) -> String {
+/// Returns the common prefix of the ids of all attempts under `key`.
+fn transfer_id_prefix(key: &str) -> String {
     format!("t-{}", key.replace('-', ""))
 }
 
-/// What a call's attempts come to in all.
-fn total(attempts: &[Attempt]) -> Outcome {
-    let order = [Outcome::Answered, Outcome::Unknown, Outcome::NotRun];
+/// Returns the most definite outcome among a call's attempts.
+fn combined_outcome(attempts: &[Attempt]) -> Outcome {
+    let by_precedence = [Outcome::Answered, Outcome::Unknown, Outcome::NotRun];
     let seen = |outcome: &Outcome| attempts.iter().any(|a| a.outcome == *outcome);
-    order.into_iter().find(seen).unwrap_or(Outcome::Unreachable)
+    by_precedence.into_iter().find(seen).unwrap_or(Outcome::Unreachable)
 }
 
-/// A bounded load.
+/// A load that is bounded in rate, time and concurrency.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Services to call, each as often.
+    /// Services to call, all equally often.
     pub services: Vec<String>,
-    /// Transfers among the calls, in per mille.
+    /// The share of transfers among the calls, in per mille.
     pub transfers: u32,
-    /// Calls begun a second.
+    /// Calls begun per second.
     pub rate: f64,
-    /// How long it goes on.
+    /// The duration of the load.
     pub length: Duration,
-    /// Callers at work at once.
+    /// The number of concurrent callers.
     pub workers: u64,
-    /// Seeds what is called when, and where.
+    /// The seed for the choice of services, kinds of call and targets.
     pub seed: u64,
 }
 
-/// A load's results.
+/// The results of a load.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Summary {
     pub calls: u64,
     pub answered: u64,
-    /// Answered with a status of 400 or more; counted under `answered` too.
+    /// Answered with a status of 400 or more. These also count as `answered`.
     pub failed: u64,
     pub not_run: u64,
     pub unknown: u64,
     pub unreachable: u64,
     pub crossed: u64,
     pub truncated: u64,
-    /// Answered lookups, first attempt to answer.
+    /// Latency of answered lookups, summed over their attempts.
     pub lookup: Latency,
-    /// Answered transfers, likewise.
+    /// Latency of answered transfers, summed over their attempts.
     pub transfer: Latency,
 }
 
 impl Load {
-    /// Runs the load; each call goes to `sink` when it is over. Calls begin on
-    /// a fixed schedule, unless all workers are busy.
+    /// Runs the load and passes each completed call to `sink`. Calls begin on a
+    /// fixed schedule, unless all workers are busy.
     pub fn run(&self, config: &Config, sink: &(dyn Fn(&Call) + Sync)) -> Summary {
         let client = Client::new(config.clone());
-        let total = Mutex::new((Summary::default(), Recorder::default(), Recorder::default()));
+        let results = Mutex::new((Summary::default(), Recorder::default(), Recorder::default()));
         let (next, start) = (AtomicU64::new(0), Instant::now());
         let count = (self.rate * self.length.as_secs_f64()) as u64;
         thread::scope(|scope| {
@@ -259,26 +261,26 @@
                     loop {
                         let n = next.fetch_add(1, Ordering::Relaxed);
                         let due = Duration::from_secs_f64(n as f64 / self.rate);
-                        // Late workers skip what is past the end: it is bounded.
+                        // Skips the calls that are left when the time is over.
                         if n >= count || start.elapsed() > self.length {
                             return;
                         }
                         thread::sleep(due.saturating_sub(start.elapsed()));
-                        let call = self.one(&client, n);
+                        let call = self.call(&client, n);
                         sink(&call);
-                        let (summary, lookups, transfers) = &mut *lock(&total);
+                        let (summary, lookups, transfers) = &mut *lock(&results);
                         summary.add(&call, if call.key.is_some() { transfers } else { lookups });
                     }
                 });
             }
         });
-        let (mut summary, lookups, transfers) = total.into_inner().unwrap_or_default();
+        let (mut summary, lookups, transfers) = results.into_inner().unwrap_or_default();
         summary.lookup = lookups.latency();
         summary.transfer = transfers.latency();
         summary
     }
 
-    fn one(&self, client: &Client, n: u64) -> Call {
+    fn call(&self, client: &Client, n: u64) -> Call {
         let mut rng = SmallRng::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9) ^ n);
         let service = self.services.choose(&mut rng).map_or("none", String::as_str);
         if rng.random_range(0..1000) < self.transfers {
@@ -311,10 +313,10 @@
     }
 }
 
-/// Writes calls as JSON lines.
+/// Writes a call as a JSON line.
 pub fn write(out: &Mutex<Box<dyn Write + Send>>, call: &Call) {
     let mut line = serde_json::to_vec(call).unwrap_or_default();
     line.push(b'\n');
-    let written = lock(out).write_all(&line);
-    written.unwrap_or_else(|e| eprintln!("the history can't be written: {e}"));
+    let result = lock(out).write_all(&line);
+    result.unwrap_or_else(|e| eprintln!("failed to write the history: {e}"));
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP, with switches for its failures.
+//! The platform's HTTP interface, with switchable faults.
 
 use std::io;
 use std::net::TcpListener;
@@ -16,21 +16,21 @@
 use crate::store::{Error, Store};
 use crate::switches::{Stats, Switches};
 
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_CONNECTIONS: usize = 1024;
-const MAX_WAIT_MS: u64 = 60_000;
-const HISTORY: usize = 10_000;
+const MAX_WATCH_MS: u64 = 60_000;
+const HISTORY_LIMIT: usize = 10_000;
 
-/// How the platform behaves.
+/// The platform's settings.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
-    /// How long a VM's reboot takes.
+    /// The duration of a VM's reboot.
     pub reboot_ms: u64,
-    /// How late the list of VMs is.
+    /// How far the list of VMs lags.
     pub list_lag_ms: u64,
-    /// How late usage reports are.
+    /// How far usage reports lag.
     pub usage_lag_ms: u64,
-    /// VMs that are live from the start.
+    /// The VMs that are live from the start.
     pub vms: Vec<String>,
 }
 
@@ -42,10 +42,10 @@
     stats: Stats,
 }
 
-/// The platform as a service.
+/// The platform's HTTP service.
 #[derive(Debug)]
 pub struct Platform {
-    inner: Mutex<Inner>,
+    state: Mutex<Inner>,
     changed: Condvar,
     connections: Arc<Connections>,
     usage_lag_ms: u64,
@@ -64,18 +64,18 @@
     }
     let faults = Switches { list_lag_ms: Some(config.list_lag_ms), ..Switches::default() };
     let stats = Stats::default();
-    let inner = Mutex::new(Inner { store: Store::new(HISTORY), fleet, faults, stats });
+    let state = Mutex::new(Inner { store: Store::new(HISTORY_LIMIT), fleet, faults, stats });
     let platform = Arc::new(Platform {
-        inner,
+        state,
         changed: Condvar::new(),
         connections: connections.clone(),
         usage_lag_ms: config.usage_lag_ms,
     });
-    let ticking = platform.clone();
+    let ticker = platform.clone();
     spawn(move || {
         loop {
-            drop(ticking.lock());
-            thread::sleep(TICK);
+            drop(ticker.lock());
+            thread::sleep(TICK_INTERVAL);
         }
     });
     Server::start(listener, MAX_CONNECTIONS, connections, platform)
@@ -84,19 +84,19 @@
 impl Service for Platform {
     fn call(&self, request: &Request) -> Reply {
         if request.path.starts_with("/_") {
-            return Reply::Whole(self.own(request).unwrap_or_else(bad_request));
+            return Reply::Whole(self.control(request).unwrap_or_else(bad_request));
         }
-        let slow = self.count(request);
-        if slow > 0 {
-            thread::sleep(Duration::from_millis(slow));
+        let delay_ms = self.count(request);
+        if delay_ms > 0 {
+            thread::sleep(Duration::from_millis(delay_ms));
         }
-        let answer = match (request.method.as_str(), request.path.as_str()) {
+        let result = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/watch") => Ok(self.watch(request)),
             ("GET", path) => Ok(self.read(path, request)),
             (_, path) => self.write(path, &request.body),
         };
-        let response = answer.unwrap_or_else(bad_request);
-        if response.status == 200 && self.loses(request) {
+        let response = result.unwrap_or_else(bad_request);
+        if response.status == 200 && self.loses_response(request) {
             return Reply::Cut;
         }
         Reply::Whole(response)
@@ -104,52 +104,54 @@
 }
 
 impl Platform {
-    /// Locks the state with leases and reboots brought up to now.
+    /// Locks the state after expiring leases and advancing reboots to the current
+    /// time.
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        let mut inner = lock(&self.inner);
+        let mut state = lock(&self.state);
         let now = mono_ms();
-        let before = inner.store.revision();
-        inner.store.lapse(now);
-        inner.fleet.tick(now);
-        if inner.store.revision() != before {
+        let before = state.store.revision();
+        state.store.expire_leases(now);
+        state.fleet.tick(now);
+        if state.store.revision() != before {
             self.changed.notify_all();
         }
-        inner
+        state
     }
 
-    /// Counts a call, and gives the milliseconds to hold it back.
+    /// Counts a call and returns the milliseconds by which to delay it.
     fn count(&self, request: &Request) -> u64 {
-        let mut inner = self.lock();
-        inner.stats.count(request);
-        inner.faults.slow_ms.unwrap_or(0)
+        let mut state = self.lock();
+        state.stats.count(request);
+        state.faults.slow_ms.unwrap_or(0)
     }
 
-    /// Whether this write's answer is to be lost.
-    fn loses(&self, request: &Request) -> bool {
+    /// Returns whether to lose the response to this write, and counts the lost
+    /// response.
+    fn loses_response(&self, request: &Request) -> bool {
         if !request.path.starts_with("/kv/") {
             return false;
         }
         let key = serde_json::from_slice::<Delete>(&request.body).map(|d| d.key);
-        let mut inner = self.lock();
-        let prefix = inner.faults.lose_prefix.clone().unwrap_or_default();
-        let left = inner.faults.lose_answers.unwrap_or(0);
-        let loses = left > 0 && key.is_ok_and(|k| k.starts_with(&prefix));
+        let mut state = self.lock();
+        let prefix = state.faults.lose_prefix.clone().unwrap_or_default();
+        let remaining = state.faults.lose_answers.unwrap_or(0);
+        let loses = remaining > 0 && key.is_ok_and(|k| k.starts_with(&prefix));
         if loses {
-            inner.faults.lose_answers = Some(left - 1);
-            inner.stats.lost_answers += 1;
+            state.faults.lose_answers = Some(remaining - 1);
+            state.stats.lost_answers += 1;
         }
         loses
     }
 
     fn read(&self, path: &str, request: &Request) -> Response {
-        let inner = self.lock();
-        if inner.is_down() {
+        let state = self.lock();
+        if state.is_down() {
             return unavailable();
         }
-        let lag = inner.faults.list_lag_ms.unwrap_or(0);
-        let (tasks, mut vms) = inner.fleet.public(mono_ms(), lag);
+        let lag = state.faults.list_lag_ms.unwrap_or(0);
+        let (tasks, mut vms) = state.fleet.public(mono_ms(), lag);
         let body = match path {
-            "/kv" => inner.kv(request),
+            "/kv" => state.kv(request),
             "/vms" => json!({ "vms": vms }),
             "/vms/one" => {
                 let name = request.param("vm").unwrap_or_default();
@@ -159,57 +161,57 @@
             "/tasks" => json!({ "tasks": tasks }),
             "/usage" => {
                 let at_ms = unix_ms().saturating_sub(self.usage_lag_ms);
-                json!({ "usage": inner.fleet.usage(at_ms) })
+                json!({ "usage": state.fleet.usage(at_ms) })
             }
-            _ => return missing(),
+            _ => return not_found(),
         };
         Response::json(200, &body)
     }
 
     fn write(&self, path: &str, body: &[u8]) -> serde_json::Result<Response> {
-        let mut inner = self.lock();
-        if inner.is_down() {
+        let mut state = self.lock();
+        if state.is_down() {
             return Ok(unavailable());
         }
         let now = mono_ms();
-        let done = |found: bool| if found { Response::json(200, &json!({})) } else { missing() };
+        let ok_if = |found: bool| if found { Response::json(200, &json!({})) } else { not_found() };
         let response = match path {
             "/kv/put" => {
                 let put: Put = serde_json::from_slice(body)?;
-                let end = inner.store.put(&put.key, &put.value, put.expect, put.lease);
-                if end.is_ok() {
-                    inner.faults.written(&put.key);
+                let result = state.store.put(&put.key, &put.value, put.expect, put.lease);
+                if result.is_ok() {
+                    state.faults.on_put(&put.key);
                 }
-                written(end)
+                write_response(result)
             }
             "/kv/delete" => {
                 let delete: Delete = serde_json::from_slice(body)?;
-                written(inner.store.delete(&delete.key, delete.expect))
+                write_response(state.store.delete(&delete.key, delete.expect))
             }
             "/lease" => {
                 let ttl: Ttl = serde_json::from_slice(body)?;
-                Response::json(200, &json!({ "lease": inner.store.grant(now, ttl.ttl_ms) }))
+                Response::json(200, &json!({ "lease": state.store.grant(now, ttl.ttl_ms) }))
             }
             "/lease/renew" => {
                 let id: LeaseId = serde_json::from_slice(body)?;
-                done(inner.store.renew(now, id.lease).is_ok())
+                ok_if(state.store.renew(now, id.lease).is_ok())
             }
             "/lease/revoke" => {
                 let id: LeaseId = serde_json::from_slice(body)?;
-                inner.store.revoke(id.lease);
-                done(true)
+                state.store.revoke(id.lease);
+                ok_if(true)
             }
             _ => {
                 let place: Place = serde_json::from_slice(body)?;
                 match path {
-                    "/vms/reboot" => done(inner.fleet.reboot(now, &place.vm)),
-                    "/tasks/start" => done(inner.fleet.start(&place.vm, &place.service)),
-                    "/tasks/stop" => done(inner.fleet.stop(&place.vm, &place.service)),
-                    _ => missing(),
+                    "/vms/reboot" => ok_if(state.fleet.reboot(now, &place.vm)),
+                    "/tasks/start" => ok_if(state.fleet.start(&place.vm, &place.service)),
+                    "/tasks/stop" => ok_if(state.fleet.stop(&place.vm, &place.service)),
+                    _ => not_found(),
                 }
             }
         };
-        drop(inner);
+        drop(state);
         self.changed.notify_all();
         Ok(response)
     }
@@ -217,63 +219,63 @@
     fn watch(&self, request: &Request) -> Response {
         let prefix = request.param("prefix").unwrap_or_default();
         let after = request.number("after");
-        let until = mono_ms() + request.number("wait_ms").min(MAX_WAIT_MS);
-        let mut inner = self.lock();
-        inner.stats.waiting += 1;
+        let deadline = mono_ms() + request.number("wait_ms").min(MAX_WATCH_MS);
+        let mut state = self.lock();
+        state.stats.waiting += 1;
         let response = loop {
-            if inner.is_down() {
+            if state.is_down() {
                 break unavailable();
             }
-            let Ok(changes) = inner.store.changes(&prefix, after) else {
+            let Ok(changes) = state.store.changes(&prefix, after) else {
                 break Response::json(410, &json!({ "error": "compacted; read the range again" }));
             };
-            let left = until.saturating_sub(mono_ms());
-            if !changes.is_empty() || left == 0 {
-                let revision = inner.store.revision();
+            let remaining = deadline.saturating_sub(mono_ms());
+            if !changes.is_empty() || remaining == 0 {
+                let revision = state.store.revision();
                 break Response::json(200, &json!({ "revision": revision, "changes": changes }));
             }
-            let waited = self.changed.wait_timeout(inner, Duration::from_millis(left));
-            inner = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let waited = self.changed.wait_timeout(state, Duration::from_millis(remaining));
+            state = waited.unwrap_or_else(PoisonError::into_inner).0;
         };
-        inner.stats.waiting -= 1;
+        state.stats.waiting -= 1;
         response
     }
 
-    /// The stand-in's own paths, which no failure touches.
-    fn own(&self, request: &Request) -> serde_json::Result<Response> {
-        let mut inner = self.lock();
+    /// Handles the stand-in's own paths, which no fault affects.
+    fn control(&self, request: &Request) -> serde_json::Result<Response> {
+        let mut state = self.lock();
         let body = match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/_stats") => inner.stats(),
+            ("GET", "/_stats") => state.stats(),
             ("GET", "/_backend") => {
-                json!({ "tasks": inner.fleet.tasks(), "vms": inner.fleet.vms(mono_ms(), 0) })
+                json!({ "tasks": state.fleet.tasks(), "vms": state.fleet.vms(mono_ms(), 0) })
             }
             ("POST", "/_backend/state") => {
                 let report: Task = serde_json::from_slice(&request.body)?;
-                inner.fleet.report(report);
+                state.fleet.report(report);
                 json!({})
             }
             ("POST", "/_backend/usage") => {
                 let reports: Reports = serde_json::from_slice(&request.body)?;
-                inner.fleet.report_usage(reports.usage);
+                state.fleet.report_usage(reports.usage);
                 json!({})
             }
             ("POST", "/_vms") => {
                 let vms: Vms = serde_json::from_slice(&request.body)?;
                 for vm in &vms.vms {
-                    inner.fleet.set(mono_ms(), vm, vms.state.unwrap_or(State::Live));
+                    state.fleet.set(mono_ms(), vm, vms.state.unwrap_or(State::Live));
                 }
                 json!({})
             }
             ("POST", "/_fault") => {
-                inner.faults.change(serde_json::from_slice(&request.body)?);
-                if inner.faults.silent.take() == Some(true) {
+                state.faults.apply(serde_json::from_slice(&request.body)?);
+                if state.faults.silent.take() == Some(true) {
                     self.connections.silence();
                 }
                 json!({})
             }
-            _ => return Ok(missing()),
+            _ => return Ok(not_found()),
         };
-        drop(inner);
+        drop(state);
         self.changed.notify_all();
         Ok(Response::json(200, &body))
     }
@@ -298,7 +300,7 @@
     }
 
     fn stats(&self) -> Value {
-        let mut body = json!(self.stats.all);
+        let mut body = json!(self.stats.total);
         body["callers"] = json!(self.stats.callers);
         body["waiting"] = json!(self.stats.waiting);
         body["lost_answers"] = json!(self.stats.lost_answers);
@@ -308,12 +310,12 @@
     }
 }
 
-fn written(result: Result<u64, Error>) -> Response {
+fn write_response(result: Result<u64, Error>) -> Response {
     match result {
         Ok(revision) => Response::json(200, &json!({ "revision": revision })),
         Err(Error::Conflict(current)) => Response::json(409, &json!({ "current": current })),
         Err(Error::TooLarge) => Response::json(413, &json!({ "error": "value over 1 MiB" })),
-        Err(Error::Lapsed | Error::Compacted) => missing(),
+        Err(Error::LeaseExpired | Error::Compacted) => not_found(),
     }
 }
 
@@ -321,7 +323,7 @@
     Response::json(503, &json!({ "error": "down" }))
 }
 
-fn missing() -> Response {
+fn not_found() -> Response {
     Response::json(404, &json!({ "error": "not found" }))
 }
 
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -1,4 +1,5 @@
-//! One runner of a backend server: its slots, queue, refusals and misbehaviour.
+//! One runner of a backend server, with its slots, queue, refusals and
+//! misbehaviour.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpListener};
@@ -9,36 +10,36 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde::{Deserialize, Serialize};
 
-use crate::behaviour::{Behaviour, Twist};
+use crate::behaviour::{Behaviour, Misbehaviour};
 use crate::clock::mono_ms;
 use crate::connections::Connections;
 use crate::http::{Reply, Request, Response, Server, Service, lock};
 use crate::ledger::Ledger;
 use crate::{answer, http};
 
-/// No run is longer than this many times the mean.
-const LONGEST: f64 = 8.0;
+/// The longest run, as a multiple of the mean.
+const MAX_RUN_FACTOR: f64 = 8.0;
 
-/// What all runners of one process have in common.
+/// The settings of all runners of one process.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where the runners listen; each gets a port of its own.
+    /// The address the runners listen on, each on its own port.
     pub host: IpAddr,
-    /// Requests run at once.
+    /// The number of requests that run concurrently.
     pub slots: usize,
-    /// Requests that may wait for a slot.
+    /// The number of requests that may wait for a slot.
     pub queue: usize,
-    /// Connections; more are closed at accept.
+    /// The most open connections. Further ones are closed on accept.
     pub connections: usize,
-    /// The mean time of a run, in milliseconds.
+    /// The mean duration of a run, in milliseconds.
     pub run_ms: f64,
-    /// From opening until the first request is taken, in milliseconds.
+    /// The time from opening until requests are accepted, in milliseconds.
     pub warm_ms: u64,
-    /// From a stop until the listener may close, in milliseconds.
+    /// The time from the stop until the listener may close, in milliseconds.
     pub linger_ms: u64,
-    /// Padding of an answer, in bytes.
+    /// The padding of a response, in bytes.
     pub pad: usize,
-    /// Seeds the times of runs.
+    /// The seed for the durations of runs.
     pub seed: u64,
 }
 
@@ -54,18 +55,19 @@
 #[derive(Debug)]
 struct State {
     rng: SmallRng,
-    behave: Behaviour,
+    behaviour: Behaviour,
     running: usize,
     waiting: usize,
-    /// Requests read whose reply isn't written yet, refusals included.
-    open: usize,
+    /// Requests read whose reply isn't written yet, including refusals.
+    unfinished: usize,
     leaving_since: Option<u64>,
     closed: bool,
     busy_ms: f64,
+    /// The id and body of the latest response.
     last: Option<(String, Vec<u8>)>,
 }
 
-/// A runner: one service on one VM.
+/// One service on one VM.
 #[derive(Debug)]
 pub struct Runner {
     vm: String,
@@ -77,17 +79,17 @@
     ledger: Arc<Ledger>,
 }
 
-/// A runner with its listener.
+/// A running runner with its listener.
 #[derive(Debug)]
-pub struct Open {
+pub struct Handle {
     runner: Arc<Runner>,
     server: Server,
 }
 
-/// A runner as the admin listener shows it.
+/// A runner's status as the admin listener returns it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct Shown {
+pub struct Status {
     pub vm: String,
     pub service: String,
     pub address: SocketAddr,
@@ -98,8 +100,8 @@
     pub refused_connections: u64,
 }
 
-impl Open {
-    /// Opens a runner on a port of its own.
+impl Handle {
+    /// Starts a runner on a free port.
     ///
     /// # Errors
     ///
@@ -111,14 +113,14 @@
         ledger: Arc<Ledger>,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind((config.host, 0))?;
-        let salt = vm.bytes().chain(service.bytes()).map(u64::from);
-        let seed = salt.fold(config.seed, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte));
+        let bytes = vm.bytes().chain(service.bytes()).map(u64::from);
+        let seed = bytes.fold(config.seed, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte));
         let state = State {
             rng: SmallRng::seed_from_u64(seed),
-            behave: Behaviour::default(),
+            behaviour: Behaviour::default(),
             running: 0,
             waiting: 0,
-            open: 0,
+            unfinished: 0,
             leaving_since: None,
             closed: false,
             busy_ms: 0.0,
@@ -138,19 +140,19 @@
         Ok(Self { runner, server })
     }
 
-    /// Where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Whether it takes requests.
+    /// Returns whether it accepts requests.
     pub fn is_warm(&self) -> bool {
         self.runner.is_warm()
     }
 
-    /// Sets how it misbehaves from now on.
-    pub fn behave(&self, behave: Behaviour) {
-        lock(&self.runner.state).behave = behave;
+    /// Sets its misbehaviour from now on.
+    pub fn behave(&self, behaviour: Behaviour) {
+        lock(&self.runner.state).behaviour = behaviour;
     }
 
     /// Refuses new requests from now on.
@@ -158,11 +160,12 @@
         lock(&self.runner.state).leaving_since.get_or_insert(mono_ms());
     }
 
-    /// Closes if it has been leaving for long enough and nothing is in flight.
+    /// Closes it if `linger_ms` have passed since [`leave`](Self::leave) and nothing
+    /// is in flight. Returns whether it closed.
     pub fn try_close(&self) -> bool {
         let mut state = lock(&self.runner.state);
-        let lingered = state.leaving_since.map(|since| since + self.runner.config.linger_ms);
-        let done = lingered.is_some_and(|until| until <= mono_ms()) && state.open == 0;
+        let close_at = state.leaving_since.map(|since| since + self.runner.config.linger_ms);
+        let done = close_at.is_some_and(|at| at <= mono_ms()) && state.unfinished == 0;
         state.closed |= done;
         drop(state);
         if done {
@@ -171,33 +174,33 @@
         done
     }
 
-    /// Closes at once; what is in flight is lost and counted as cut.
+    /// Closes it at once. Requests in flight are lost and counted as cut.
     pub fn cut(&self) {
         let mut state = lock(&self.runner.state);
         state.closed = true;
-        let lost = (state.running + state.waiting) as u64;
+        let in_flight = (state.running + state.waiting) as u64;
         drop(state);
-        self.runner.ledger.edit(|runs| runs.cut += lost);
+        self.runner.ledger.update(|runs| runs.cut += in_flight);
         self.runner.freed.notify_all();
         self.server.close();
     }
 
-    /// The milliseconds its slots were busy since the last call.
+    /// Returns the milliseconds its slots were busy since the last call.
     pub fn take_busy_ms(&self) -> f64 {
         std::mem::take(&mut lock(&self.runner.state).busy_ms)
     }
 
-    /// How it is.
-    pub fn shown(&self) -> Shown {
+    /// Returns its current status.
+    pub fn status(&self) -> Status {
         let state = lock(&self.runner.state);
-        Shown {
+        Status {
             vm: self.runner.vm.clone(),
             service: self.runner.service.clone(),
             address: self.address(),
             warm: self.runner.is_warm(),
             leaving: state.leaving_since.is_some(),
             in_flight: state.running + state.waiting,
-            max_connections: self.server.connections().most(),
+            max_connections: self.server.connections().max_open(),
             refused_connections: self.server.connections().refused(),
         }
     }
@@ -205,16 +208,16 @@
 
 impl Service for Runner {
     fn call(&self, request: &Request) -> Reply {
-        lock(&self.state).open += 1;
+        lock(&self.state).unfinished += 1;
         let service = request.path.trim_start_matches('/').split('/').next();
         if service != Some(&self.service) {
-            self.ledger.edit(|runs| runs.refused.not_here += 1);
+            self.ledger.update(|runs| runs.refused.not_here += 1);
             return refuse(421, "not-here");
         }
         let Some(id) = request.header("request-id") else {
             return Reply::Whole(Response { status: 400, ..Response::default() });
         };
-        let state = match self.slot() {
+        let state = match self.acquire_slot() {
             Ok(state) => state,
             Err(reply) => return reply,
         };
@@ -222,7 +225,7 @@
     }
 
     fn finished(&self) {
-        lock(&self.state).open -= 1;
+        lock(&self.state).unfinished -= 1;
     }
 }
 
@@ -231,27 +234,27 @@
         mono_ms() >= self.opened_ms + self.config.warm_ms
     }
 
-    /// Takes a slot, waiting for one if the queue has room.
-    fn slot(&self) -> Result<MutexGuard<'_, State>, Reply> {
+    /// Acquires a slot, waiting for one if the queue has room.
+    fn acquire_slot(&self) -> Result<MutexGuard<'_, State>, Reply> {
         let mut state = lock(&self.state);
         if state.closed {
             return Err(Reply::Cut);
         }
         if state.leaving_since.is_some() {
-            self.ledger.edit(|runs| runs.refused.leaving += 1);
+            self.ledger.update(|runs| runs.refused.leaving += 1);
             return Err(refuse(503, "leaving"));
         }
         if !self.is_warm() {
-            self.ledger.edit(|runs| runs.refused.cold += 1);
+            self.ledger.update(|runs| runs.refused.cold += 1);
             return Err(refuse(503, "busy"));
         }
         if state.running + state.waiting >= self.config.slots + self.config.queue {
-            self.ledger.edit(|runs| runs.refused.busy += 1);
+            self.ledger.update(|runs| runs.refused.busy += 1);
             return Err(refuse(503, "busy"));
         }
         state.waiting += 1;
         let in_flight = (state.running + state.waiting) as u64;
-        self.ledger.edit(|runs| runs.max_in_flight = runs.max_in_flight.max(in_flight));
+        self.ledger.update(|runs| runs.max_in_flight = runs.max_in_flight.max(in_flight));
         while state.running >= self.config.slots && !state.closed {
             state = self.freed.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
@@ -263,58 +266,60 @@
         Ok(state)
     }
 
-    /// Runs a request in the slot just taken.
+    /// Runs a request in the slot just acquired.
     fn run(&self, mut state: MutexGuard<'_, State>, id: &str, request: &Request) -> Reply {
-        // Written down first: a request cut off from here on may have run.
-        self.ledger.run(id, request.header("idempotency-key"), &self.vm, &self.service);
-        let twist = state.behave.twist();
-        let failing = state.behave.failing;
-        let ms = if failing { 0.0 } else { state.duration(self.config.run_ms) };
+        // Recorded first, since a request cut off from here on may have run.
+        self.ledger.record_run(id, request.header("idempotency-key"), &self.vm, &self.service);
+        let misbehaviour = state.behaviour.take_next();
+        let failing = state.behaviour.failing;
+        let run_ms = if failing { 0.0 } else { state.next_run_ms(self.config.run_ms) };
         drop(state);
-        thread::sleep(Duration::from_secs_f64(ms / 1000.0));
+        thread::sleep(Duration::from_secs_f64(run_ms / 1000.0));
 
         let body = answer::body(id, &self.service, &self.vm, &request.body, self.config.pad);
         let mut state = lock(&self.state);
         state.running -= 1;
-        state.busy_ms += ms;
-        let own = (id.to_owned(), body);
-        let other = state.last.replace(own.clone()).filter(|last| last.0 != id);
+        state.busy_ms += run_ms;
+        let response = (id.to_owned(), body);
+        let previous = state.last.replace(response.clone()).filter(|last| last.0 != id);
         let closed = state.closed;
         drop(state);
         self.freed.notify_one();
 
-        let (id, body) = match twist {
-            Twist::Crossed => other.unwrap_or_else(|| self.strange()),
-            _ => own,
+        let (id, body) = match misbehaviour {
+            Misbehaviour::Crossed => previous.unwrap_or_else(|| self.unrelated_response()),
+            _ => response,
         };
         let status = if failing { 500 } else { 200 };
         let response = Response { status, headers: vec![("Request-Id", id)], body };
-        match twist {
+        match misbehaviour {
             _ if closed => Reply::Cut,
-            Twist::None | Twist::Crossed => Reply::Whole(response),
-            Twist::Truncated => Reply::Truncated(response),
-            Twist::Silent => Reply::Silent,
-            Twist::Die => Reply::Cut,
+            Misbehaviour::None | Misbehaviour::Crossed => Reply::Whole(response),
+            Misbehaviour::Truncated => Reply::Truncated(response),
+            Misbehaviour::Silent => Reply::Silent,
+            Misbehaviour::Die => Reply::Cut,
         }
     }
 
-    /// An answer to a request that nobody sent, for want of another.
-    fn strange(&self) -> (String, Vec<u8>) {
+    /// Returns a response to a request that nobody sent, for when there was no
+    /// other request.
+    fn unrelated_response(&self) -> (String, Vec<u8>) {
         let id = "nobodys-request";
         (id.to_owned(), answer::body(id, &self.service, &self.vm, b"", self.config.pad))
     }
 }
 
 impl State {
-    /// Half of the mean, and an exponential rest with the other half as mean.
-    fn duration(&mut self, mean: f64) -> f64 {
-        let rest = -(1.0 - self.rng.random::<f64>()).ln();
-        let ms = mean / 2.0 * (1.0 + rest);
-        ms.min(mean * LONGEST) + self.behave.late_ms as f64
+    /// Returns the duration of the next run: half of the mean plus an exponential
+    /// part with that half as its mean.
+    fn next_run_ms(&mut self, mean: f64) -> f64 {
+        let exponential = -(1.0 - self.rng.random::<f64>()).ln();
+        let ms = mean / 2.0 * (1.0 + exponential);
+        ms.min(mean * MAX_RUN_FACTOR) + self.behaviour.late_ms as f64
     }
 }
 
-fn refuse(status: u16, why: &str) -> http::Reply {
-    let headers = vec![("Not-Run", why.to_owned())];
+fn refuse(status: u16, reason: &str) -> http::Reply {
+    let headers = vec![("Not-Run", reason.to_owned())];
     Reply::Whole(Response { status, headers, body: Vec::new() })
 }
--- a/crates/standins/src/spawn.rs
+++ b/crates/standins/src/spawn.rs
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const READY: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(5);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A child that has said it is ready. Killed when dropped.
+/// A child process that has printed that it is ready. Killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -22,13 +22,13 @@
 }
 
 impl Process {
-    /// Starts `program` and waits for its line `ready …` on stdout. Its stderr
-    /// goes to the file `stderr`.
+    /// Starts `program`, redirects its stderr to the file `stderr` and waits for a
+    /// line `ready …` on its stdout.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be started, ends before it is ready or takes over
-    /// 30 s; the message holds its stderr.
+    /// Fails if it can't be started, exits before it is ready or is not ready after
+    /// 30 s. In the last two cases the message contains its stderr.
     pub fn spawn<S: AsRef<OsStr>>(program: &Path, args: &[S], stderr: &Path) -> io::Result<Self> {
         let mut child = Command::new(program)
             .args(args)
@@ -40,13 +40,13 @@
         let stdout = child.stdout.take();
         let mut process = Self { child, ready: String::new(), stderr: stderr.to_owned() };
         let (send, lines) = mpsc::channel();
-        // Reads on after `ready`, lest the child block on a full pipe.
+        // Keeps reading after `ready`, or the child would block on a full pipe.
         thread::spawn(move || {
             for line in stdout.into_iter().flat_map(|out| BufReader::new(out).lines()) {
                 let _ = line.map(|line| send.send(line));
             }
         });
-        let deadline = Instant::now() + READY;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
             let Ok(line) = lines.recv_timeout(left) else { return Err(process.not_ready()) };
@@ -58,31 +58,31 @@
     }
 
     fn not_ready(&self) -> io::Error {
-        let said = std::fs::read_to_string(&self.stderr).unwrap_or_default();
-        io::Error::other(format!("the process did not get ready; its stderr: {said}"))
+        let stderr = std::fs::read_to_string(&self.stderr).unwrap_or_default();
+        io::Error::other(format!("the process did not become ready; its stderr: {stderr}"))
     }
 
-    /// What followed `ready` on its line.
+    /// Returns the text after `ready` on its line.
     pub fn ready(&self) -> &str {
         &self.ready
     }
 
-    /// The `n`th socket address on the ready line.
+    /// Returns the `n`th socket address on the ready line, counted from 0.
     ///
     /// # Panics
     ///
-    /// Panics if there is none.
+    /// Panics if there is no such address.
     pub fn address(&self, n: usize) -> SocketAddr {
         let found = self.ready.split_whitespace().filter_map(|word| word.parse().ok()).nth(n);
         found.unwrap_or_else(|| panic!("no address {n} in the ready line `{}`", self.ready))
     }
 
-    /// Its process id.
+    /// Returns its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Asks it to end gracefully.
+    /// Sends SIGTERM, which asks it to stop gracefully.
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
         self.signal("TERM")
     }
 
-    /// Freezes it.
+    /// Freezes it with SIGSTOP.
     ///
     /// # Errors
     ///
@@ -100,7 +100,7 @@
         self.signal("STOP")
     }
 
-    /// Lets it go on after [`stop`](Self::stop).
+    /// Resumes it after [`stop`](Self::stop).
     ///
     /// # Errors
     ///
@@ -109,7 +109,7 @@
         self.signal("CONT")
     }
 
-    /// Ends it at once, frozen or not, and waits for its end.
+    /// Kills it, frozen or not, and waits until it has exited.
     ///
     /// # Errors
     ///
@@ -119,7 +119,7 @@
         self.child.wait().map(drop)
     }
 
-    /// Waits for its end for at most `limit`; `None` if it still runs.
+    /// Waits at most `limit` until it exits. Returns `None` if it still runs.
     ///
     /// # Errors
     ///
@@ -131,14 +131,14 @@
             if status.is_some() || Instant::now() >= deadline {
                 return Ok(status);
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     fn signal(&self, name: &str) -> io::Result<()> {
-        // The shell's own `kill`: small systems have no program of that name.
-        let line = format!("kill -{name} {}", self.id());
-        let status = Command::new("sh").args(["-c", &line]).status()?;
+        // Uses the shell's builtin, since minimal systems have no `kill` program.
+        let command = format!("kill -{name} {}", self.id());
+        let status = Command::new("sh").args(["-c", &command]).status()?;
         if status.success() { Ok(()) } else { Err(io::Error::other("kill failed")) }
     }
 }
@@ -149,8 +149,8 @@
     }
 }
 
-/// Where cargo put the program `name` of this workspace: beside the running
-/// test or benchmark.
+/// Returns the path of the program `name` of this workspace, which cargo puts
+/// beside the running test or benchmark.
 ///
 /// # Errors
 ///
@@ -158,6 +158,6 @@
 pub fn binary(name: &str) -> io::Result<PathBuf> {
     let exe = std::env::current_exe()?;
     let found = exe.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.is_file());
-    let remedy = || format!("`{name}` isn't built; run `cargo build --workspace --bins` first");
-    found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, remedy()))
+    let message = || format!("`{name}` isn't built; run `cargo build --workspace --bins` first");
+    found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, message()))
 }
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -1,16 +1,17 @@
-//! The platform's key-value service: compare-and-swap, leases, bounded history.
+//! The platform's key-value store, with compare-and-swap, leases and a bounded
+//! history.
 //!
-//! Time comes in as milliseconds, so that tests need no sleep.
+//! Callers pass the time in milliseconds, so that tests need not sleep.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use serde::Serialize;
 
-/// The largest value, in bytes.
+/// The largest allowed value, in bytes.
 pub const MAX_VALUE: usize = 1 << 20;
 const MAX_HISTORY_BYTES: usize = 64 << 20;
 
-/// A key with its value.
+/// A key and its value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Entry {
     /// The key.
@@ -19,41 +20,41 @@
     pub value: String,
     /// The revision of its last write.
     pub revision: u64,
-    /// The lease it goes with.
+    /// The lease whose end deletes it.
     pub lease: Option<u64>,
 }
 
-/// A write as a watch sees it; no entry means deleted.
+/// A write as a watch returns it. Without an entry, the key was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Change {
     /// The key.
     pub key: String,
-    /// What it holds from then on.
+    /// The new entry.
     pub entry: Option<Entry>,
     /// The revision of the write.
     pub revision: u64,
 }
 
-/// Why a call was refused.
+/// Why the store refused a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The expected revision isn't current; what is.
+    /// The expected revision isn't current. Holds the current entry.
     Conflict(Option<Entry>),
     /// The value is over [`MAX_VALUE`].
     TooLarge,
-    /// The lease has lapsed or never was.
-    Lapsed,
-    /// The changes asked for are no longer held.
+    /// The lease has expired or never existed.
+    LeaseExpired,
+    /// The requested changes are no longer available.
     Compacted,
 }
 
 #[derive(Debug)]
 struct Lease {
     ttl: u64,
-    lapses: u64,
+    expires_at: u64,
 }
 
-/// All keys, leases and the latest changes.
+/// All entries, leases and the latest changes.
 #[derive(Debug)]
 pub struct Store {
     entries: BTreeMap<String, Entry>,
@@ -67,7 +68,8 @@
 }
 
 impl Store {
-    /// An empty store that keeps the last `history_limit` changes for watches.
+    /// Creates an empty store that keeps the last `history_limit` changes for
+    /// watches.
     pub fn new(history_limit: usize) -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -81,27 +83,29 @@
         }
     }
 
-    /// The store-wide revision.
+    /// Returns the store-wide revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// One entry.
+    /// Returns the entry of `key`.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// All entries whose key begins with `prefix`.
+    /// Returns all entries whose key begins with `prefix`.
     pub fn range(&self, prefix: &str) -> Vec<&Entry> {
         let from = self.entries.range(prefix.to_owned()..);
         from.map(|(_, e)| e).take_while(|e| e.key.starts_with(prefix)).collect()
     }
 
-    /// Writes if `expect` is none or the entry's revision (0: absent).
+    /// Writes an entry if `expect` is `None` or the entry's revision, which is 0 if
+    /// there is no entry. Returns the revision of the write.
     ///
     /// # Errors
     ///
-    /// Conflict, value too large or lease lapsed; nothing was written.
+    /// Fails without writing on a conflict, a value that is too large or an expired
+    /// lease.
     pub fn put(
         &mut self,
         key: &str,
@@ -113,9 +117,9 @@
             return Err(Error::TooLarge);
         }
         if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
-            return Err(Error::Lapsed);
+            return Err(Error::LeaseExpired);
         }
-        self.expect(key, expect)?;
+        self.check_revision(key, expect)?;
         let revision = self.revision + 1;
         let (key, value) = (key.to_owned(), value.to_owned());
         let entry = Entry { key: key.clone(), value, revision, lease };
@@ -124,25 +128,26 @@
         Ok(revision)
     }
 
-    /// Deletes if `expect` is none or the entry's revision. Deleting what
-    /// isn't there is no write.
+    /// Deletes an entry if `expect` is `None` or the entry's revision. Deleting an
+    /// absent entry is not a write.
     ///
     /// # Errors
     ///
-    /// Conflict; nothing was deleted.
+    /// Fails without deleting on a conflict.
     pub fn delete(&mut self, key: &str, expect: Option<u64>) -> Result<u64, Error> {
-        self.expect(key, expect)?;
+        self.check_revision(key, expect)?;
         if self.entries.remove(key).is_some() {
             self.record(key.to_owned(), None);
         }
         Ok(self.revision)
     }
 
-    /// Changes after revision `after` of keys that begin with `prefix`.
+    /// Returns the changes after revision `after` of keys that begin with `prefix`.
     ///
     /// # Errors
     ///
-    /// Compacted, also if `after` is ahead of this store.
+    /// Fails with [`Error::Compacted`] if the changes are no longer available or
+    /// `after` is ahead of this store.
     pub fn changes(&self, prefix: &str, after: u64) -> Result<Vec<&Change>, Error> {
         if after < self.compacted || after > self.revision {
             return Err(Error::Compacted);
@@ -152,48 +157,48 @@
         Ok(later.filter(|c| c.key.starts_with(prefix)).collect())
     }
 
-    /// Grants a lease of `ttl` milliseconds.
+    /// Grants a lease of `ttl` milliseconds and returns its id.
     pub fn grant(&mut self, now: u64, ttl: u64) -> u64 {
         let id = self.next_lease;
         self.next_lease += 1;
-        self.leases.insert(id, Lease { ttl, lapses: now + ttl });
+        self.leases.insert(id, Lease { ttl, expires_at: now + ttl });
         id
     }
 
-    /// Starts the lease's time again.
+    /// Renews a lease for its full time.
     ///
     /// # Errors
     ///
-    /// Lapsed.
+    /// Fails if the lease has expired.
     pub fn renew(&mut self, now: u64, id: u64) -> Result<(), Error> {
-        let lease = self.leases.get_mut(&id).ok_or(Error::Lapsed)?;
-        lease.lapses = now + lease.ttl;
+        let lease = self.leases.get_mut(&id).ok_or(Error::LeaseExpired)?;
+        lease.expires_at = now + lease.ttl;
         Ok(())
     }
 
     /// Ends a lease and deletes its keys.
     pub fn revoke(&mut self, id: u64) {
         self.leases.remove(&id);
-        let held = self.entries.values().filter(|e| e.lease == Some(id));
-        let keys: Vec<_> = held.map(|e| e.key.clone()).collect();
+        let entries = self.entries.values().filter(|e| e.lease == Some(id));
+        let keys: Vec<_> = entries.map(|e| e.key.clone()).collect();
         for key in keys {
             self.entries.remove(&key);
             self.record(key, None);
         }
     }
 
-    /// Ends each lease that has lapsed by `now`. They lapse during an outage
-    /// too: nobody could renew them.
-    pub fn lapse(&mut self, now: u64) {
-        let lapsed = self.leases.iter().filter(|(_, l)| l.lapses <= now);
-        let mut ids: Vec<_> = lapsed.map(|(id, _)| *id).collect();
+    /// Ends each lease that has expired by `now`. Leases also expire during an
+    /// outage, since nobody can renew them then.
+    pub fn expire_leases(&mut self, now: u64) {
+        let expired = self.leases.iter().filter(|(_, l)| l.expires_at <= now);
+        let mut ids: Vec<_> = expired.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         for id in ids {
             self.revoke(id);
         }
     }
 
-    fn expect(&self, key: &str, expect: Option<u64>) -> Result<(), Error> {
+    fn check_revision(&self, key: &str, expect: Option<u64>) -> Result<(), Error> {
         let current = self.entries.get(key);
         let revision = current.map_or(0, |e| e.revision);
         match expect {
--- a/crates/standins/src/switches.rs
+++ b/crates/standins/src/switches.rs
@@ -1,4 +1,4 @@
-//! The platform's failures, on demand, and what it counts.
+//! The platform's switchable faults and its call counts.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 
 use crate::http::Request;
 
-/// The failures in force; `None` in a request leaves a switch as it is.
+/// The current faults. In a request, `None` leaves a fault unchanged.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Switches {
     pub(crate) down: Option<bool>,
-    /// The next write of a key with this prefix is done and answered, and the store
-    /// goes down with it, before any watch has shown it.
+    /// The store applies and acknowledges the next put of a key with this prefix and
+    /// goes down at once, before any watch returns the change.
     pub(crate) down_with: Option<String>,
     pub(crate) slow_ms: Option<u64>,
     pub(crate) lose_answers: Option<u64>,
@@ -22,21 +22,21 @@
 }
 
 impl Switches {
-    /// A key was written.
-    pub(crate) fn written(&mut self, key: &str) {
+    /// Takes the store down if `down_with` matches the key just put.
+    pub(crate) fn on_put(&mut self, key: &str) {
         if self.down_with.take_if(|prefix| key.starts_with(prefix.as_str())).is_some() {
             self.down = Some(true);
         }
     }
 
-    pub(crate) fn change(&mut self, to: Switches) {
-        self.down = to.down.or(self.down);
-        self.down_with = to.down_with.or(self.down_with.take());
-        self.slow_ms = to.slow_ms.or(self.slow_ms);
-        self.lose_answers = to.lose_answers.or(self.lose_answers);
-        self.lose_prefix = to.lose_prefix.or(self.lose_prefix.take());
-        self.list_lag_ms = to.list_lag_ms.or(self.list_lag_ms);
-        self.silent = to.silent;
+    pub(crate) fn apply(&mut self, update: Switches) {
+        self.down = update.down.or(self.down);
+        self.down_with = update.down_with.or(self.down_with.take());
+        self.slow_ms = update.slow_ms.or(self.slow_ms);
+        self.lose_answers = update.lose_answers.or(self.lose_answers);
+        self.lose_prefix = update.lose_prefix.or(self.lose_prefix.take());
+        self.list_lag_ms = update.list_lag_ms.or(self.list_lag_ms);
+        self.silent = update.silent;
     }
 }
 
@@ -50,18 +50,18 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Stats {
-    pub(crate) all: Counts,
+    pub(crate) total: Counts,
     pub(crate) callers: BTreeMap<String, Counts>,
     pub(crate) waiting: u64,
     pub(crate) lost_answers: u64,
 }
 
 impl Stats {
-    /// Counts one call by its kind, in all and for its caller.
+    /// Counts a call by kind, in the total and for its caller.
     pub(crate) fn count(&mut self, request: &Request) {
         let caller = request.header("caller").or_else(|| request.header("user-agent"));
         let caller = caller.unwrap_or("unknown").to_owned();
-        for counts in [&mut self.all, self.callers.entry(caller).or_default()] {
+        for counts in [&mut self.total, self.callers.entry(caller).or_default()] {
             match (request.method.as_str(), request.path.as_str()) {
                 (_, "/watch") => counts.watches += 1,
                 (_, "/lease/renew") => counts.renewals += 1,
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, and its failures.
+//! The platform's HTTP interface and its faults.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,7 +23,7 @@
     assert_eq!(now["changes"][0]["entry"]["value"], "x");
     thread::scope(|scope| {
         let waiting = scope.spawn(|| http.get("/watch?prefix=a/&after=1&wait_ms=60000").unwrap());
-        eventually("a watch waits", || (http.get("/_stats")?.1["waiting"] == 1).then_some(()));
+        eventually("a watch to wait", || (http.get("/_stats")?.1["waiting"] == 1).then_some(()));
         http.post("/kv/put", r#"{"key":"b","value":"not watched"}"#).unwrap();
         http.post("/kv/delete", r#"{"key":"a/1","expect":1}"#).unwrap();
         let (_, seen) = waiting.join().unwrap();
@@ -41,10 +41,9 @@
 }
 
 #[test]
-fn put_lost_answer_took_effect() {
-    // Symptom: a writer sees its connection close and can't tell what happened.
-    // Sequence: the write is applied, then its answer is cut off, once.
-    // Cause: the answer was lost, not the write.
+fn put_applied_though_response_lost() {
+    // The write is applied and its response is lost, once. The writer sees only
+    // that its connection closes.
     let http = platform(Config::default());
     http.post("/_fault", r#"{"lose_answers":1,"lose_prefix":"a"}"#).unwrap();
     assert_eq!(http.post("/kv/put", r#"{"key":"b","value":"x"}"#).unwrap().0, 200);
@@ -66,28 +65,27 @@
 
 #[test]
 fn silent_open_connection_only() {
-    // Symptom: a watch on an open connection never answers, nor ends.
-    // Sequence: open connections fall silent, then a change comes.
-    // Cause: something between the ends lost track of the connection.
+    // Simulates a network that lost track of open connections: a watch on one of
+    // them neither returns a change nor ends.
     let server = platform::start(local(), Config::default()).unwrap();
     let (old, new) = (Http::new(server.address()), Http::new(server.address()));
     thread::scope(|scope| {
         let watch = scope.spawn(|| old.get("/watch?prefix=a&after=0&wait_ms=60000"));
-        eventually("a watch waits", || (new.get("/_stats")?.1["waiting"] == 1).then_some(()));
+        eventually("a watch to wait", || (new.get("/_stats")?.1["waiting"] == 1).then_some(()));
         new.post("/_fault", r#"{"silent":true}"#).unwrap();
         let fresh = Http::new(server.address());
         assert_eq!(fresh.post("/kv/put", r#"{"key":"a","value":"x"}"#).unwrap().0, 200);
-        eventually("the change came", || (new.get("/_stats")?.1["waiting"] == 0).then_some(()));
-        server.connections().cut();
-        assert_eq!(watch.join().unwrap(), None, "no answer before the connection's end");
+        eventually("the change to arrive", || {
+            (new.get("/_stats")?.1["waiting"] == 0).then_some(())
+        });
+        server.connections().close_all();
+        assert_eq!(watch.join().unwrap(), None, "a response arrived before the connection closed");
     });
 }
 
 #[test]
 fn reboot_shown_late() {
-    // Symptom: the list still shows a VM as live that is already down.
-    // Sequence: the VM reboots; the list is as of an hour ago.
-    // Cause: the platform's list lags.
+    // The platform's list lags by an hour and shows a rebooting VM as live.
     let vms = vec!["vm1".to_owned()];
     let http = platform(Config { reboot_ms: 1, vms, ..Config::default() });
     http.post("/_fault", r#"{"list_lag_ms":3600000}"#).unwrap();
@@ -96,7 +94,7 @@
     assert_eq!(state("/vms/one?vm=vm1"), "live");
     assert_eq!(state("/_backend"), "leaving");
     assert_eq!(http.post("/vms/reboot", r#"{"vm":"vm1"}"#).unwrap().0, 200);
-    eventually("it is back", || (state("/_backend") == "live").then_some(()));
+    eventually("the VM to be live", || (state("/_backend") == "live").then_some(()));
     assert_eq!(http.get("/_stats").unwrap().1["boots"]["vm1"], 1);
     assert_eq!(http.post("/vms/reboot", r#"{"vm":"vm2"}"#).unwrap().0, 404);
 }
--- a/crates/standins/tests/processes.rs
+++ b/crates/standins/tests/processes.rs
@@ -1,4 +1,4 @@
-//! All stand-ins together, as processes.
+//! Tests of all stand-ins together, as processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,13 +19,14 @@
     Process::spawn(&spawn::binary(name).unwrap(), args, &log.join(file)).unwrap()
 }
 
-/// A backend server with one runner, and that runner's address.
+/// Starts a backend server with one runner. Returns the process, its admin
+/// interface and the runner's address.
 fn backend(args: &[&str]) -> (Process, Http, String) {
     let fixed = ["--runners", "vm1/transfer", "--warm-ms", "0", "--run-ms", "1"];
     let process = start("standin-backend", &[&fixed[..], args].concat());
     let admin = Http::new(process.address(0));
-    let (_, shown) = admin.get("/_runners").unwrap();
-    let address = shown["runners"][0]["address"].as_str().unwrap().to_owned();
+    let (_, status) = admin.get("/_runners").unwrap();
+    let address = status["runners"][0]["address"].as_str().unwrap().to_owned();
     (process, admin, address)
 }
 
@@ -52,7 +53,7 @@
     };
     let place = r#"{"vm":"vm1","service":"transfer"}"#;
     assert_eq!(http.post("/tasks/start", place).unwrap().0, 200);
-    let first = eventually("the task runs", running);
+    let first = eventually("the task to run", running);
 
     let history = Path::new(env!("CARGO_TARGET_TMPDIR")).join("processes-history.jsonl");
     let load = std::process::Command::new(spawn::binary("standin-load").unwrap())
@@ -70,17 +71,18 @@
     assert!(findings.is_clean() && findings.cut == 0, "{findings:?}");
 
     assert_eq!(http.post("/vms/reboot", r#"{"vm":"vm1"}"#).unwrap().0, 200);
-    eventually("the task moved", || running().filter(|address| *address != first));
+    eventually("the task to run at another address", || {
+        running().filter(|address| *address != first)
+    });
     assert_eq!(http.post("/tasks/stop", place).unwrap().0, 200);
     let none = || (http.get("/tasks")?.1["tasks"].as_array()?.is_empty()).then_some(());
-    eventually("the task is gone", none);
+    eventually("the task to be removed", none);
 }
 
 #[test]
-fn check_doubled_by_asking_again() {
-    // Symptom: a transfer is run twice.
-    // Sequence: it runs, its answer is lost, its caller asks again.
-    // Cause: nothing between the caller and the backend server claims the key.
+fn check_retry_runs_twice() {
+    // A transfer runs, its response is lost and its caller retries. Without a proxy
+    // that claims the key, it runs twice, and the check has to report that.
     let (_process, admin, address) = backend(&[]);
     admin.post("/_behave", r#"{"die_after_run":1}"#).unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn check_crossed_lost_and_run() {
+fn check_crossed_lost_and_ran() {
     let (_process, admin, address) = backend(&[]);
     admin.post("/_behave", r#"{"crossed":1}"#).unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
@@ -113,49 +115,48 @@
 
 #[test]
 fn fault_each_switch() {
-    // Symptom: requests hang or break although both ends are well.
-    // Sequence: a direction freezes; open connections fall silent; all is cut.
-    // Cause: what is between the two ends.
+    // Faults between two healthy ends: one direction freezes, open connections fall
+    // silent, all connections are cut.
     let (_process, admin, to) = backend(&[]);
     let fault = start("standin-fault", &["--to", &to]);
     let switches = Http::new(fault.address(1));
     let set = |body| assert_eq!(switches.post("/_fault", body).unwrap().0, 200);
     let target = fault.address(0).to_string();
     let (short, long) = (Duration::from_millis(300), LONG);
-    let old = client(&target, short, 1);
+    let frozen = client(&target, short, 1);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut ask = |client: &Client| client.lookup("transfer", &mut rng).outcome;
-    assert_eq!(ask(&client(&target, long, 1)), Outcome::Answered);
+    let mut call = |client: &Client| client.lookup("transfer", &mut rng).outcome;
+    assert_eq!(call(&client(&target, long, 1)), Outcome::Answered);
 
     set(r#"{"freeze":"to"}"#);
-    assert_eq!(ask(&old), Outcome::Unknown);
-    assert_eq!(runs(&admin).runs.len(), 1, "it has not arrived");
+    assert_eq!(call(&frozen), Outcome::Unknown);
+    assert_eq!(runs(&admin).runs.len(), 1, "the request arrived");
     set(r#"{"freeze":"from"}"#);
-    eventually("it arrived", || (runs(&admin).runs.len() == 2).then_some(()));
-    assert_eq!(ask(&old), Outcome::Unknown);
+    eventually("the request to arrive", || (runs(&admin).runs.len() == 2).then_some(()));
+    assert_eq!(call(&frozen), Outcome::Unknown);
     set(r#"{"freeze":"none"}"#);
 
     let pooled = client(&target, short, 1);
-    eventually("an open connection", || (ask(&pooled) == Outcome::Answered).then_some(()));
+    eventually("a connection to open", || (call(&pooled) == Outcome::Answered).then_some(()));
     set(r#"{"silent":true}"#);
-    assert_eq!(ask(&pooled), Outcome::Unknown);
-    assert_eq!(ask(&client(&target, long, 1)), Outcome::Answered, "new ones work");
+    assert_eq!(call(&pooled), Outcome::Unknown);
+    assert_eq!(call(&client(&target, long, 1)), Outcome::Answered, "new connections work");
     set(r#"{"cut":true}"#);
-    assert_eq!(ask(&client(&target, long, 1)), Outcome::Unknown);
+    assert_eq!(call(&client(&target, long, 1)), Outcome::Unknown);
     set(r#"{"cut":false}"#);
-    assert_eq!(ask(&client(&target, long, 1)), Outcome::Answered);
+    assert_eq!(call(&client(&target, long, 1)), Outcome::Answered);
 }
 
 #[test]
-fn process_frozen_goes_on() {
+fn process_resumes_after_freeze() {
     let (mut process, admin, address) = backend(&[]);
     let mut rng = SmallRng::seed_from_u64(1);
-    let hasty = client(&address, Duration::from_millis(300), 1);
+    let impatient = client(&address, Duration::from_millis(300), 1);
     process.stop().unwrap();
-    assert_eq!(hasty.lookup("transfer", &mut rng).outcome, Outcome::Unknown);
+    assert_eq!(impatient.lookup("transfer", &mut rng).outcome, Outcome::Unknown);
     process.cont().unwrap();
-    eventually("it ran", || (runs(&admin).runs.len() == 1).then_some(()));
+    eventually("the request to run", || (runs(&admin).runs.len() == 1).then_some(()));
     process.term().unwrap();
     assert!(process.wait(LONG).unwrap().is_some());
-    assert_eq!(hasty.lookup("transfer", &mut rng).outcome, Outcome::Unreachable);
+    assert_eq!(impatient.lookup("transfer", &mut rng).outcome, Outcome::Unreachable);
 }
--- a/crates/standins/tests/store.rs
+++ b/crates/standins/tests/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service by itself, on a clock that the test moves.
+//! Tests of the key-value store, with a simulated clock.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,7 +23,7 @@
     store.put("a", "1", None, None).unwrap();
     assert!(matches!(store.delete("a", Some(7)), Err(Error::Conflict(Some(_)))));
     assert_eq!(store.delete("a", Some(1)), Ok(2));
-    assert_eq!(store.delete("a", None), Ok(2), "nothing was there, so nothing was written");
+    assert_eq!(store.delete("a", None), Ok(2), "deleting an absent entry is not a write");
     assert!(store.get("a").is_none());
 }
 
@@ -38,30 +38,28 @@
 }
 
 #[test]
-fn lease_lapse_deletes_its_keys() {
-    // Symptom: a dead process's key stays, and its successor never takes over.
-    // Sequence: a lease is renewed once and then no more.
-    // Cause: its holder died; only the lapse can delete the key.
+fn lease_expiry_deletes_its_keys() {
+    // A lease is renewed once and its holder dies. Only the expiry can delete its key
+    // and let a successor take over.
     let mut store = Store::new(10);
     let lease = store.grant(0, 100);
     store.put("mine", "1", None, Some(lease)).unwrap();
     store.put("other", "1", None, None).unwrap();
     store.renew(90, lease).unwrap();
-    store.lapse(189);
+    store.expire_leases(189);
     assert!(store.get("mine").is_some());
-    store.lapse(190);
+    store.expire_leases(190);
     assert!(store.get("mine").is_none() && store.get("other").is_some());
     let deleted = store.changes("mine", 2).unwrap();
     assert!(deleted.len() == 1 && deleted[0].entry.is_none());
-    assert_eq!(store.renew(191, lease), Err(Error::Lapsed));
-    assert_eq!(store.put("mine", "2", None, Some(lease)), Err(Error::Lapsed));
+    assert_eq!(store.renew(191, lease), Err(Error::LeaseExpired));
+    assert_eq!(store.put("mine", "2", None, Some(lease)), Err(Error::LeaseExpired));
 }
 
 #[test]
 fn changes_compacted() {
-    // Symptom: a watch misses a change and never hears of it again.
-    // Sequence: more writes than the history holds, then a watch from before.
-    // Cause: the history is bounded; the watch has to be told.
+    // After more writes than the bounded history holds, a watch from an earlier
+    // revision has to fail, or it would miss changes silently.
     let mut store = Store::new(3);
     for n in 0..5 {
         store.put("a", &n.to_string(), None, None).unwrap();
@@ -70,5 +68,5 @@
     let seen: Vec<_> = store.changes("a", 2).unwrap().iter().map(|c| c.revision).collect();
     assert_eq!(seen, [3, 4, 5]);
     assert_eq!(store.changes("a", 5), Ok(Vec::new()));
-    assert_eq!(store.changes("a", 6), Err(Error::Compacted), "ahead of a store begun anew");
+    assert_eq!(store.changes("a", 6), Err(Error::Compacted), "a revision ahead of the store");
 }
--- a/crates/standins/tests/support/mod.rs
+++ b/crates/standins/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A client and bounded waits.
+//! An HTTP client and bounded waits.
 
 #![allow(dead_code)]
 
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 
-/// Longer than any machine under load needs.
+/// Longer than an operation takes on a machine under load.
 pub const LONG: Duration = Duration::from_secs(20);
 
 pub struct Http(ureq::Agent, SocketAddr);
@@ -18,44 +18,46 @@
         Self(config.timeout_global(Some(LONG)).build().into(), to)
     }
 
-    /// The status and body, or `None` if no whole answer came.
+    /// Returns the status and body, or `None` without a complete response.
     pub fn get(&self, path: &str) -> Option<(u16, Value)> {
         let request = self.0.get(format!("http://{}{path}", self.1)).header("Caller", "test");
-        whole(request.call().ok()?)
+        parse(request.call().ok()?)
     }
 
     pub fn post(&self, path: &str, body: &str) -> Option<(u16, Value)> {
-        whole(self.0.post(format!("http://{}{path}", self.1)).send(body).ok()?)
+        parse(self.0.post(format!("http://{}{path}", self.1)).send(body).ok()?)
     }
 
-    /// Sends to a runner: the status, why it was refused, the id and the body.
+    /// Sends a request to a runner and returns the status, the reason of a refusal,
+    /// the response's id and the body.
     pub fn run(&self, path: &str, id: &str) -> Option<(u16, String, String, Vec<u8>)> {
         let request = self.0.get(format!("http://{}{path}", self.1)).header("Request-Id", id);
-        let mut answer = request.call().ok()?;
-        let header = |name| answer.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
-        let (why, id) = (header("not-run").to_owned(), header("request-id").to_owned());
-        let body = answer.body_mut().read_to_vec().ok()?;
-        Some((answer.status().as_u16(), why, id, body))
+        let mut response = request.call().ok()?;
+        let header =
+            |name| response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
+        let (reason, id) = (header("not-run").to_owned(), header("request-id").to_owned());
+        let body = response.body_mut().read_to_vec().ok()?;
+        Some((response.status().as_u16(), reason, id, body))
     }
 }
 
-fn whole(mut answer: ureq::http::Response<ureq::Body>) -> Option<(u16, Value)> {
-    let body = answer.body_mut().read_to_vec().ok()?;
-    Some((answer.status().as_u16(), serde_json::from_slice(&body).unwrap_or(Value::Null)))
+fn parse(mut response: ureq::http::Response<ureq::Body>) -> Option<(u16, Value)> {
+    let body = response.body_mut().read_to_vec().ok()?;
+    Some((response.status().as_u16(), serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
 pub fn local() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// Asks until there is a value; fails after [`LONG`].
-pub fn eventually<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
+/// Polls until there is a value. Panics after [`LONG`].
+pub fn eventually<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + LONG;
     loop {
-        if let Some(value) = ask() {
+        if let Some(value) = poll() {
             return value;
         }
-        assert!(Instant::now() < deadline, "never happened: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
