--- a/crates/e2e/benches/processes/latency.rs
+++ b/crates/e2e/benches/processes/latency.rs
@@ -105,12 +105,12 @@
         let mut took: Vec<Duration> = Vec::new();
         for _ in 0..CHANGES {
             match &fault {
-                Some(fault) if name.starts_with("one") => system.cut(0, fault),
-                Some(fault) => (0..8).for_each(|entry| system.cut(entry, fault)),
+                Some(fault) if name.starts_with("one") => system.network_fault(0, fault),
+                Some(fault) => (0..8).for_each(|entry| system.network_fault(entry, fault)),
                 None => {}
             }
             let text = format!("{SMALL}\n; change {}\n", took.len());
-            took.push(playground::change(&system, &text));
+            took.push(playground::change_config(&system, &text));
         }
         took.sort();
         let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize].as_millis();
--- a/crates/e2e/src/bin/outage.rs
+++ b/crates/e2e/src/bin/outage.rs
@@ -1,11 +1,11 @@
-//! Takes the store down right after operators' drains are accepted, again and again, and
-//! counts the drains that some proxy doesn't heed though it could have heard of them from
-//! any process that has.
+//! Repeatedly takes the store down right after operators' drains are accepted, and counts
+//! the drains that some proxy doesn't follow though it could have learned of them from any
+//! process that knows them.
 
 use std::time::Duration;
 
 use clap::{Arg, ArgAction, Command, value_parser};
-use corianderfork_e2e::fleet::{Callers, wide};
+use corianderfork_e2e::fleet::{Callers, generated_config};
 use corianderfork_e2e::system::{Config, System};
 use corianderfork_e2e::{http, wait};
 use corianderfork_model::Name;
@@ -15,15 +15,16 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// VMs drained in a round.
+/// VMs drained per round.
 const DRAINS: usize = 10;
-/// VMs with copies that are left.
+/// The fewest VMs with copies that are not drained.
 const SPARE: usize = 4;
 const SERVICES: [&str; 2] = ["lookup", "transfer"];
-/// How long after an outage drains are taken back, and others follow, in milliseconds.
-const BACK_MS: std::ops::RangeInclusive<u64> = 0..=800;
-/// How long proxies have to tell each other what one of them has heard.
-const SPREAD: Duration = Duration::from_secs(3);
+/// The pauses after an outage, before drains are removed and before the next round, in
+/// milliseconds.
+const PAUSE_MS: std::ops::RangeInclusive<u64> = 0..=800;
+/// The time proxies have to exchange what one of them has learned.
+const GOSSIP_TIME: Duration = Duration::from_secs(3);
 
 fn main() {
     let args = Command::new("outage")
@@ -48,30 +49,30 @@
 }
 
 fn run(rounds: u64, is_settled: bool, rng: &mut SmallRng) {
-    let system = System::converged(Config::new(&wide(1, 8, 16)));
-    let calling = Callers::new(&SERVICES).start(&system);
+    let system = System::converged(Config::new(&generated_config(1, 8, 16)));
+    let callers = Callers::new(&SERVICES).start(&system);
     let mut counts = Vec::new();
     for _ in 0..rounds {
-        let vms = wait::until("VMs with copies", || carriers(&system)).0;
-        let unheard = outage(&system, &vms);
+        let vms = wait::until("VMs with copies", || vms_with_copies(&system)).0;
+        let unheard = drain_in_outage(&system, &vms);
         system.store_down(false);
-        sleep_ms(rng.random_range(BACK_MS));
-        take_back(&system, &vms);
-        sleep_ms(rng.random_range(BACK_MS));
+        sleep_ms(rng.random_range(PAUSE_MS));
+        undrain(&system, &vms);
+        sleep_ms(rng.random_range(PAUSE_MS));
         if is_settled {
             wait::until("proxies to be back", || is_synced(&system).then_some(()));
         }
         counts.push(unheard);
     }
-    calling.finish();
+    callers.finish();
     let outages = counts.iter().filter(|count| **count > 0).count();
     let drains: usize = counts.iter().sum();
     println!("outages with unheard drains: {outages} of {rounds}; unheard drains: {drains}");
     println!("{counts:?}");
 }
 
-/// As many VMs with copies as are drained at once, if enough others have some.
-fn carriers(system: &System) -> Option<Vec<String>> {
+/// Returns the VMs to drain in a round, if enough others have copies.
+fn vms_with_copies(system: &System) -> Option<Vec<String>> {
     let serves = |record: &Vm| record.phase == Phase::Serving && !record.runners.is_empty();
     let vms = system.vms().into_iter().filter(|(_, record)| serves(record));
     let mut vms: Vec<String> = vms.map(|(vm, _)| vm).collect();
@@ -80,31 +81,32 @@
     is_enough.then_some(vms)
 }
 
-/// Drains the VMs, takes the store down, and counts the drains that aren't heeded.
-fn outage(system: &System, vms: &[String]) -> usize {
-    let wish = Drain { by: "test".to_owned(), reason: "test".to_owned() };
-    let value = serde_json::to_string(&wish).expect("JSON");
-    let drain = |vm: &String| {
+/// Drains the VMs, takes the store down and counts the drains that some proxy doesn't
+/// follow.
+fn drain_in_outage(system: &System, vms: &[String]) -> usize {
+    let drain = Drain { by: "test".to_owned(), reason: "test".to_owned() };
+    let value = serde_json::to_string(&drain).expect("JSON");
+    let accept = |vm: &String| {
         let key = key::drain(&Name::new(vm).expect("a name"));
         system.store().put(&key, &value, Expect::Absent, None).expect("accepted");
     };
-    vms.iter().for_each(drain);
+    vms.iter().for_each(accept);
     system.store_down(true);
-    std::thread::sleep(SPREAD);
+    std::thread::sleep(GOSSIP_TIME);
     let logs = system.proxy_logs();
     let is_unheard = |vm: &&String| logs.iter().any(|log| !is_drained(log, vm));
     vms.iter().filter(is_unheard).count()
 }
 
-/// Whether a proxy leaves a VM out, by the last line of its log on that.
+/// Returns whether a proxy skips a VM, by the last line of its log on the VM's drain.
 fn is_drained(log: &str, vm: &str) -> bool {
     let has = |line: &&str, text: &str| line.split([' ', ',', '}']).any(|word| word == text);
-    let is_it =
+    let is_about_vm =
         |line: &&str| line.contains("an operator's drain") && has(line, &format!("vm={vm}"));
-    log.lines().rfind(is_it).is_some_and(|line| has(&line, "holds=true"))
+    log.lines().rfind(is_about_vm).is_some_and(|line| has(&line, "holds=true"))
 }
 
-fn take_back(system: &System, vms: &[String]) {
+fn undrain(system: &System, vms: &[String]) {
     for vm in vms {
         let key = key::drain(&Name::new(vm).expect("a name"));
         system.store().delete(&key, Expect::Anything).expect("accepted");
@@ -114,7 +116,7 @@
     }
 }
 
-/// Whether each proxy knows all that the store has now.
+/// Returns whether each proxy has reached the store's current revision of drains.
 fn is_synced(system: &System) -> bool {
     let revision = system.store().range(key::DRAINS).expect("the store is up").revision.0;
     let known = |address| http::metric(address, "corianderfork_proxy", "store_revision");
--- a/crates/e2e/src/bin/playground.rs
+++ b/crates/e2e/src/bin/playground.rs
@@ -1,5 +1,5 @@
-//! Starts the whole system on loopback, puts it to work while a rack is
-//! maintained and a proxy is killed, and ends with a table.
+//! Starts the whole system on loopback, calls it while a rack is maintained and a
+//! proxy is killed, and prints a table of the results.
 
 use std::process::ExitCode;
 
@@ -25,9 +25,9 @@
         )
         .get_matches();
     let name = args.get_one::<String>("user").map_or("gourmoti", String::as_str);
-    let table = playground::run(User::find(name).unwrap_or_default());
-    println!("{table}");
-    if args.get_flag("once") && !table.is_clean() {
+    let report = playground::run(User::from_name(name).unwrap_or_default());
+    println!("{report}");
+    if args.get_flag("once") && !report.is_clean() {
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/crates/e2e/src/callers.rs
+++ b/crates/e2e/src/callers.rs
@@ -1,8 +1,8 @@
-//! Callers that say each byte themselves, and crowds of callers.
+//! Callers that write raw HTTP requests, and groups of concurrent callers.
 //!
-//! A client library hides what a promise is about: it follows, resends, pools
-//! and drops headers. [`ask`] writes one request on a connection of its own and
-//! keeps everything that came back.
+//! An HTTP client library follows redirects, resends requests, pools connections
+//! and drops headers, which hides what the tests check. [`send_raw`] writes one
+//! request on a new connection and keeps the whole response.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -16,35 +16,35 @@
 use rand::rngs::SmallRng;
 use uuid::Uuid;
 
-/// Longer than any request's deadline: what takes so long never ends.
-const TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a caller of a crowd rests after a call that was not answered.
-const REST: Duration = Duration::from_millis(20);
+/// Longer than any request's deadline.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a concurrent caller pauses after a call without an answer.
+const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(20);
 
-/// What a caller was told, word for word.
+/// The result of a call, with the full text of the response.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The id it asked with.
+pub struct CallResult {
+    /// The request id.
     pub id: String,
-    /// The idempotency key it asked with.
+    /// The idempotency key.
     pub key: Option<Uuid>,
-    /// The service it asked for.
+    /// The service.
     pub service: String,
-    /// What it came to.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The status; 0 without an answer.
+    /// The status, 0 without a response.
     pub status: u16,
-    /// When to come back, in seconds.
+    /// The value of `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
-    /// The whole answer, without interim ones.
+    /// The whole response, without interim responses.
     pub text: String,
-    /// From the connection's opening until the answer's end.
+    /// The time from connecting to the end of the response.
     pub took: Duration,
 }
 
-impl Told {
-    /// This as a call of one attempt, for the check of histories.
-    pub fn call(&self) -> Call {
+impl CallResult {
+    /// Converts it to a call of one attempt, for the check of histories.
+    pub fn to_call(&self) -> Call {
         let attempt = Attempt {
             id: self.id.clone(),
             target: String::new(),
@@ -66,42 +66,49 @@
     }
 }
 
-/// A key issued `age` ago, the same for the same time and `number`.
+/// Returns a key issued `age` ago, which is the same for the same time and
+/// `number`.
 ///
 /// # Panics
 ///
-/// Panics if that was before the epoch.
+/// Panics if that was before the Unix epoch.
 pub fn key(number: u64, age: Duration) -> Uuid {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after the epoch");
-    let issued = now.checked_sub(age).expect("after the epoch");
-    key_at(number, issued)
+    let issued_at = now.checked_sub(age).expect("after the epoch");
+    key_at(number, issued_at)
 }
 
-/// A key issued `since` the Unix epoch.
-pub fn key_at(number: u64, since: Duration) -> Uuid {
+/// Returns a key issued at `since_epoch`, the time since the Unix epoch.
+pub fn key_at(number: u64, since_epoch: Duration) -> Uuid {
     let mut random = [0; 10];
     random[..8].copy_from_slice(&number.to_be_bytes());
-    uuid::Builder::from_unix_timestamp_millis(since.as_millis() as u64, &random).into_uuid()
+    uuid::Builder::from_unix_timestamp_millis(since_epoch.as_millis() as u64, &random).into_uuid()
 }
 
-/// Looks something up: idempotent.
-pub fn lookup(target: SocketAddr, service: &str, id: &str) -> Told {
+/// Makes a lookup, which is idempotent.
+pub fn lookup(target: SocketAddr, service: &str, id: &str) -> CallResult {
     let head = format!("GET /{service}/run HTTP/1.1\r\nRequest-Id: {id}\r\n");
-    ask(target, service, id, None, &format!("{head}Connection: close\r\n\r\n"))
+    send_raw(target, service, id, None, &format!("{head}Connection: close\r\n\r\n"))
 }
 
-/// Transfers something under `key`: non-idempotent.
-pub fn transfer(target: SocketAddr, service: &str, id: &str, key: Uuid) -> Told {
+/// Makes a transfer under `key`, which is not idempotent.
+pub fn transfer(target: SocketAddr, service: &str, id: &str, key: Uuid) -> CallResult {
     let head = format!("POST /{service}/run HTTP/1.1\r\nRequest-Id: {id}\r\n");
     let head = format!("{head}Idempotency-Key: {key}\r\nContent-Length: 4\r\n");
-    ask(target, service, id, Some(key), &format!("{head}Connection: close\r\n\r\nmove"))
+    send_raw(target, service, id, Some(key), &format!("{head}Connection: close\r\n\r\nmove"))
 }
 
-/// Sends `request`, whatever it is, and reads until the proxy closes.
-pub fn ask(target: SocketAddr, service: &str, id: &str, key: Option<Uuid>, request: &str) -> Told {
+/// Sends `request` unchanged and reads until the proxy closes the connection.
+pub fn send_raw(
+    target: SocketAddr,
+    service: &str,
+    id: &str,
+    key: Option<Uuid>,
+    request: &str,
+) -> CallResult {
     let start = Instant::now();
     let (unreachable, text) = match TcpStream::connect(target) {
-        Ok(stream) => (false, last_answer(&exchange(stream, request)).to_owned()),
+        Ok(stream) => (false, final_response(&exchange(stream, request)).to_owned()),
         Err(_) => (true, String::new()),
     };
     let outcome = match header(&text, "Outcome").as_deref() {
@@ -113,29 +120,30 @@
     let status = text.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
     let retry_after = header(&text, "Retry-After").and_then(|value| value.parse().ok());
     let (id, service) = (id.to_owned(), service.to_owned());
-    Told { id, key, service, outcome, status, retry_after, text, took: start.elapsed() }
+    CallResult { id, key, service, outcome, status, retry_after, text, took: start.elapsed() }
 }
 
 fn exchange(mut stream: TcpStream, request: &str) -> String {
-    let mut got = Vec::new();
-    let set = stream.set_read_timeout(Some(TIMEOUT));
-    // What cannot be written any more may have been answered already.
-    let _ = set.and_then(|()| stream.write_all(request.as_bytes()));
-    let _ = stream.read_to_end(&mut got);
+    let mut received = Vec::new();
+    let configured = stream.set_read_timeout(Some(READ_TIMEOUT));
+    // The proxy may respond before it has read the request, so reads even if the
+    // write fails.
+    let _ = configured.and_then(|()| stream.write_all(request.as_bytes()));
+    let _ = stream.read_to_end(&mut received);
     let _ = stream.shutdown(Shutdown::Both);
-    String::from_utf8_lossy(&got).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// The answer after the interim ones, which callers skip.
-fn last_answer(text: &str) -> &str {
+/// Returns the response after the interim responses.
+fn final_response(text: &str) -> &str {
     let mut rest = text;
     while let Some(("HTTP/1.1 1", after)) = rest.split_at_checked(10) {
-        rest = after.split_once("\r\n\r\n").map_or("", |(_, answer)| answer);
+        rest = after.split_once("\r\n\r\n").map_or("", |(_, response)| response);
     }
     rest
 }
 
-/// The value of a header of an answer.
+/// Returns the value of a header of a response.
 pub fn header(text: &str, name: &str) -> Option<String> {
     let head = text.split("\r\n\r\n").next()?;
     let mut fields = head.lines().skip(1).filter_map(|line| line.split_once(':'));
@@ -143,29 +151,29 @@
     Some(found.1.trim().to_owned())
 }
 
-/// Lets `workers` callers make lookups and transfers in turn while `during`
-/// happens, which may look at the calls so far; gives all calls.
+/// Lets `workers` concurrent callers alternate lookups and transfers while `during`
+/// runs, which can inspect the calls so far. Returns all calls.
 ///
 /// # Panics
 ///
-/// Panics if `during` does; the callers are ended first.
-pub fn crowd(
+/// Panics if `during` does, after stopping the callers.
+pub fn call_while(
     config: &load::Config,
     workers: u64,
     seed: u64,
     during: impl FnOnce(&Mutex<Vec<Call>>),
 ) -> Vec<Call> {
     let calls: Mutex<Vec<Call>> = Mutex::default();
-    let over = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        let _guard = Over(&over);
+        let _guard = StopOnDrop(&stop);
         for worker in 0..workers {
-            let (calls, over) = (&calls, &over);
+            let (calls, stop) = (&calls, &stop);
             scope.spawn(move || {
                 let client = Client::new(config.clone());
                 let mut rng = SmallRng::seed_from_u64(seed.wrapping_mul(0x9e37_79b9) ^ worker);
                 for number in 0.. {
-                    if over.load(Ordering::SeqCst) {
+                    if stop.load(Ordering::SeqCst) {
                         return;
                     }
                     let call = match number % 2 {
@@ -175,7 +183,7 @@
                     let answered = call.outcome == Outcome::Answered;
                     calls.lock().expect("no panic").push(call);
                     if !answered {
-                        std::thread::park_timeout(REST);
+                        std::thread::park_timeout(PAUSE_AFTER_FAILURE);
                     }
                 }
             });
@@ -185,10 +193,10 @@
     calls.into_inner().expect("no panic")
 }
 
-/// Ends a crowd, also when what happens meanwhile panics.
-struct Over<'a>(&'a AtomicBool);
+/// Stops the callers, also on a panic.
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Over<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
--- a/crates/e2e/src/config.rs
+++ b/crates/e2e/src/config.rs
@@ -1,18 +1,18 @@
-//! The two users' configurations, in small or in full.
+//! The two users' full configurations, and a small one for tests.
 
-/// Which user's fleet.
+/// A user whose fleet to run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum User {
-    /// Moves weigh most.
+    /// The user that gives moves the largest weight.
     #[default]
     Gourmoti,
-    /// Buffer cost and roll-out time weigh most.
+    /// The user that gives buffer cost and roll-out time the largest weights.
     Indus,
 }
 
 impl User {
-    /// The user called `name`.
-    pub fn find(name: &str) -> Option<Self> {
+    /// Returns the user called `name`.
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "gourmoti" => Some(Self::Gourmoti),
             "indus" => Some(Self::Indus),
@@ -20,22 +20,22 @@
         }
     }
 
-    /// The configuration at full size, without the rules that go by the clock:
-    /// the same is played at any hour of any day.
+    /// Returns the full configuration without the rules that depend on the time of
+    /// day, so that runs are alike at any hour of any day.
     pub fn full(self) -> String {
         let text = match self {
             Self::Gourmoti => include_str!("../../config/examples-ini/gourmoti.ini"),
             Self::Indus => include_str!("../../config/examples-ini/indus.ini"),
         };
         let sections = text.split("\n\n");
-        let clock = |text: &str| text.contains("hour ") || text.contains("weekday ");
-        let kept = sections.filter(|text| !(text.starts_with("[rule.") && clock(text)));
+        let depends_on_clock = |text: &str| text.contains("hour ") || text.contains("weekday ");
+        let kept = sections.filter(|text| !(text.starts_with("[rule.") && depends_on_clock(text)));
         kept.collect::<Vec<_>>().join("\n\n")
     }
 }
 
-/// Two services of three copies each on six VMs in three data centres: enough
-/// to drain, reboot and move, small enough for many tests at once.
+/// Two services of three copies each on six VMs in three data centres. That is
+/// enough to drain, reboot and move VMs, and small enough for concurrent tests.
 pub const SMALL: &str = "\
 [fleet]
 version = 1
--- a/crates/e2e/src/entry.rs
+++ b/crates/e2e/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry VM: a proxy and a controller.
+//! An entry VM, which runs a proxy and a controller.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -6,51 +6,52 @@
 
 use corianderfork_standins::spawn::{self, Process};
 
-/// What an entry VM is told.
+/// The settings of an entry VM.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name.
+    /// The entry VM's name.
     pub name: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Where it reaches the platform.
+    /// The platform's address.
     pub platform: SocketAddr,
-    /// Peers to ask while the store is down, with commas.
+    /// The peers to contact while the store is down, separated by commas.
     pub seeds: String,
-    /// More lines for the proxy's section.
+    /// Additional lines for the proxy's section.
     pub proxy: String,
-    /// More lines for the controller's section.
+    /// Additional lines for the controller's section.
     pub controller: String,
 }
 
 /// A running entry VM.
 #[derive(Debug)]
 pub struct Entry {
-    /// What it was told.
+    /// Its settings.
     pub settings: Settings,
-    /// Its proxy; `None` once it was killed.
+    /// Its proxy, `None` before the start and after a kill.
     pub proxy: Option<Process>,
-    /// Its controller; `None` once it was killed.
+    /// Its controller, `None` before the start and after a kill.
     pub controller: Option<Process>,
     dir: PathBuf,
     starts: u32,
 }
 
 impl Entry {
-    /// An entry VM that runs nothing yet and keeps its logs in `dir`.
+    /// Creates an entry VM without processes that keeps its logs in `dir`.
     pub fn new(settings: Settings, dir: &Path) -> Self {
         Self { settings, proxy: None, controller: None, dir: dir.to_owned(), starts: 0 }
     }
 
-    /// Starts the proxy; it is ready for its peers, perhaps not for callers.
+    /// Starts the proxy and waits until it serves its peers, though perhaps not yet
+    /// callers.
     ///
     /// # Panics
     ///
     /// Panics if it does not start.
     pub fn start_proxy(&mut self) {
-        let more = self.settings.proxy.clone();
+        let extra = self.settings.proxy.clone();
         let seeds = self.seeds();
-        let section = format!("[proxy]\ncallers = 127.0.0.1:0\n{seeds}{more}");
+        let section = format!("[proxy]\ncallers = 127.0.0.1:0\n{seeds}{extra}");
         self.proxy = Some(self.start("corianderfork-proxy", &section));
     }
 
@@ -60,9 +61,9 @@
     ///
     /// Panics if it does not start.
     pub fn start_controller(&mut self) {
-        let more = self.settings.controller.clone();
+        let extra = self.settings.controller.clone();
         let seeds = self.seeds();
-        let section = format!("[controller]\nadmin = 127.0.0.1:0\n{seeds}{more}");
+        let section = format!("[controller]\nadmin = 127.0.0.1:0\n{seeds}{extra}");
         self.controller = Some(self.start("corianderfork-controller", &section));
     }
 
@@ -87,20 +88,20 @@
         Process::spawn(&program, &args, &self.dir.join(format!("{stem}.log"))).expect("starts")
     }
 
-    /// Where callers reach the proxy.
+    /// Returns the proxy's address for callers.
     ///
     /// # Panics
     ///
-    /// Panics if it does not run.
+    /// Panics if it is not running.
     pub fn callers(&self) -> SocketAddr {
         self.proxy.as_ref().expect("runs").address(0)
     }
 
-    /// Where the controller tells its metrics.
+    /// Returns the controller's admin address, which serves its metrics.
     ///
     /// # Panics
     ///
-    /// Panics if it does not run.
+    /// Panics if it is not running.
     pub fn admin(&self) -> SocketAddr {
         self.controller.as_ref().expect("runs").address(0)
     }
--- a/crates/e2e/src/fleet.rs
+++ b/crates/e2e/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What the failure tests of whole fleets share: callers that go on until they
-//! are told to stop, the history of the VM records, and configurations.
+//! Helpers for failure tests of whole fleets: callers in the background, the
+//! history of the VM records and generated configurations.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -21,12 +21,12 @@
 use crate::http;
 use crate::system::System;
 
-/// How often the balancer asks each proxy whether it is ready.
-const HEALTH: Duration = Duration::from_millis(50);
-/// How long one watch of the records waits.
-const WATCH: Duration = Duration::from_millis(500);
+/// The interval between the balancer's readiness checks of a proxy.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The timeout of one watch of the records.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Milliseconds since the Unix epoch: the clock of all histories.
+/// Returns the milliseconds since the Unix epoch, the clock of all histories.
 pub fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after the epoch");
     now.as_millis() as u64
@@ -36,52 +36,55 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How callers call.
+/// The settings of background callers.
 #[derive(Clone, Debug)]
 pub struct Callers {
-    /// Services, each called as often.
+    /// Services to call, all equally often.
     pub services: Vec<String>,
-    /// Callers at once, each with connections of its own.
+    /// The number of concurrent callers, each with its own connections.
     pub workers: u64,
-    /// What a caller waits between an answer and its next call.
+    /// The pause of a caller between a response and its next call.
     pub pause: Duration,
-    /// Transfers among the calls, in per mille.
+    /// The share of transfers among the calls, in per mille.
     pub transfers: u32,
-    /// Whether a caller stays with a proxy for as long as it is served there,
-    /// whatever the balancer says: it has an open connection.
-    pub stays: bool,
+    /// Whether a caller keeps using the same proxy while it gets answers there,
+    /// whatever the balancer says, as a caller with an open connection does.
+    pub is_sticky: bool,
 }
 
 impl Callers {
-    /// Twelve callers with ten calls a second each, lookups alone.
+    /// Returns settings for twelve callers that make at most ten lookups per second
+    /// each.
     pub fn new(services: &[&str]) -> Self {
         let services = services.iter().map(|name| (*name).to_owned()).collect();
         let pause = Duration::from_millis(100);
-        Self { services, workers: 12, pause, transfers: 0, stays: false }
+        Self { services, workers: 12, pause, transfers: 0, is_sticky: false }
     }
 
-    /// Begins to call the proxies that run now, behind a balancer that sends
-    /// nobody to a proxy that is not ready.
-    pub fn start(&self, system: &System) -> Calling {
+    /// Starts callers of the running proxies, behind a balancer that skips proxies
+    /// that are not ready.
+    pub fn start(&self, system: &System) -> RunningCallers {
         self.start_at(system.targets())
     }
 
-    /// Begins to call these proxies.
-    pub fn start_at(&self, targets: Vec<String>) -> Calling {
+    /// Starts callers of these proxies.
+    pub fn start_at(&self, targets: Vec<String>) -> RunningCallers {
         let stop = Arc::new(AtomicBool::new(false));
         let ready = Arc::new(Mutex::new(targets.clone()));
         let calls: Arc<Mutex<Vec<Call>>> = Arc::default();
-        let balancers = targets.into_iter().map(|target| balance(target, &ready, &stop));
-        let mut threads: Vec<_> = balancers.collect();
+        let checks = targets.into_iter().map(|target| start_readiness_check(target, &ready, &stop));
+        let mut threads: Vec<_> = checks.collect();
         for number in 0..self.workers {
             let (this, ready) = (self.clone(), Arc::clone(&ready));
             let (calls, stop) = (Arc::clone(&calls), Arc::clone(&stop));
-            threads.push(thread::spawn(move || this.work(number, &ready, &calls, &stop)));
+            threads.push(thread::spawn(move || {
+                this.call_until_stopped(number, &ready, &calls, &stop)
+            }));
         }
-        Calling { stop, calls, threads }
+        RunningCallers { stop, calls, threads }
     }
 
-    fn work(
+    fn call_until_stopped(
         &self,
         number: u64,
         ready: &Mutex<Vec<String>>,
@@ -90,10 +93,10 @@
     ) {
         let mut rng = SmallRng::seed_from_u64(number);
         let mut clients: HashMap<String, Client> = HashMap::new();
-        let mut stayed: Option<String> = None;
+        let mut last_target: Option<String> = None;
         while !stop.load(Ordering::Relaxed) {
-            let chosen = stayed.take().filter(|_| self.stays);
-            let target = chosen.or_else(|| lock(ready).choose(&mut rng).cloned());
+            let sticky = last_target.take().filter(|_| self.is_sticky);
+            let target = sticky.or_else(|| lock(ready).choose(&mut rng).cloned());
             if let Some(target) = target {
                 let client = clients.entry(target.clone()).or_insert_with_key(|at| client(at));
                 let service = self.services.choose(&mut rng).expect("a service");
@@ -101,7 +104,7 @@
                     true => client.transfer(service, &mut rng),
                     false => client.lookup(service, &mut rng),
                 };
-                stayed = Some(target).filter(|_| call.outcome == Outcome::Answered);
+                last_target = Some(target).filter(|_| call.outcome == Outcome::Answered);
                 lock(calls).push(call);
             }
             thread::park_timeout(self.pause);
@@ -109,7 +112,8 @@
     }
 }
 
-/// One attempt a call: what each proxy said is told apart.
+/// Returns a client with one attempt per call, so that each result belongs to one
+/// proxy.
 fn client(target: &str) -> Client {
     let mut config = load::Config::new(vec![target.to_owned()]);
     config.attempts = 1;
@@ -117,9 +121,9 @@
     Client::new(config)
 }
 
-/// Keeps `target` in the list of those that are ready, or out of it. Each has a
-/// thread of its own: one that is frozen must not keep the others' state back.
-fn balance(
+/// Starts a thread that keeps `target` in the `ready` list while it is ready. Each
+/// proxy has its own thread, so that a frozen one doesn't delay the others' checks.
+fn start_readiness_check(
     target: String,
     ready: &Arc<Mutex<Vec<String>>>,
     stop: &Arc<AtomicBool>,
@@ -135,37 +139,37 @@
                 list.push(target.clone());
             }
             drop(list);
-            thread::park_timeout(HEALTH);
+            thread::park_timeout(CHECK_INTERVAL);
         }
     })
 }
 
-/// Callers at work.
+/// Callers that run in the background.
 #[derive(Debug)]
-pub struct Calling {
+pub struct RunningCallers {
     stop: Arc<AtomicBool>,
     calls: Arc<Mutex<Vec<Call>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Calling {
-    /// How many calls were answered so far.
+impl RunningCallers {
+    /// Returns how many calls were answered so far.
     pub fn answered(&self) -> usize {
         let calls = lock(&self.calls);
         calls.iter().filter(|call| call.outcome == Outcome::Answered).count()
     }
 
-    /// Whether a call that began after `at_ms` was answered.
+    /// Returns whether a call that began after `at_ms` was answered.
     pub fn answered_after(&self, at_ms: u64) -> bool {
         let calls = lock(&self.calls);
         calls.iter().any(|call| call.outcome == Outcome::Answered && call.at_ms > at_ms)
     }
 
-    /// Ends the calls and gives them all.
+    /// Stops the callers and returns all calls.
     ///
     /// # Panics
     ///
-    /// Panics if a caller did.
+    /// Panics if a caller panicked.
     pub fn finish(mut self) -> Vec<Call> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
@@ -175,15 +179,15 @@
     }
 }
 
-impl Drop for Calling {
+impl Drop for RunningCallers {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 }
 
-/// A VM's record as it was written once.
+/// One write of a VM's record.
 #[derive(Clone, Debug)]
-pub struct Written {
+pub struct RecordWrite {
     /// The VM.
     pub vm: String,
     /// The revision of the write.
@@ -192,66 +196,66 @@
     pub record: Vm,
 }
 
-/// Every write of every VM's record, as a watch of the store showed it.
+/// Collects every write of every VM's record from a watch of the store.
 #[derive(Debug)]
 pub struct Records {
     stop: Arc<AtomicBool>,
-    seen: Arc<Mutex<Vec<Written>>>,
+    seen: Arc<Mutex<Vec<RecordWrite>>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Records {
-    /// Watches from now on; the records as they are come first.
+    /// Starts watching. The first writes are the current records.
     ///
     /// # Panics
     ///
-    /// Panics if the store is down now.
+    /// Panics if the store is down.
     pub fn watch(system: &System) -> Self {
         let store = Platform::new(Platforms::new(system.platform()).caller("watcher"));
         let range = store.range(key::VMS).expect("the store is up");
-        let first = range.entries.iter().map(written).collect();
-        let seen: Arc<Mutex<Vec<Written>>> = Arc::new(Mutex::new(first));
+        let first = range.entries.iter().map(to_write).collect();
+        let seen: Arc<Mutex<Vec<RecordWrite>>> = Arc::new(Mutex::new(first));
         let stop = Arc::new(AtomicBool::new(false));
-        let (to, until) = (Arc::clone(&seen), Arc::clone(&stop));
+        let (sink, stopped) = (Arc::clone(&seen), Arc::clone(&stop));
         let mut after = range.revision;
         let thread = thread::spawn(move || {
-            while !until.load(Ordering::Relaxed) {
-                let Ok(changes) = store.watch(key::VMS, after, WATCH) else {
-                    thread::park_timeout(HEALTH);
+            while !stopped.load(Ordering::Relaxed) {
+                let Ok(changes) = store.watch(key::VMS, after, WATCH_TIMEOUT) else {
+                    thread::park_timeout(CHECK_INTERVAL);
                     continue;
                 };
                 after = changes.revision;
                 let entries = changes.changes.iter().filter_map(|change| change.entry.as_ref());
-                lock(&to).extend(entries.map(written));
+                lock(&sink).extend(entries.map(to_write));
             }
         });
         Self { stop, seen, thread: Some(thread) }
     }
 
-    /// What was seen so far.
-    pub fn seen(&self) -> Vec<Written> {
+    /// Returns the writes seen so far.
+    pub fn seen(&self) -> Vec<RecordWrite> {
         lock(&self.seen).clone()
     }
 
-    /// What was seen of one VM so far.
-    pub fn of(&self, vm: &str) -> Vec<Written> {
-        self.seen().into_iter().filter(|one| one.vm == vm).collect()
+    /// Returns the writes of one VM's record seen so far.
+    pub fn for_vm(&self, vm: &str) -> Vec<RecordWrite> {
+        self.seen().into_iter().filter(|write| write.vm == vm).collect()
     }
 
-    /// Each time a VM left service: from its drain until it served again.
+    /// Returns the absences of all VMs, each from a drain until the VM served again.
     pub fn absences(&self) -> Vec<Absence> {
         let mut open: HashMap<String, Absence> = HashMap::new();
         let mut ended = Vec::new();
-        for one in self.seen() {
-            let at_ms = one.record.since_ms;
-            match one.record.phase {
+        for write in self.seen() {
+            let at_ms = write.record.since_ms;
+            match write.record.phase {
                 Phase::Draining => {
-                    let new = Absence { vm: one.vm.clone(), from_ms: at_ms, until_ms: u64::MAX };
-                    open.entry(one.vm).or_insert(new);
+                    let new = Absence { vm: write.vm.clone(), from_ms: at_ms, until_ms: u64::MAX };
+                    open.entry(write.vm).or_insert(new);
                 }
                 Phase::Serving => {
-                    let closed = open.remove(&one.vm);
-                    ended.extend(closed.map(|absence| Absence { until_ms: at_ms, ..absence }));
+                    let absence = open.remove(&write.vm);
+                    ended.extend(absence.map(|absence| Absence { until_ms: at_ms, ..absence }));
                 }
                 _ => {}
             }
@@ -270,35 +274,35 @@
     }
 }
 
-/// A time in which a VM takes no new work.
+/// A period in which a VM takes no new work.
 #[derive(Clone, Debug)]
 pub struct Absence {
     /// The VM.
     pub vm: String,
     /// When its drain was written, in Unix milliseconds.
     pub from_ms: u64,
-    /// When it served again, in Unix milliseconds; the greatest number if it
-    /// does not yet.
+    /// When it served again, in Unix milliseconds, or `u64::MAX` if it does not
+    /// yet.
     pub until_ms: u64,
 }
 
-fn written(entry: &Entry) -> Written {
+fn to_write(entry: &Entry) -> RecordWrite {
     let vm = entry.key.trim_start_matches(key::VMS).to_owned();
     let record = serde_json::from_str(&entry.value).expect("a VM record");
-    Written { vm, revision: entry.revision, record }
+    RecordWrite { vm, revision: entry.revision, record }
 }
 
-/// Which entry VM's controller holds the lease on deciding.
-pub fn holder(system: &System) -> Option<usize> {
+/// Returns the index of the entry VM whose controller holds the planner's lease.
+pub fn lease_holder(system: &System) -> Option<usize> {
     let found = system.store().get(key::PLANNER).ok()?.entry?;
     let holder: Holder = serde_json::from_str(&found.value).expect("a holder");
     system.entries.iter().position(|entry| entry.settings.name == holder.name.as_str())
 }
 
-/// A configuration of two services, `lookup` and `transfer`, with `copies`
-/// each of which two have to serve, on `racks` racks of `vms` VMs in each of
-/// three data centres.
-pub fn wide(racks: usize, vms: usize, copies: usize) -> String {
+/// Returns a configuration of two services, `lookup` and `transfer`, with `copies`
+/// copies each and at least two, on `racks` racks of `vms` VMs in each of three
+/// data centres.
+pub fn generated_config(racks: usize, vms: usize, copies: usize) -> String {
     let mut text = "[fleet]\nversion = 1\nname = wide\n\n[weights]\nmoves = 1\nbuffer = 1\n\
                     roll_out = 1\n\n"
         .to_owned();
--- a/crates/e2e/src/http.rs
+++ b/crates/e2e/src/http.rs
@@ -1,4 +1,4 @@
-//! Small requests to the stand-ins' and daemons' own paths.
+//! HTTP requests to the admin paths of the stand-ins and daemons.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,20 +17,20 @@
         .new_agent()
 }
 
-/// The status and body of `path`; `None` if there was no answer.
+/// Returns the status and body of `path`, or `None` without a response.
 pub fn get(address: SocketAddr, path: &str) -> Option<(u16, String)> {
-    let mut answer = agent().get(format!("http://{address}{path}")).call().ok()?;
-    let body = answer.body_mut().with_config().limit(64 << 20).read_to_string().ok()?;
-    Some((answer.status().as_u16(), body))
+    let mut response = agent().get(format!("http://{address}{path}")).call().ok()?;
+    let body = response.body_mut().with_config().limit(64 << 20).read_to_string().ok()?;
+    Some((response.status().as_u16(), body))
 }
 
-/// The JSON of `path`.
+/// Returns the JSON of `path`.
 ///
 /// # Panics
 ///
-/// Panics if there is no answer or it is not JSON.
+/// Panics if there is no response, its status is not 200 or it is not JSON.
 pub fn json(address: SocketAddr, path: &str) -> Value {
-    let (status, body) = get(address, path).unwrap_or_else(|| panic!("no answer from {path}"));
+    let (status, body) = get(address, path).unwrap_or_else(|| panic!("no response from {path}"));
     assert_eq!(status, 200, "{path}: {body}");
     serde_json::from_str(&body).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
@@ -39,15 +39,15 @@
 ///
 /// # Panics
 ///
-/// Panics if it is not accepted.
+/// Panics unless the request succeeds.
 pub fn post(address: SocketAddr, path: &str, body: &Value) {
-    let sent = agent().post(format!("http://{address}{path}")).send(body.to_string());
-    let status = sent.unwrap_or_else(|error| panic!("{path}: {error}")).status();
+    let result = agent().post(format!("http://{address}{path}")).send(body.to_string());
+    let status = result.unwrap_or_else(|error| panic!("{path}: {error}")).status();
     assert!(status.is_success(), "{path}: {status}");
 }
 
-/// The value of a metric of a daemon: the sum over the lines that begin with
-/// `name` and hold `label`.
+/// Returns a metric of a daemon, summed over the lines that begin with `name` and
+/// contain `label`.
 pub fn metric(address: SocketAddr, name: &str, label: &str) -> Option<f64> {
     let (_, text) = get(address, "/-/metrics")?;
     let lines = text.lines().filter(|line| line.starts_with(name) && line.contains(label));
--- a/crates/e2e/src/lib.rs
+++ b/crates/e2e/src/lib.rs
@@ -1,13 +1,12 @@
-//! The whole system as processes, for the playground, the end-to-end tests and
-//! the measurements. Never shipped.
+//! Runs the whole system as processes for the playground, the end-to-end tests
+//! and the benchmarks. Never shipped.
 //!
 //! A [`system::System`] starts the stand-ins for the platform and the backend
 //! servers, then a proxy and a controller for each entry VM, all on loopback
-//! addresses that the system chose, and ends them when it is dropped. What
-//! callers were told and what backend servers ran is recorded outside of the
-//! code under test.
+//! addresses with free ports, and kills them on drop. Callers' results and backend
+//! servers' runs are recorded outside of the code under test.
 //!
-//! The programs have to be built first: `cargo build --workspace --bins`.
+//! Build the programs first: `cargo build --workspace --bins`.
 
 pub mod callers;
 pub mod config;
--- a/crates/e2e/src/playground.rs
+++ b/crates/e2e/src/playground.rs
@@ -1,4 +1,4 @@
-//! What the playground does, step by step.
+//! The steps of the playground.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,18 +14,18 @@
 use crate::system::{Config, System};
 use crate::{http, wait};
 
-/// As many entry VMs as each user has today.
+/// The number of entry VMs that each user has today.
 const ENTRIES: usize = 8;
-/// How long callers keep calling.
-const LOAD: Duration = Duration::from_secs(15);
-/// Calls a second.
+/// The duration of the load.
+const LOAD_DURATION: Duration = Duration::from_secs(15);
+/// Calls per second.
 const RATE: f64 = 250.0;
-/// Transfers among the calls, in per mille.
+/// The share of transfers among the calls, in per mille.
 const TRANSFERS: u32 = 200;
 
-/// What came of it.
+/// The results of a run, displayed as a table.
 #[derive(Debug)]
-pub struct Table {
+pub struct Report {
     serving: Duration,
     in_force: Duration,
     rack: Duration,
@@ -38,88 +38,95 @@
     watches: f64,
 }
 
-impl Table {
-    /// Whether no promise to callers was broken.
+impl Report {
+    /// Returns whether every promise to callers was kept.
     pub fn is_clean(&self) -> bool {
         self.findings.is_clean()
     }
 }
 
-/// Plays it through for one user's fleet.
+/// Runs all steps for one user's fleet.
 ///
 /// # Panics
 ///
-/// Panics if the system does not come up, or a step does not end.
-pub fn run(user: User) -> Table {
+/// Panics if the system does not start or a step does not complete.
+pub fn run(user: User) -> Report {
     let text = &user.full();
-    say("starting the platform, the backend servers and the entry VMs");
+    print_progress("starting the platform, the backend servers and the entry VMs");
     let mut system = System::start(Config::new(text).entries(ENTRIES));
     system.apply();
     let serving = system.wait_serving();
     system.wait_ready();
-    say(&format!("every VM serves after {serving:.1?}"));
+    print_progress(&format!("every VM serves after {serving:.1?}"));
     let parsed = corianderfork_config::parse(text).expect("checked");
     let services = parsed.fleet.services().map(|(_, service)| service.name.to_string());
     let load = Load {
         services: services.collect(),
         transfers: TRANSFERS,
         rate: RATE,
-        length: LOAD,
+        length: LOAD_DURATION,
         workers: 64,
         seed: 1,
     };
     let callers = load::Config::new(system.targets());
     let calls: Mutex<Vec<Call>> = Mutex::default();
-    let before = (Instant::now(), Calls::read(&system));
+    let before = (Instant::now(), PlatformCalls::read(&system));
     let (in_force, rack, summary) = thread::scope(|scope| {
         let record = |call: &Call| calls.lock().expect("no panic").push(call.clone());
         let loading = scope.spawn(move || load.run(&callers, &record));
-        let in_force = change(&system, text);
-        say(&format!("a changed configuration is in force everywhere after {in_force:.2?}"));
-        let rack = maintain(&system);
-        say(&format!("a rack was drained, rebooted and serves again after {rack:.1?}"));
+        let in_force = change_config(&system, text);
+        print_progress(&format!(
+            "a changed configuration is in force everywhere after {in_force:.2?}"
+        ));
+        let rack = maintain_rack(&system);
+        print_progress(&format!("a rack was drained, rebooted and serves again after {rack:.1?}"));
         system.entries[ENTRIES - 1].proxy = None;
-        say("killed one proxy");
+        print_progress("killed one proxy");
         (in_force, rack, loading.join().expect("the load ends"))
     });
     let calls = calls.into_inner().expect("no panic");
-    let (reads, writes, watches) = Calls::read(&system).rates(before);
+    let (reads, writes, watches) = PlatformCalls::read(&system).rates(before);
     let (moves, idle) = fleet_metrics(&system);
     let findings = history::check(&system.runs(), &calls);
-    Table { serving, in_force, rack, summary, findings, moves, idle, reads, writes, watches }
+    Report { serving, in_force, rack, summary, findings, moves, idle, reads, writes, watches }
 }
 
-fn say(text: &str) {
+fn print_progress(text: &str) {
     eprintln!("playground: {text}");
 }
 
-/// Applies a configuration that differs, and waits until every proxy has it.
-pub fn change(system: &System, text: &str) -> Duration {
+/// Applies a changed configuration and waits until it is in force at every proxy.
+/// Returns the time that took.
+pub fn change_config(system: &System, text: &str) -> Duration {
     let changed = format!("{text}\n; changed\n");
     let (code, out) = system.apply_text(&changed);
     assert_eq!(code, 0, "{out}");
-    in_force(system)
+    wait_in_force(system)
 }
 
-/// Waits until the newest configuration is in force at every proxy; gives the
-/// time from now.
-pub fn in_force(system: &System) -> Duration {
+/// Waits until the newest configuration is in force at every proxy. Returns the
+/// time that took.
+pub fn wait_in_force(system: &System) -> Duration {
     use corianderfork_provider::{key, store::Store};
     let entry = system.store().get(key::CONFIG).expect("the store is up").entry;
     let revision = entry.expect("applied").revision.0 as f64;
     let proxies = system.entries.iter().filter(|entry| entry.proxy.is_some());
     let addresses: Vec<_> = proxies.map(|entry| entry.callers()).collect();
-    let has = |at: &SocketAddr| config_revision(*at).is_some_and(|seen| seen >= revision);
-    wait::until("the configuration to be in force", || addresses.iter().all(has).then_some(())).1
+    let is_in_force = |at: &SocketAddr| config_revision(*at).is_some_and(|seen| seen >= revision);
+    wait::until("the configuration to be in force", || {
+        addresses.iter().all(is_in_force).then_some(())
+    })
+    .1
 }
 
-/// The revision of the configuration in force at a proxy.
+/// Returns the revision of the configuration in force at a proxy.
 pub fn config_revision(proxy: SocketAddr) -> Option<f64> {
     http::metric(proxy, "corianderfork_proxy{", "\"config_revision\"")
 }
 
-/// Drains and reboots the rack of the first VM; gives the time until it serves.
-fn maintain(system: &System) -> Duration {
+/// Drains and reboots the rack of the first VM. Returns the time until it serves
+/// again.
+fn maintain_rack(system: &System) -> Duration {
     let fleet = corianderfork_config::parse(system.text()).expect("checked").fleet;
     let rack = fleet.vms().next().expect("a VM").1.rack;
     let vms: Vec<_> =
@@ -127,11 +134,11 @@
     let before: Vec<_> = vms.iter().map(|vm| epoch(system, vm)).collect();
     let start = Instant::now();
     let names = vms.iter().map(String::as_str);
-    let order: Vec<&str> = ["wave", "start", "--within", "20", "--reason", "playground"]
+    let args: Vec<&str> = ["wave", "start", "--within", "20", "--reason", "playground"]
         .into_iter()
         .chain(names)
         .collect();
-    let (code, out) = system.operator(&order);
+    let (code, out) = system.operator(&args);
     assert_eq!(code, 0, "{out}");
     for (vm, before) in vms.iter().zip(before) {
         wait::until(format!("{vm} to be rebooted and serve"), || {
@@ -146,7 +153,7 @@
     system.vm(vm).map_or(0, |(record, _)| record.epoch)
 }
 
-/// Moves made and licensed copies idle, as the controller that decides tells.
+/// Returns the moves and the idle licensed copies from the controllers' metrics.
 fn fleet_metrics(system: &System) -> (f64, f64) {
     let sum = |name, label| -> f64 {
         let values = system.entries.iter().filter_map(|e| http::metric(e.admin(), name, label));
@@ -155,13 +162,13 @@
     (sum("corianderfork_moves{", ""), sum("corianderfork_copies{", "\"idle\""))
 }
 
-struct Calls {
+struct PlatformCalls {
     reads: f64,
     writes: f64,
     watches: f64,
 }
 
-impl Calls {
+impl PlatformCalls {
     fn read(system: &System) -> Self {
         let stats = system.stats();
         let count = |name: &str| stats[name].as_f64().unwrap_or_default();
@@ -180,7 +187,7 @@
     }
 }
 
-impl fmt::Display for Table {
+impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { summary, findings, .. } = self;
         let mut row = |name: &str, value: String| writeln!(f, "{name:<44}{value:>12}");
--- a/crates/e2e/src/system.rs
+++ b/crates/e2e/src/system.rs
@@ -1,4 +1,4 @@
-//! The whole system: platform, backend servers and entry VMs.
+//! The whole system, with platform, backend servers and entry VMs.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,11 +19,12 @@
 use crate::entry::{Entry, Settings};
 use crate::{http, wait};
 
-/// The longest time of a request, as short as the proxies' time-out lets it be: a
-/// controller waits for so long before it relies on proxies that it has just met.
-const DEADLINE: &str = "request_deadline_ms = 10000\n";
+/// The controllers' request deadline, as short as the proxies' request timeout
+/// permits. A controller waits that long before it relies on proxies that it has
+/// just discovered.
+const REQUEST_DEADLINE: &str = "request_deadline_ms = 10000\n";
 
-/// What to start.
+/// The settings of a system.
 #[derive(Clone, Debug)]
 pub struct Config {
     text: String,
@@ -38,58 +39,59 @@
 }
 
 impl Config {
-    /// Three entry VMs for the fleet of an operators' configuration.
+    /// Returns settings for three entry VMs and the fleet of the operators'
+    /// configuration `text`.
     pub fn new(text: &str) -> Self {
         Self {
             text: text.to_owned(),
             entries: 3,
-            // Longer than the controller takes between two looks at the list.
+            // Longer than the controller's interval between two reads of the list.
             reboot: Duration::from_millis(2500),
             list_lag: Duration::ZERO,
             run_ms: 5,
             warm_ms: 100,
             proxy: String::new(),
-            controller: DEADLINE.to_owned(),
+            controller: REQUEST_DEADLINE.to_owned(),
             faults: false,
         }
     }
 
-    /// How many entry VMs.
+    /// Sets the number of entry VMs.
     #[must_use]
     pub fn entries(mut self, entries: usize) -> Self {
         self.entries = entries;
         self
     }
 
-    /// How long a VM takes to reboot.
+    /// Sets the duration of a VM's reboot.
     #[must_use]
     pub fn reboot(mut self, reboot: Duration) -> Self {
         self.reboot = reboot;
         self
     }
 
-    /// How far the platform's list of VMs lags.
+    /// Sets the lag of the platform's list of VMs.
     #[must_use]
     pub fn list_lag(mut self, lag: Duration) -> Self {
         self.list_lag = lag;
         self
     }
 
-    /// How long a request runs at a backend server.
+    /// Sets the mean duration of a run at a backend server.
     #[must_use]
     pub fn run_ms(mut self, millis: u32) -> Self {
         self.run_ms = millis;
         self
     }
 
-    /// More lines for the settings of each proxy.
+    /// Sets additional lines for the settings of each proxy.
     #[must_use]
     pub fn proxy(mut self, lines: &str) -> Self {
         self.proxy = lines.to_owned();
         self
     }
 
-    /// More lines for the settings of each controller.
+    /// Sets additional lines for the settings of each controller.
     #[must_use]
     pub fn controller(mut self, lines: &str) -> Self {
         self.controller = lines.to_owned();
@@ -104,12 +106,13 @@
     }
 }
 
-/// The running system. All processes end when it is dropped.
+/// The running system. Its processes are killed on drop.
 #[derive(Debug)]
 pub struct System {
     /// The entry VMs.
     pub entries: Vec<Entry>,
-    /// Between each entry VM and the platform, if [`Config::faults`] asked.
+    /// The fault-injecting proxy between each entry VM and the platform, if
+    /// [`Config::faults`] was set.
     pub faults: Vec<Process>,
     platform: Process,
     backend: Process,
@@ -118,17 +121,17 @@
     dir: PathBuf,
 }
 
-static SYSTEMS: AtomicU32 = AtomicU32::new(0);
+static NEXT_SYSTEM: AtomicU32 = AtomicU32::new(0);
 
 impl System {
-    /// Starts the platform, the backend servers and the entry VMs, with no
-    /// configuration applied.
+    /// Starts the platform, the backend servers and the entry VMs without applying
+    /// the configuration.
     ///
     /// # Panics
     ///
     /// Panics if a program is not built or does not start.
     pub fn start(config: Config) -> Self {
-        let number = SYSTEMS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_SYSTEM.fetch_add(1, Ordering::Relaxed);
         let dir = format!("corianderfork-e2e-{}-{number}", std::process::id());
         let dir = std::env::temp_dir().join(dir);
         std::fs::create_dir_all(&dir).expect("a temporary directory");
@@ -159,7 +162,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if that does not come about.
+    /// Panics if a program does not start or the system does not converge.
     pub fn converged(config: Config) -> Self {
         let system = Self::start(config);
         system.apply();
@@ -178,10 +181,10 @@
             platform = fault.address(0);
             self.faults.push(fault);
         }
-        let centres = ["a", "b", "c"];
+        let data_centres = ["a", "b", "c"];
         let settings = Settings {
             name: format!("e{}", index + 1),
-            data_centre: centres[index % centres.len()].to_owned(),
+            data_centre: data_centres[index % data_centres.len()].to_owned(),
             platform,
             seeds: String::new(),
             proxy: self.config.proxy.clone(),
@@ -190,8 +193,8 @@
         self.entries.push(Entry::new(settings, &self.dir));
     }
 
-    /// Replaces an entry VM: kills what runs there and starts it anew under a
-    /// name of its own.
+    /// Replaces an entry VM: kills its processes and starts them again under a new
+    /// name.
     pub fn replace(&mut self, index: usize) {
         let others = self.entries.iter().enumerate().filter(|(other, _)| *other != index);
         let peers = others.filter_map(|(_, entry)| Some(entry.proxy.as_ref()?.address(1)));
@@ -205,16 +208,15 @@
         entry.start_controller();
     }
 
-    /// Applies the configuration it was started for, with the operators'
-    /// command line.
+    /// Applies the system's configuration with the operators' command line.
     pub fn apply(&self) {
         let text = self.config.text.clone();
         let (code, out) = self.apply_text(&text);
         assert_eq!(code, 0, "{out}");
     }
 
-    /// Applies a configuration over the one there is; gives the exit code and
-    /// all output.
+    /// Applies a configuration in place of the current one. Returns the exit code
+    /// and all output.
     pub fn apply_text(&self, text: &str) -> (i32, String) {
         let path = self.dir.join("fleet.ini");
         std::fs::write(&path, text).expect("the directory is writable");
@@ -223,11 +225,11 @@
         self.operator(&["apply", path.to_str().expect("UTF-8"), "--expect", &revision])
     }
 
-    /// Runs the operators' command line; gives the exit code and all output.
+    /// Runs the operators' command line. Returns the exit code and all output.
     ///
     /// # Panics
     ///
-    /// Panics if it is not built.
+    /// Panics if the program is not built.
     pub fn operator(&self, args: &[&str]) -> (i32, String) {
         let program = spawn::binary("corianderctl").expect("built");
         let platform = self.platform.address(0).to_string();
@@ -240,62 +242,62 @@
         (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// The configuration it was started for.
+    /// Returns the configuration the system was started for.
     pub fn text(&self) -> &str {
         &self.config.text
     }
 
-    /// The platform's address, past any fault.
+    /// Returns the platform's address, which bypasses injected faults.
     pub fn platform(&self) -> SocketAddr {
         self.platform.address(0)
     }
 
-    /// Where the backend servers' stand-in is told what to do.
+    /// Returns the admin address of the backend servers' stand-in.
     pub fn backend(&self) -> SocketAddr {
         self.backend.address(0)
     }
 
-    /// The stand-in of the platform, to freeze.
+    /// Returns the platform stand-in's process, which a test can freeze.
     pub fn platform_process(&mut self) -> &mut Process {
         &mut self.platform
     }
 
-    /// The platform's store, past any fault.
+    /// Returns a client of the platform's store that bypasses injected faults.
     pub fn store(&self) -> &Client {
         &self.client
     }
 
-    /// Switches faults of the platform.
+    /// Sets faults of the platform.
     pub fn platform_fault(&self, fault: &serde_json::Value) {
         http::post(self.platform.address(0), "/_fault", fault);
     }
 
-    /// Switches the behaviour of backend servers.
+    /// Sets the behaviour of backend servers.
     pub fn behave(&self, behaviour: &serde_json::Value) {
         http::post(self.backend.address(0), "/_behave", behaviour);
     }
 
-    /// Switches faults between an entry VM and the platform.
-    pub fn cut(&self, entry: usize, fault: &serde_json::Value) {
+    /// Sets faults of the network between an entry VM and the platform.
+    pub fn network_fault(&self, entry: usize, fault: &serde_json::Value) {
         http::post(self.faults[entry].address(1), "/_fault", fault);
     }
 
-    /// What the backend servers ran.
+    /// Returns the backend servers' history.
     ///
     /// # Panics
     ///
-    /// Panics if they do not tell.
+    /// Panics if it can't be read.
     pub fn runs(&self) -> Runs {
         let runs = http::json(self.backend.address(0), "/_runs");
         serde_json::from_value(runs).expect("a history")
     }
 
-    /// The calls the platform has counted.
+    /// Returns the platform's call counts.
     pub fn stats(&self) -> serde_json::Value {
         http::json(self.platform.address(0), "/_stats")
     }
 
-    /// The logs of all proxies.
+    /// Returns the logs of all proxies.
     ///
     /// # Panics
     ///
@@ -310,13 +312,13 @@
         paths.filter(is_log).map(|path| std::fs::read_to_string(path).expect("a log")).collect()
     }
 
-    /// Where callers reach the proxies that run.
+    /// Returns the running proxies' addresses for callers.
     pub fn targets(&self) -> Vec<String> {
         let running = self.entries.iter().filter(|entry| entry.proxy.is_some());
         running.map(|entry| entry.callers().to_string()).collect()
     }
 
-    /// Where the copies of a service answer, past any proxy.
+    /// Returns the addresses of a service's copies, which bypass the proxies.
     pub fn runners(&self, service: &str) -> Vec<String> {
         let vms = self.vms();
         let runners = vms.iter().flat_map(|(_, vm)| &vm.runners);
@@ -324,40 +326,40 @@
         of_service.map(|runner| runner.address.to_string()).collect()
     }
 
-    /// The record of a VM.
+    /// Returns the record of a VM.
     pub fn vm(&self, name: &str) -> Option<(record::Vm, store::Revision)> {
         let name = Name::new(name).expect("a name");
         let entry = self.client.get(&key::vm(&name)).ok()?.entry?;
         Some((parse(&entry), entry.revision))
     }
 
-    /// All VM records.
+    /// Returns all VM records.
     pub fn vms(&self) -> Vec<(String, record::Vm)> {
         let Ok(range) = self.client.range(key::VMS) else { return Vec::new() };
         let name = |entry: &StoreEntry| entry.key.trim_start_matches(key::VMS).to_owned();
         range.entries.iter().map(|entry| (name(entry), parse(entry))).collect()
     }
 
-    /// Waits until every declared VM has a record and takes work, and every
-    /// service has its least number of copies.
+    /// Waits until every declared VM has a record and serves, and every service has
+    /// its minimum number of copies. Returns the time that took.
     pub fn wait_serving(&self) -> Duration {
         let parsed = corianderfork_config::parse(&self.config.text).expect("checked by apply");
         let fleet = parsed.fleet;
         wait::until("every VM to serve", || {
             let vms = self.vms();
-            let all = vms.len() >= fleet.vms().len();
-            let serving = vms.iter().all(|(_, vm)| vm.phase == Phase::Serving);
-            let enough = fleet.services().all(|(_, service)| {
+            let is_complete = vms.len() >= fleet.vms().len();
+            let is_serving = vms.iter().all(|(_, vm)| vm.phase == Phase::Serving);
+            let has_copies = fleet.services().all(|(_, service)| {
                 let runners = vms.iter().flat_map(|(_, vm)| &vm.runners);
                 let copies = runners.filter(|runner| runner.service == service.name).count();
                 copies >= service.budget.min_copies as usize
             });
-            (all && serving && enough).then_some(())
+            (is_complete && is_serving && has_copies).then_some(())
         })
         .1
     }
 
-    /// Waits until every proxy that runs is ready for callers.
+    /// Waits until every running proxy is ready for callers.
     pub fn wait_ready(&self) {
         for entry in self.entries.iter().filter(|entry| entry.proxy.is_some()) {
             self.wait_proxy_ready(entry);
@@ -373,14 +375,15 @@
         });
     }
 
-    /// Waits until a VM's record is in `phase`; gives it and the time it took.
+    /// Waits until a VM's record is in `phase`. Returns the record and the time that
+    /// took.
     pub fn wait_phase(&self, vm: &str, phase: Phase) -> (record::Vm, Duration) {
         wait::until(format!("{vm} to be {phase}"), || {
             self.vm(vm).map(|(record, _)| record).filter(|record| record.phase == phase)
         })
     }
 
-    /// Takes the whole store down, or up again.
+    /// Takes the whole store down, or brings it up again.
     pub fn store_down(&self, down: bool) {
         self.platform_fault(&json!({ "down": down }));
     }
@@ -388,7 +391,7 @@
 
 impl Drop for System {
     fn drop(&mut self) {
-        // Kept for reading after a failure; removed after a pass.
+        // Keeps the logs after a failure, so that they can be read.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.dir);
         } else {
--- a/crates/e2e/src/wait.rs
+++ b/crates/e2e/src/wait.rs
@@ -1,25 +1,25 @@
-//! Waiting for an event, with a deadline that only a fault reaches.
+//! Waiting for a condition, with a deadline that only a failure reaches.
 
 use std::fmt::Display;
 use std::time::{Duration, Instant};
 
-/// Long enough for a busy machine; what is waited for takes far less.
+/// Far longer than any wait takes on a busy machine.
 pub const DEADLINE: Duration = Duration::from_secs(60);
-/// Between two looks.
-const PERIOD: Duration = Duration::from_millis(20);
+/// The interval between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks until `look` gives a value, and gives it with the time it took.
+/// Polls until `poll` returns a value, and returns it with the time that took.
 ///
 /// # Panics
 ///
-/// Panics when [`DEADLINE`] has passed, naming what was waited for.
-pub fn until<T>(what: impl Display, mut look: impl FnMut() -> Option<T>) -> (T, Duration) {
+/// Panics after [`DEADLINE`] with a message that contains `what`.
+pub fn until<T>(what: impl Display, mut poll: impl FnMut() -> Option<T>) -> (T, Duration) {
     let start = Instant::now();
     loop {
-        if let Some(value) = look() {
+        if let Some(value) = poll() {
             return (value, start.elapsed());
         }
-        assert!(start.elapsed() < DEADLINE, "waited {DEADLINE:?} in vain for: {what}");
-        std::thread::park_timeout(PERIOD);
+        assert!(start.elapsed() < DEADLINE, "timed out after {DEADLINE:?} waiting for {what}");
+        std::thread::park_timeout(POLL_INTERVAL);
     }
 }
--- a/crates/e2e/tests/availability.rs
+++ b/crates/e2e/tests/availability.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use corianderfork_e2e::fleet::{Callers, Calling, Records, holder, wide};
+use corianderfork_e2e::fleet::{Callers, Records, RunningCallers, generated_config, lease_holder};
 use corianderfork_e2e::system::{Config, System};
 use corianderfork_e2e::{http, wait};
 use corianderfork_provider::fleet::{Control, TaskState};
@@ -126,7 +126,7 @@
 }
 
 /// Callers were answered throughout; gives those who were not, in per mille.
-fn check_callers(system: &System, calling: Calling, what: &str, lost: bool) {
+fn check_callers(system: &System, calling: RunningCallers, what: &str, lost: bool) {
     let calls = calling.finish();
     let told = |outcome| calls.iter().filter(|call| call.outcome == outcome).count();
     let (not_run, unknown) = (told(Outcome::NotRun), told(Outcome::Unknown));
@@ -196,7 +196,7 @@
     // error.
     // Cause: a VM that is back counts as well.
     // So many copies that proxies may eject more than one of a service.
-    let text = wide(1, 4, 10).replace("min_copies = 2", "min_copies = 8");
+    let text = generated_config(1, 4, 10).replace("min_copies = 2", "min_copies = 8");
     let text = text.replace("unavailable = 50%", "unavailable = 20%");
     let system = System::converged(Config::new(&text).controller(CONTROLLER));
     wait_copies(&system, 10);
@@ -237,9 +237,9 @@
     let calling = Callers::new(&SERVICES).start(&system);
     start_wave(&system);
     wait_begun(&system);
-    let first = holder(&system).expect("someone decides");
+    let first = lease_holder(&system).expect("someone decides");
     system.entries[first].controller = None;
-    wait::until("another to decide", || holder(&system).filter(|now| *now != first));
+    wait::until("another to decide", || lease_holder(&system).filter(|now| *now != first));
     wait_done(&system, 9);
     let boots = system.stats()["boots"].clone();
     let once = boots.as_object().is_some_and(|all| all.values().all(|count| *count == 1));
--- a/crates/e2e/tests/config.rs
+++ b/crates/e2e/tests/config.rs
@@ -31,9 +31,9 @@
     // a watch that waits for ever can't tell silence from no change.
     let system = System::converged(Config::new(SMALL).faults());
     for entry in 0..system.entries.len() {
-        system.cut(entry, &json!({ "silent": true }));
+        system.network_fault(entry, &json!({ "silent": true }));
     }
-    let took = playground::change(&system, SMALL);
+    let took = playground::change_config(&system, SMALL);
     assert!(took < PROMISED, "in force after {took:?}");
 }
 
@@ -43,8 +43,8 @@
     // Sequence: it is cut off from the store for good; a change is applied.
     // Cause: it asks nobody but the store.
     let system = System::converged(Config::new(SMALL).faults());
-    system.cut(0, &json!({ "cut": true }));
-    let took = playground::change(&system, SMALL);
+    system.network_fault(0, &json!({ "cut": true }));
+    let took = playground::change_config(&system, SMALL);
     assert!(took < PROMISED, "in force after {took:?}");
 }
 
@@ -56,7 +56,7 @@
     // replaced.
     // Cause: a new process reads its configuration from the store alone.
     let mut system = System::converged(Config::new(SMALL));
-    playground::change(&system, SMALL);
+    playground::change_config(&system, SMALL);
     let newest = revision(&system);
     system.store_down(true);
     system.replace(0);
--- a/crates/e2e/tests/graceful.rs
+++ b/crates/e2e/tests/graceful.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use corianderfork_e2e::config::SMALL;
-use corianderfork_e2e::fleet::{Callers, Calling, Records, holder, wide};
+use corianderfork_e2e::fleet::{Callers, Records, RunningCallers, generated_config, lease_holder};
 use corianderfork_e2e::http;
 use corianderfork_e2e::system::{Config, System};
 use corianderfork_e2e::wait;
@@ -30,7 +30,7 @@
 }
 
 /// Waits until callers had `more` answers.
-fn answers(calling: &Calling, more: usize) {
+fn answers(calling: &RunningCallers, more: usize) {
     let before = calling.answered();
     wait::until("answers", || (calling.answered() >= before + more).then_some(()));
 }
@@ -92,7 +92,7 @@
     // reboots them all.
     // Cause: a VM is rebooted once proxies send it nothing new, though what
     // they sent before still runs.
-    let config = Config::new(&wide(1, 4, 6)).run_ms(SLOW).proxy(PROXY);
+    let config = Config::new(&generated_config(1, 4, 6)).run_ms(SLOW).proxy(PROXY);
     let system = System::converged(config);
     let calling = busy().start(&system);
     answers(&calling, 50);
@@ -129,7 +129,7 @@
     // when the controller that holds the lease is replaced.
     // Sequence: it gets SIGTERM while VMs drain; another takes over.
     // Cause: what was confirmed and what was asked for is in its memory alone.
-    let config = Config::new(&wide(1, 4, 6)).run_ms(SLOW).proxy(PROXY);
+    let config = Config::new(&generated_config(1, 4, 6)).run_ms(SLOW).proxy(PROXY);
     let mut system = System::converged(config);
     let records = Records::watch(&system);
     let calling = busy().start(&system);
@@ -137,12 +137,12 @@
     start_wave(&system, &[]);
     let draining = || records.seen().iter().any(|one| one.record.phase == Phase::Draining);
     wait::until("a VM to drain", || draining().then_some(()));
-    let first = holder(&system).expect("someone decides");
+    let first = lease_holder(&system).expect("someone decides");
     let controller = system.entries[first].controller.as_mut().expect("runs");
     controller.term().expect("told");
     let ended = controller.wait(wait::DEADLINE).expect("its state").expect("ended");
     assert!(ended.success(), "{ended}");
-    wait::until("another to decide", || holder(&system).filter(|now| *now != first));
+    wait::until("another to decide", || lease_holder(&system).filter(|now| *now != first));
     wave_ends(&system, 12);
     let calls = calling.finish();
     check(&system, &calls, "SIGTERM of the controller");
@@ -158,7 +158,7 @@
 
 /// Milliseconds from the drain of `vm` until it counted as drained.
 fn held_ms(records: &Records, vm: &str) -> u64 {
-    let of = records.of(vm);
+    let of = records.for_vm(vm);
     let at = |phase| of.iter().find(|one| one.record.phase == phase).map(|w| w.record.since_ms);
     at(Phase::Drained).expect("drained") - at(Phase::Draining).expect("was drained")
 }
--- a/crates/e2e/tests/leaving.rs
+++ b/crates/e2e/tests/leaving.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use corianderfork_e2e::fleet::{Callers, Calling, Records, unix_ms, wide};
+use corianderfork_e2e::fleet::{Callers, Records, RunningCallers, generated_config, unix_ms};
 use corianderfork_e2e::http;
 use corianderfork_e2e::system::{Config, System};
 use corianderfork_e2e::wait;
@@ -28,7 +28,7 @@
 const SERVICES: [&str; 2] = ["lookup", "transfer"];
 
 fn config() -> Config {
-    Config::new(&wide(1, 8, 16))
+    Config::new(&generated_config(1, 8, 16))
 }
 
 /// Milliseconds from each accepted drain to the last run at its VM.
@@ -90,7 +90,7 @@
     wait_copies(system);
 }
 
-fn watch_on(calling: &Calling, since_ms: u64) {
+fn watch_on(calling: &RunningCallers, since_ms: u64) {
     wait::until("callers to be answered for long enough", || {
         calling.answered_after(since_ms + WATCHED).then_some(())
     });
@@ -157,7 +157,7 @@
     // Symptom: one proxy alone still sends to a drained VM.
     // Sequence: the connection of its watch goes silent; drains are accepted.
     // Cause: a watch that waits for ever can't tell silence from no change.
-    let silence = |system: &System| system.cut(0, &json!({ "silent": true }));
+    let silence = |system: &System| system.network_fault(0, &json!({ "silent": true }));
     drains("one watch silent", config().faults(), silence, nothing, nothing);
 }
 
@@ -166,8 +166,8 @@
     // Symptom: one proxy alone still sends to a drained VM.
     // Sequence: it is cut off from the store; drains are accepted.
     // Cause: it asks nobody but the store.
-    let cut = |system: &System| system.cut(0, &json!({ "cut": true }));
-    let join = |system: &System| system.cut(0, &json!({ "cut": false }));
+    let cut = |system: &System| system.network_fault(0, &json!({ "cut": true }));
+    let join = |system: &System| system.network_fault(0, &json!({ "cut": false }));
     drains("one proxy cut off from the store", config().faults(), cut, nothing, join);
 }
 
@@ -242,7 +242,7 @@
     // Each VM carries a copy of each service, so that one that is given back is the only
     // place for what it lost. With fewer copies than VMs it may well stay without any: its
     // record came back from the drain with `copies []`, and nothing was ever sent there.
-    let system = System::converged(Config::new(&wide(1, 8, ALL)));
+    let system = System::converged(Config::new(&generated_config(1, 8, ALL)));
     wait_copies(&system);
     let calling = Callers::new(&SERVICES).start(&system);
     let mut delays = Delays::default();
@@ -271,7 +271,7 @@
     // Symptom: a backend server that says it is leaving is asked on and on.
     // Sequence: backend servers refuse as leaving; no record says so.
     // Cause: a refusal is taken for one of that request alone.
-    let system = System::converged(Config::new(&wide(2, 6, 24)));
+    let system = System::converged(Config::new(&generated_config(2, 6, 24)));
     wait_copies(&system);
     let calling = Callers::new(&SERVICES).start(&system);
     let refused = || system.runs().refused.leaving;
@@ -356,7 +356,7 @@
     // Cause: it asks nobody but the store.
     let fault = |system: &System| {
         system.platform_fault(&json!({ "list_lag_ms": 2_000 }));
-        system.cut(0, &json!({ "cut": true }));
+        system.network_fault(0, &json!({ "cut": true }));
     };
     wave(config().faults(), fault).check("wave, proxy cut off and list lags", 24);
 }
--- a/crates/e2e/tests/not_run.rs
+++ b/crates/e2e/tests/not_run.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use corianderfork_e2e::callers::{self, Told};
+use corianderfork_e2e::callers::{self, CallResult};
 use corianderfork_e2e::config::SMALL;
 use corianderfork_e2e::system::{Config, System};
 use corianderfork_e2e::{http, wait};
@@ -41,7 +41,7 @@
 }
 
 /// A lookup and a transfer at a proxy.
-fn both(target: SocketAddr, name: &str, number: usize) -> [Told; 2] {
+fn both(target: SocketAddr, name: &str, number: usize) -> [CallResult; 2] {
     let id = |kind: &str| format!("{name}-{kind}-{number}");
     [
         callers::lookup(target, "lookup", &id("l")),
@@ -51,7 +51,7 @@
 
 /// Asks at a proxy until a lookup and a transfer are both refused as
 /// `reasons` say; gives all that was told on the way.
-fn until_refused(target: SocketAddr, name: &str, reasons: &[&str]) -> Vec<Told> {
+fn until_refused(target: SocketAddr, name: &str, reasons: &[&str]) -> Vec<CallResult> {
     let mut all = Vec::new();
     wait::until(format!("refusals for {reasons:?}"), || {
         let told = both(target, name, all.len());
@@ -66,8 +66,8 @@
 
 /// Compares what was told with what ran. Every refusal came at once and says
 /// when to come back; nothing that was told not run has run.
-fn assert_honest(system: &System, told: &[Told]) {
-    let calls: Vec<Call> = told.iter().map(Told::call).collect();
+fn assert_honest(system: &System, told: &[CallResult]) {
+    let calls: Vec<Call> = told.iter().map(CallResult::to_call).collect();
     let findings = history::check(&system.runs(), &calls);
     assert!(findings.is_clean(), "{findings:?}");
     for told in told.iter().filter(|told| told.outcome == Outcome::NotRun) {
@@ -77,7 +77,7 @@
     }
 }
 
-fn not_run(told: &[Told]) -> usize {
+fn not_run(told: &[CallResult]) -> usize {
     told.iter().filter(|told| told.outcome == Outcome::NotRun).count()
 }
 
@@ -123,7 +123,7 @@
     let system = start(3);
     system.behave(&json!({ "late_ms": 1500 }));
     let targets = proxies(&system);
-    let told: Vec<Told> = std::thread::scope(|scope| {
+    let told: Vec<CallResult> = std::thread::scope(|scope| {
         let ask = |number: usize| both(targets[number % targets.len()], "busy", number);
         let asking: Vec<_> = (0..CALLERS).map(|number| scope.spawn(move || ask(number))).collect();
         asking.into_iter().flat_map(|asked| asked.join().expect("no panic")).collect()
@@ -215,7 +215,7 @@
             http::post(system.platform(), "/vms/reboot", &json!({ "vm": vm }));
         }
         let cut = asking.into_iter().flat_map(|asked| asked.join().expect("no panic"));
-        let cut: Vec<Told> = cut.collect();
+        let cut: Vec<CallResult> = cut.collect();
         (cut, until_refused(target, "reboot", &["fails or was tried"]))
     });
     for told in &cut {
@@ -228,7 +228,7 @@
 }
 
 /// Like [`both`], the two at the same time.
-fn both_at_once(target: SocketAddr, name: &str, number: usize) -> [Told; 2] {
+fn both_at_once(target: SocketAddr, name: &str, number: usize) -> [CallResult; 2] {
     std::thread::scope(|scope| {
         let [l, t] = ["l", "t"].map(|kind| format!("{name}-{kind}-{number}"));
         let lookup = scope.spawn(move || callers::lookup(target, "lookup", &l));
@@ -319,7 +319,7 @@
     let mut all = Vec::new();
     for fault in ["silent", "die_after_run", "truncated", "crossed"] {
         system.behave(&json!({ fault: 1000 }));
-        let told: Vec<Told> = std::thread::scope(|scope| {
+        let told: Vec<CallResult> = std::thread::scope(|scope| {
             let ask = |number| move || both_at_once(target, fault, number);
             let asking: Vec<_> = (0..REQUESTS).map(|number| scope.spawn(ask(number))).collect();
             asking.into_iter().flat_map(|asked| asked.join().expect("no panic")).collect()
@@ -465,7 +465,7 @@
         ),
     ];
     for (request, status) in &cases {
-        let told = callers::ask(target, "lookup", "bad-1", None, request);
+        let told = callers::send_raw(target, "lookup", "bad-1", None, request);
         let asked: String = request.chars().take(200).collect();
         assert_eq!(told.status, *status, "{asked}: {told:?}");
         assert!(told.took < AT_ONCE, "{asked}: {told:?}");
--- a/crates/e2e/tests/one_pool.rs
+++ b/crates/e2e/tests/one_pool.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use corianderfork_e2e::fleet::{Callers, Calling, Records, Written, holder};
+use corianderfork_e2e::fleet::{Callers, RecordWrite, Records, RunningCallers, lease_holder};
 use corianderfork_e2e::system::{Config, System};
 use corianderfork_e2e::wait;
 use corianderfork_provider::record::Phase;
@@ -94,7 +94,7 @@
 struct Moves {
     system: System,
     records: Records,
-    calling: Calling,
+    calling: RunningCallers,
     pool: &'static str,
 }
 
@@ -155,7 +155,7 @@
         let findings = history::check(&runs, &calls);
         assert!(findings.is_clean(), "{findings:?}");
         assert_eq!(findings.cut, 0, "requests were cut off by a move");
-        let writes: usize = MOVED.iter().map(|vm| check_record(&self.records.of(vm))).sum();
+        let writes: usize = MOVED.iter().map(|vm| check_record(&self.records.for_vm(vm))).sum();
         let moves: usize = MOVED.iter().map(|vm| check_runs(vm, &runs.runs, &self.records)).sum();
         println!("one_pool: {writes} writes, {moves} moves, {} runs", runs.runs.len());
         assert!(moves >= MOVED.len(), "{moves} moves");
@@ -164,7 +164,7 @@
 
 /// Each write follows from the one before it; a pool changes only where
 /// nothing is left of the old one.
-fn check_record(history: &[Written]) -> usize {
+fn check_record(history: &[RecordWrite]) -> usize {
     for pair in history.windows(2) {
         let (from, to) = (&pair[0].record, &pair[1].record);
         assert!(pair[0].revision < pair[1].revision, "{pair:?}");
@@ -187,8 +187,8 @@
 /// No run of a pool's service falls outside of the VM's time in that pool.
 /// Gives how often the VM changed its pool.
 fn check_runs(vm: &str, runs: &[Run], records: &Records) -> usize {
-    let history = records.of(vm);
-    let switches: Vec<&Written> = history
+    let history = records.for_vm(vm);
+    let switches: Vec<&RecordWrite> = history
         .windows(2)
         .filter(|pair| pair[0].record.pool != pair[1].record.pool)
         .map(|pair| &pair[1])
@@ -223,10 +223,12 @@
     for step in [Phase::Draining, Phase::Drained, Phase::Returning] {
         moves.order();
         moves.wait_step(step);
-        let (first, _) = wait::until("someone to decide", || holder(&moves.system));
+        let (first, _) = wait::until("someone to decide", || lease_holder(&moves.system));
         let frozen = moves.system.entries[first].controller.as_ref().expect("runs");
         frozen.stop().expect("freezes");
-        wait::until("another to decide", || holder(&moves.system).filter(|now| *now != first));
+        wait::until("another to decide", || {
+            lease_holder(&moves.system).filter(|now| *now != first)
+        });
         moves.wait_moved();
         moves.system.entries[first].controller.as_ref().expect("runs").cont().expect("wakes");
     }
@@ -246,7 +248,7 @@
         moves.order();
         moves.wait_step(step);
         let (first, _) = wait::until("someone to decide", || {
-            holder(&moves.system).filter(|at| moves.system.entries[*at].controller.is_some())
+            lease_holder(&moves.system).filter(|at| moves.system.entries[*at].controller.is_some())
         });
         moves.system.entries[first].controller = None;
         moves.wait_moved();
@@ -279,12 +281,14 @@
     // Cause: a write is fenced where it is sent, not where it takes effect.
     let mut moves = Moves::start(Config::new(TWO).faults());
     for _ in 0..2 {
-        let (first, _) = wait::until("someone to decide", || holder(&moves.system));
-        moves.system.cut(first, &json!({ "freeze": "to" }));
+        let (first, _) = wait::until("someone to decide", || lease_holder(&moves.system));
+        moves.system.network_fault(first, &json!({ "freeze": "to" }));
         moves.order();
-        wait::until("another to decide", || holder(&moves.system).filter(|now| *now != first));
+        wait::until("another to decide", || {
+            lease_holder(&moves.system).filter(|now| *now != first)
+        });
         moves.wait_moved();
-        moves.system.cut(first, &json!({ "freeze": "none" }));
+        moves.system.network_fault(first, &json!({ "freeze": "none" }));
         moves.wait_carrying();
     }
     moves.finish();
--- a/crates/e2e/tests/own_answer.rs
+++ b/crates/e2e/tests/own_answer.rs
@@ -45,7 +45,7 @@
 fn suffer(system: &System, seed: u64, faults: &[Value], result: &str) -> Vec<Call> {
     let mut config = load::Config::new(system.targets());
     config.attempts = 2;
-    let mut calls = callers::crowd(&config, CALLERS, seed, |calls| {
+    let mut calls = callers::call_while(&config, CALLERS, seed, |calls| {
         for fault in faults {
             let before = tries(system, result);
             system.behave(fault);
