--- a/crates/e2e/tests/at_most_once.rs
+++ b/crates/e2e/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! `at_most_once`: a non-idempotent id runs at most once, asked again at other
-//! entry VMs, through deaths, freezes, outages and lost answers.
+//! `at_most_once`: a non-idempotent id runs at most once, even if it is retried at
+//! other entry VMs, through crashes, freezes, outages and lost responses.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use serde_json::json;
 use uuid::Uuid;
 
-/// Transfers asked for through each fault.
+/// Transfers per second during each fault.
 const RATE: f64 = 60.0;
 
 fn key(number: u64) -> Uuid {
@@ -25,9 +25,9 @@
     uuid::Builder::from_unix_timestamp_millis(millis, &random).into_uuid()
 }
 
-/// Asks for transfers while `fault` happens, each again at another proxy when
-/// its outcome is unknown, and then all of them once more everywhere.
-fn through(system: &mut System, fault: impl FnOnce(&mut System)) -> (Vec<Call>, Findings) {
+/// Makes transfers while `fault` runs, retrying those with an unknown outcome at
+/// other proxies, and then repeats all of them once.
+fn transfer_during(system: &mut System, fault: impl FnOnce(&mut System)) -> (Vec<Call>, Findings) {
     let targets = system.targets();
     let mut config = load::Config::new(targets.clone());
     config.timeout = Duration::from_secs(3);
@@ -49,14 +49,14 @@
         loading.join().expect("the load ends");
     });
     let mut calls = calls.into_inner().expect("no panic");
-    let again = ask_again(system, &calls);
-    calls.extend(again);
+    let repeated = repeat_all(system, &calls);
+    calls.extend(repeated);
     let findings = history::check(&system.runs(), &calls);
     (calls, findings)
 }
 
-/// Asks for each transfer once more, at whichever proxies run now.
-fn ask_again(system: &System, calls: &[Call]) -> Vec<Call> {
+/// Repeats each transfer once at the running proxies.
+fn repeat_all(system: &System, calls: &[Call]) -> Vec<Call> {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut config = load::Config::new(system.targets());
     config.attempts = 1;
@@ -70,11 +70,10 @@
 }
 
 #[test]
-fn at_most_once_asked_at_every_proxy() {
-    // Symptom: a member is billed twice.
-    // Sequence: the backend server runs a transfer and its answer is lost; the
-    // caller asks again at another entry VM, with the same key.
-    // Cause: ids are remembered where they were first asked, not where all look.
+fn at_most_once_retried_at_every_proxy() {
+    // Guards against a member being billed twice: the backend server runs a transfer,
+    // the response is lost and the caller retries at another entry VM with the same
+    // key. This fails if each proxy remembers only the ids that it received itself.
     const CALLS: usize = 6;
     let system = System::converged(Config::new(SMALL));
     system.behave(&json!({ "die_after_run": CALLS }));
@@ -89,19 +88,19 @@
     assert!(findings.is_clean(), "{findings:?}");
     assert_eq!(runs.runs.len(), CALLS);
     for call in &calls {
-        assert_eq!(call.attempts.len(), 3, "asked at every proxy: {call:?}");
+        assert_eq!(call.attempts.len(), 3, "not tried at every proxy: {call:?}");
         assert_eq!(call.outcome, Outcome::Unknown, "{call:?}");
     }
 }
 
 #[test]
 fn at_most_once_owner_killed() {
-    // Symptom: a transfer runs twice after an entry VM died.
-    // Sequence: the proxy that owns a shard of claims is killed while claims
-    // are under way; callers ask again elsewhere; another proxy takes over.
-    // Cause: claims that were granted and not yet written die with their owner.
+    // Guards against a transfer running twice after an entry VM died. The proxy that
+    // owns a shard of claims is killed with claims in flight, callers retry elsewhere
+    // and another proxy takes over. Claims granted before they are written would be
+    // lost with their owner.
     let mut system = System::converged(Config::new(SMALL).entries(4));
-    let (calls, findings) = through(&mut system, |system| {
+    let (calls, findings) = transfer_during(&mut system, |system| {
         wait::until("some transfers to run", || (system.runs().runs.len() > 30).then_some(()));
         system.entries[0].proxy = None;
         wait::until("more transfers to run", || (system.runs().runs.len() > 120).then_some(()));
@@ -113,20 +112,19 @@
 
 #[test]
 fn at_most_once_owner_frozen_past_its_lease() {
-    // Symptom: two owners of a shard grant the same id.
-    // Sequence: the owner is frozen past its lease; another takes over and
-    // grants; the first wakes with claims under way.
-    // Cause: the woken owner writes to its journal as if nothing had happened.
+    // Guards against two owners of a shard granting the same id. The owner is frozen
+    // past its lease, another takes over and grants claims, then the first resumes with
+    // claims in flight and must not write to its journal any more.
     let mut system = System::converged(Config::new(SMALL).entries(4));
-    let (calls, findings) = through(&mut system, |system| {
+    let (calls, findings) = transfer_during(&mut system, |system| {
         wait::until("some transfers to run", || (system.runs().runs.len() > 30).then_some(()));
-        let frozen = system.entries[0].proxy.as_ref().expect("runs");
-        frozen.stop().expect("freezes");
+        let proxy = system.entries[0].proxy.as_ref().expect("runs");
+        proxy.stop().expect("freezes");
         let before = system.runs().runs.len();
-        wait::until("transfers to run without it", || {
+        wait::until("transfers to run without the frozen proxy", || {
             (system.runs().runs.len() > before + 60).then_some(())
         });
-        frozen.cont().expect("wakes");
+        proxy.cont().expect("wakes");
     });
     assert!(findings.is_clean(), "{findings:?}");
     assert!(answered(&calls) > 100, "{}", answered(&calls));
@@ -134,16 +132,15 @@
 
 #[test]
 fn at_most_once_store_down_and_answers_lost() {
-    // Symptom: a transfer runs twice, or is refused for good, after an outage.
-    // Sequence: the store loses the answers of writes that took effect, goes
-    // down for a while, loses answers again and comes back.
-    // Cause: a write without an answer is taken for one that failed.
+    // Guards against a transfer that runs twice or is refused forever after an outage.
+    // The store loses the responses to applied writes, goes down, loses responses again
+    // and comes back. A write without a response must not count as failed.
     let mut system = System::converged(Config::new(SMALL));
-    let (calls, findings) = through(&mut system, |system| {
+    let (calls, findings) = transfer_during(&mut system, |system| {
         system.platform_fault(&json!({ "lose_answers": 5, "lose_prefix": "claim/" }));
         wait::until("transfers to run", || (system.runs().runs.len() > 60).then_some(()));
         system.store_down(true);
-        wait::until("a transfer to be refused", || refused(system).then_some(()));
+        wait::until("a transfer to be refused", || is_refused(system).then_some(()));
         system.platform_fault(&json!({ "lose_answers": 5, "lose_prefix": "claim/" }));
         system.store_down(false);
     });
@@ -151,8 +148,8 @@
     assert!(answered(&calls) > 60, "{}", answered(&calls));
 }
 
-/// Whether a transfer is refused at once, as not run.
-fn refused(system: &System) -> bool {
+/// Returns whether a transfer is refused as not run.
+fn is_refused(system: &System) -> bool {
     let mut rng = SmallRng::seed_from_u64(9);
     let mut config = load::Config::new(system.targets());
     config.attempts = 1;
--- a/crates/e2e/tests/availability.rs
+++ b/crates/e2e/tests/availability.rs
@@ -1,5 +1,5 @@
-//! `availability`: each service keeps its budget through every wave, with
-//! unplanned failures inside the wave.
+//! `availability`: each service keeps its budget through every wave, also with
+//! unplanned failures during the wave.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,21 +19,21 @@
 use serde_json::json;
 
 const SERVICES: [&str; 2] = ["lookup", "transfer"];
-/// The least copies of each service.
-const LEAST: usize = 3;
-/// Copies that one VM's failure takes of a service.
-const FAILED: usize = 1;
-/// Between two looks at the fleet.
-const LOOK: Duration = Duration::from_millis(50);
-/// Callers not served, in per mille of all calls.
-const NOT_RUN: usize = 20;
-
-/// A reboot takes seconds here and minutes elsewhere; the times in which a
-/// failing copy is found out are shortened with it.
+/// The minimum number of copies of each service.
+const MIN_COPIES: usize = 3;
+/// The copies of a service that one VM's failure takes away.
+const LOST_COPIES: usize = 1;
+/// The interval between two samples of the fleet.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+/// The most calls that may be refused as not run, in per mille.
+const MAX_NOT_RUN: usize = 20;
+
+/// A reboot takes seconds here and minutes in production, so the times to detect a
+/// failing copy are shortened as well.
 const CONTROLLER: &str = "suspect_after_ms = 1000\nprove_after_ms = 5000\n";
 
-/// Nine VMs in three data centres, two services of at least three copies that
-/// outlast a VM.
+/// Returns a configuration of nine VMs in three data centres, with two services of
+/// at least three copies that tolerate the loss of a VM.
 fn text() -> String {
     let small = corianderfork_e2e::config::SMALL;
     ["a", "b", "c"].iter().fold(small.to_owned(), |text, centre| {
@@ -41,63 +41,63 @@
     })
 }
 
-/// The copies of each service that were able to take work, at one moment.
-type Able = BTreeMap<String, usize>;
+/// The available copies of each service at one moment.
+type Available = BTreeMap<String, usize>;
 
-/// Looks at records and tasks all the time.
-struct Watch {
+/// Samples records and tasks continuously.
+struct Sampler {
     stop: Arc<AtomicBool>,
-    looks: Arc<Mutex<Vec<Able>>>,
+    samples: Arc<Mutex<Vec<Available>>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Watch {
+impl Sampler {
     fn start(system: &System) -> Self {
         let platform = Platform::new(Platforms::new(system.platform()).caller("watcher"));
         let stop = Arc::new(AtomicBool::new(false));
-        let looks: Arc<Mutex<Vec<Able>>> = Arc::default();
-        let (until, to) = (Arc::clone(&stop), Arc::clone(&looks));
+        let samples: Arc<Mutex<Vec<Available>>> = Arc::default();
+        let (stopped, sink) = (Arc::clone(&stop), Arc::clone(&samples));
         let thread = thread::spawn(move || {
-            while !until.load(Ordering::Relaxed) {
-                let look = able(&platform);
-                to.lock().unwrap_or_else(PoisonError::into_inner).extend(look);
-                thread::park_timeout(LOOK);
+            while !stopped.load(Ordering::Relaxed) {
+                let sample = available(&platform);
+                sink.lock().unwrap_or_else(PoisonError::into_inner).extend(sample);
+                thread::park_timeout(SAMPLE_INTERVAL);
             }
         });
-        Self { stop, looks, thread: Some(thread) }
+        Self { stop, samples, thread: Some(thread) }
     }
 
-    /// The fewest copies of any service seen at any moment, and how many
-    /// moments were seen.
+    /// Stops sampling and returns the fewest copies of any service in any sample, and
+    /// the number of samples.
     fn fewest(mut self) -> (usize, usize) {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.take().expect("runs").join().expect("no panic");
-        let looks = self.looks.lock().unwrap_or_else(PoisonError::into_inner);
-        let of = |able: &Able| {
-            SERVICES.iter().map(|name| able.get(*name).copied().unwrap_or_default()).min()
+        let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
+        let min_copies = |available: &Available| {
+            SERVICES.iter().map(|name| available.get(*name).copied().unwrap_or_default()).min()
         };
-        (looks.iter().filter_map(of).min().expect("looked"), looks.len())
+        (samples.iter().filter_map(min_copies).min().expect("a sample"), samples.len())
     }
 }
 
-/// Copies in the record of a VM that serves, whose task runs.
-fn able(platform: &Platform) -> Option<Able> {
+/// Counts the copies in the records of serving VMs whose tasks run.
+fn available(platform: &Platform) -> Option<Available> {
     let tasks = platform.tasks().ok()?;
     let running: BTreeSet<_> = tasks
         .into_iter()
         .filter(|task| task.state == TaskState::Running)
         .filter_map(|task| task.address)
         .collect();
-    let mut able = Able::new();
+    let mut available = Available::new();
     for entry in platform.range(key::VMS).ok()?.entries {
         let vm: Vm = serde_json::from_str(&entry.value).expect("a VM record");
         let serves = vm.phase == Phase::Serving;
         for runner in vm.runners.iter().filter(|runner| serves && running.contains(&runner.address))
         {
-            *able.entry(runner.service.to_string()).or_default() += 1;
+            *available.entry(runner.service.to_string()).or_default() += 1;
         }
     }
-    Some(able)
+    Some(available)
 }
 
 fn start_wave(system: &System) {
@@ -110,10 +110,10 @@
     Some(serde_json::from_str(&entry.value).expect("a wave"))
 }
 
-/// Waits until the first VM of the wave is away.
+/// Waits until the first VM of the wave is out of service and returns its name.
 fn wait_begun(system: &System) -> String {
-    let away = |phase| matches!(phase, Phase::Draining | Phase::Drained | Phase::Rebooting);
-    let first = || system.vms().into_iter().find(|(_, vm)| away(vm.phase));
+    let is_away = |phase| matches!(phase, Phase::Draining | Phase::Drained | Phase::Rebooting);
+    let first = || system.vms().into_iter().find(|(_, vm)| is_away(vm.phase));
     wait::until("the wave to begin", first).0.0
 }
 
@@ -125,64 +125,64 @@
     });
 }
 
-/// Callers were answered throughout; gives those who were not, in per mille.
-fn check_callers(system: &System, calling: RunningCallers, what: &str, lost: bool) {
-    let calls = calling.finish();
-    let told = |outcome| calls.iter().filter(|call| call.outcome == outcome).count();
-    let (not_run, unknown) = (told(Outcome::NotRun), told(Outcome::Unknown));
+/// Checks that callers were answered throughout. Unknown outcomes are allowed only
+/// after an `unplanned` failure.
+fn check_callers(system: &System, callers: RunningCallers, what: &str, unplanned: bool) {
+    let calls = callers.finish();
+    let count = |outcome| calls.iter().filter(|call| call.outcome == outcome).count();
+    let (not_run, unknown) = (count(Outcome::NotRun), count(Outcome::Unknown));
     println!("availability, {what}: {} calls, {not_run} not run, {unknown} unknown", calls.len());
     let findings = history::check(&system.runs(), &calls);
     assert!(findings.is_clean(), "{findings:?}");
-    assert!(not_run * 1000 <= calls.len() * NOT_RUN, "{not_run} of {} not run", calls.len());
-    // What an unplanned failure cuts off, nobody can know about.
-    let most = if lost { calls.len() / 50 } else { 0 };
-    assert!(unknown <= most, "{unknown} of {} unknown", calls.len());
+    assert!(not_run * 1000 <= calls.len() * MAX_NOT_RUN, "{not_run} of {} not run", calls.len());
+    // Nobody can know the outcome of requests that an unplanned failure cuts off.
+    let max_unknown = if unplanned { calls.len() / 50 } else { 0 };
+    assert!(unknown <= max_unknown, "{unknown} of {} unknown", calls.len());
 }
 
-fn say_fewest(watch: Watch, what: &str, least: usize) {
-    let (fewest, looks) = watch.fewest();
-    println!("availability, {what}: never fewer than {fewest} copies in {looks} looks");
-    assert!(fewest >= least, "{what}: {fewest} copies at some moment, {least} are due");
+fn check_fewest(sampler: Sampler, what: &str, min: usize) {
+    let (fewest, samples) = sampler.fewest();
+    println!("availability, {what}: never fewer than {fewest} copies in {samples} samples");
+    assert!(fewest >= min, "{what}: {fewest} copies at some moment, expected at least {min}");
 }
 
 fn converged() -> System {
     let system = System::converged(Config::new(&text()).controller(CONTROLLER));
-    wait_copies(&system, LEAST + 1);
+    wait_copies(&system, MIN_COPIES + 1);
     system
 }
 
 fn wait_copies(system: &System, copies: usize) {
     let platform = Platform::new(Platforms::new(system.platform()).caller("test"));
     wait::until("all copies", || {
-        let able = able(&platform)?;
-        SERVICES.iter().all(|name| able.get(*name) >= Some(&copies)).then_some(())
+        let available = available(&platform)?;
+        SERVICES.iter().all(|name| available.get(*name) >= Some(&copies)).then_some(())
     });
 }
 
 #[test]
 fn availability_vm_gone_inside_a_wave() {
-    // Symptom: a service is below its budget in the middle of a wave.
-    // Sequence: a wave has VMs away; another VM dies with its copies.
-    // Cause: the wave goes on by the number of its own VMs that are away.
+    // Guards against a service falling below its budget when a VM dies with its copies
+    // during a wave. The wave must not count only its own VMs as out of service.
     let system = converged();
-    let watch = Watch::start(&system);
-    let calling = Callers::new(&SERVICES).start(&system);
+    let sampler = Sampler::start(&system);
+    let callers = Callers::new(&SERVICES).start(&system);
     start_wave(&system);
     let away = wait_begun(&system);
-    let victim = carrier(&system, &away);
+    let victim = vm_with_copies(&system, &away);
     http::post(system.platform(), "/_vms", &json!({ "vms": [victim], "state": "gone" }));
-    wait::until("the wave to go on", || {
+    wait::until("the wave to continue", || {
         let wave = wave(&system)?;
         (wave.done.len() >= 3).then_some(())
     });
     http::post(system.platform(), "/_vms", &json!({ "vms": [victim], "state": "live" }));
     wait_done(&system, 9);
-    check_callers(&system, calling, "VM gone", true);
-    say_fewest(watch, "VM gone", LEAST - FAILED);
+    check_callers(&system, callers, "VM gone", true);
+    check_fewest(sampler, "VM gone", MIN_COPIES - LOST_COPIES);
 }
 
-/// A VM that carries a copy and is not `away`.
-fn carrier(system: &System, away: &str) -> String {
+/// Returns a VM other than `away` that serves and has a copy.
+fn vm_with_copies(system: &System, away: &str) -> String {
     let vms = system.vms();
     let serves = |vm: &Vm| vm.phase == Phase::Serving && !vm.runners.is_empty();
     let found = vms.into_iter().find(|(name, vm)| name != away && serves(vm));
@@ -190,61 +190,61 @@
 }
 
 #[test]
-fn availability_worker_that_fails_everything_halts_the_wave() {
-    // Symptom: a wave with a bad update takes one VM after the other.
-    // Sequence: VMs come back from their reboot and answer everything with an
-    // error.
-    // Cause: a VM that is back counts as well.
-    // So many copies that proxies may eject more than one of a service.
+fn availability_failing_worker_halts_the_wave() {
+    // Guards against a wave with a bad update that breaks one VM after the other: VMs
+    // return from their reboot and answer everything with an error. A VM that is back
+    // must not count as healthy for that alone.
+    // Uses enough copies that proxies may eject more than one of a service.
     let text = generated_config(1, 4, 10).replace("min_copies = 2", "min_copies = 8");
     let text = text.replace("unavailable = 50%", "unavailable = 20%");
     let system = System::converged(Config::new(&text).controller(CONTROLLER));
     wait_copies(&system, 10);
-    let watch = Watch::start(&system);
-    let calling = Callers::new(&SERVICES).start(&system);
+    let sampler = Sampler::start(&system);
+    let callers = Callers::new(&SERVICES).start(&system);
     start_wave(&system);
-    let at = system.backend();
+    let backend = system.backend();
     let (wave, _) = wait::until("the wave to halt", || {
         let stats = system.stats();
         for vm in stats["boots"].as_object().into_iter().flat_map(|boots| boots.keys()) {
-            http::post(at, "/_behave", &json!({ "vm": vm, "failing": true }));
+            http::post(backend, "/_behave", &json!({ "vm": vm, "failing": true }));
         }
         wave(&system).filter(|wave| wave.halted.is_some())
     });
-    let (code, shown) = system.operator(&["show", "waves"]);
+    let (code, out) = system.operator(&["show", "waves"]);
     let reason = wave.halted.clone().expect("halted");
-    assert_eq!(code, 0, "{shown}");
-    assert!(shown.contains(&reason), "{shown} does not tell: {reason}");
+    assert_eq!(code, 0, "{out}");
+    assert!(out.contains(&reason), "{out} does not contain: {reason}");
     println!("availability, failing worker: halted with {:?} left to do", wave.todo);
-    assert!(!wave.todo.is_empty(), "it halted when all was done");
+    assert!(!wave.todo.is_empty(), "the wave halted after its last VM");
     assert!(!wave.failed.is_empty(), "{wave:?}");
-    let calls = calling.finish();
+    let calls = callers.finish();
     let failed = calls.iter().filter(|call| call.status >= 500).count();
     println!("availability, failing worker: {failed} of {} calls failed", calls.len());
     assert!(failed * 5 < calls.len(), "{failed} of {} calls failed", calls.len());
-    say_fewest(watch, "failing worker", 8);
+    check_fewest(sampler, "failing worker", 8);
 }
 
 #[test]
 fn availability_controller_killed_inside_a_wave() {
-    // Symptom: a service is below its budget after a controller died.
-    // Sequence: the controller that decides is killed with VMs away; another
-    // goes on with the wave.
-    // Cause: the successor counts only the VMs that it took out itself.
+    // Guards against a service falling below its budget after the deciding controller is
+    // killed with VMs out of service. Its successor continues the wave and must also
+    // count the VMs that it did not take out itself.
     let mut system = converged();
-    let watch = Watch::start(&system);
+    let sampler = Sampler::start(&system);
     let records = Records::watch(&system);
-    let calling = Callers::new(&SERVICES).start(&system);
+    let callers = Callers::new(&SERVICES).start(&system);
     start_wave(&system);
     wait_begun(&system);
-    let first = lease_holder(&system).expect("someone decides");
+    let first = lease_holder(&system).expect("a controller decides");
     system.entries[first].controller = None;
-    wait::until("another to decide", || lease_holder(&system).filter(|now| *now != first));
+    wait::until("another controller to decide", || {
+        lease_holder(&system).filter(|now| *now != first)
+    });
     wait_done(&system, 9);
     let boots = system.stats()["boots"].clone();
-    let once = boots.as_object().is_some_and(|all| all.values().all(|count| *count == 1));
-    assert!(once, "a VM was rebooted again: {boots}");
+    let rebooted_once = boots.as_object().is_some_and(|all| all.values().all(|count| *count == 1));
+    assert!(rebooted_once, "a VM was rebooted more than once: {boots}");
     assert_eq!(records.absences().len(), 9);
-    check_callers(&system, calling, "controller killed", false);
-    say_fewest(watch, "controller killed", LEAST);
+    check_callers(&system, callers, "controller killed", false);
+    check_fewest(sampler, "controller killed", MIN_COPIES);
 }
--- a/crates/e2e/tests/config.rs
+++ b/crates/e2e/tests/config.rs
@@ -10,7 +10,7 @@
 use corianderfork_provider::store::Store;
 use serde_json::json;
 
-/// What is promised to operators.
+/// The time limit promised to operators.
 const PROMISED: Duration = Duration::from_secs(4);
 
 fn revision(system: &System) -> f64 {
@@ -24,11 +24,9 @@
 
 #[test]
 fn config_in_force_though_a_watch_is_silent() {
-    // Symptom: one proxy serves by yesterday's configuration; nothing logs it.
-    // Sequence: the connection of its watch goes silent, new ones work; an
-    // operator applies a change.
-    // Cause: something between the two ends lost track of the connection, and
-    // a watch that waits for ever can't tell silence from no change.
+    // Guards against a proxy that silently keeps an outdated configuration. The network
+    // loses track of its watch's connection while new connections work. A watch without
+    // a timeout can't distinguish a silent connection from no change.
     let system = System::converged(Config::new(SMALL).faults());
     for entry in 0..system.entries.len() {
         system.network_fault(entry, &json!({ "silent": true }));
@@ -39,9 +37,8 @@
 
 #[test]
 fn config_in_force_though_a_proxy_is_cut_off_from_the_store() {
-    // Symptom: one proxy never learns of a change.
-    // Sequence: it is cut off from the store for good; a change is applied.
-    // Cause: it asks nobody but the store.
+    // A proxy that is permanently cut off from the store has to learn of a change from
+    // its peers.
     let system = System::converged(Config::new(SMALL).faults());
     system.network_fault(0, &json!({ "cut": true }));
     let took = playground::change_config(&system, SMALL);
@@ -50,11 +47,9 @@
 
 #[test]
 fn config_new_proxy_while_the_store_is_down() {
-    // Symptom: a replaced entry VM refuses callers for the whole outage, or
-    // serves by an older configuration.
-    // Sequence: a change is applied; the store goes down; an entry VM is
-    // replaced.
-    // Cause: a new process reads its configuration from the store alone.
+    // Guards against a replaced entry VM that refuses callers during an outage of the
+    // store or uses an older configuration. It has to read the configuration from its
+    // peers, not only from the store.
     let mut system = System::converged(Config::new(SMALL));
     playground::change_config(&system, SMALL);
     let newest = revision(&system);
@@ -67,16 +62,15 @@
 
 #[test]
 fn config_alone_without_store_or_peers_is_not_ready() {
-    // Symptom: a new proxy that knows nothing answers callers.
-    // Sequence: the store is down when the first entry VM starts.
-    // Cause: readiness is taken to be that the port is open.
+    // The only entry VM starts while the store is down. Its proxy has no configuration
+    // and must not be ready merely because its port is open.
     let mut system = System::start(Config::new(SMALL).entries(1));
     system.apply();
     system.wait_serving();
     system.store_down(true);
     system.replace(0);
-    let (status, text) =
-        http::get(system.entries[0].callers(), "/-/ready").expect("an answer to the balancer");
+    let (status, text) = http::get(system.entries[0].callers(), "/-/ready")
+        .expect("a response to the readiness check");
     assert_eq!(status, 503, "{text}");
     assert!(text.contains("configuration"), "{text}");
     system.store_down(false);
@@ -84,11 +78,10 @@
 }
 
 #[test]
-fn config_never_reverts_though_a_frozen_proxy_wakes() {
-    // Symptom: an older configuration is in force again for a moment.
-    // Sequence: a proxy is frozen; two changes are applied; it wakes and tells
-    // its peers of the revision it has.
-    // Cause: the last message heard wins, not the newest revision.
+fn config_never_reverts_though_a_frozen_proxy_resumes() {
+    // Guards against an older configuration being in force again for a moment. A proxy
+    // is frozen, two changes are applied, then it resumes and sends its peers the
+    // revision it has. The newest revision has to win, not the latest message.
     let system = System::converged(Config::new(SMALL));
     system.entries[0].proxy.as_ref().expect("runs").stop().expect("freezes");
     let (code, out) = system.apply_text(&format!("{SMALL}\n; one\n"));
@@ -96,12 +89,12 @@
     let (code, out) = system.apply_text(&format!("{SMALL}\n; two\n"));
     assert_eq!(code, 0, "{out}");
     let newest = revision(&system);
-    wait::until("the others to have it", || {
-        let all = (1..3).all(|entry| in_force(&system, entry) == Some(newest));
-        all.then_some(())
+    wait::until("the other proxies to have the configuration", || {
+        let is_in_force = (1..3).all(|entry| in_force(&system, entry) == Some(newest));
+        is_in_force.then_some(())
     });
     system.entries[0].proxy.as_ref().expect("runs").cont().expect("wakes");
-    wait::until("the woken proxy to have it", || {
+    wait::until("the resumed proxy to have the configuration", || {
         for entry in 1..3 {
             assert!(in_force(&system, entry).is_some_and(|seen| seen >= newest), "reverted");
         }
@@ -110,18 +103,18 @@
 }
 
 #[test]
-fn config_two_operators_at_once_one_conflicts() {
-    // Symptom: one operator's change is gone, and nobody was told.
-    // Sequence: two operators read the same configuration and apply.
-    // Cause: the second write does not say what it was decided on.
+fn config_concurrent_applies_conflict() {
+    // Guards against one operator's change being lost silently: two operators read the
+    // same configuration and apply changes. The second write has to name the revision
+    // it is based on and fail.
     let system = System::converged(Config::new(SMALL));
-    let seen = revision(&system).to_string();
+    let base = revision(&system).to_string();
     let apply = |text: &str| {
         let path = std::env::temp_dir().join(format!("corianderfork-{}.ini", std::process::id()));
         std::fs::write(&path, text).expect("writable");
-        let run = system.operator(&["apply", path.to_str().expect("UTF-8"), "--expect", &seen]);
+        let result = system.operator(&["apply", path.to_str().expect("UTF-8"), "--expect", &base]);
         std::fs::remove_file(path).expect("removable");
-        run
+        result
     };
     let (first, out) = apply(&SMALL.replace("licences = 6", "licences = 7"));
     assert_eq!(first, 0, "{out}");
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -12,8 +12,8 @@
 /// Calls in each step.
 const CALLS: usize = 40;
 
-/// Lookups and transfers in turn; every one has to be answered, if need be
-/// after the caller has come back.
+/// Alternates lookups and transfers, repeating each until it is answered. Returns all
+/// calls.
 fn serve(system: &System, rng: &mut SmallRng) -> Vec<Call> {
     let client = Client::new(load::Config::new(system.targets()));
     let mut calls = Vec::new();
@@ -23,9 +23,9 @@
                 0 => client.lookup("lookup", rng),
                 _ => client.transfer("transfer", rng),
             };
-            let answered = call.outcome == Outcome::Answered;
+            let is_answered = call.outcome == Outcome::Answered;
             calls.push(call);
-            answered.then_some(())
+            is_answered.then_some(())
         });
     }
     calls
@@ -43,7 +43,7 @@
     let before = system.runs().runs.iter().filter(|run| run.vm == "a1").count();
     calls.extend(serve(&system, &mut rng));
     let after = system.runs().runs.iter().filter(|run| run.vm == "a1").count();
-    assert_eq!(before, after, "a drained VM got new work");
+    assert_eq!(before, after, "a drained VM got new requests");
 
     system.entries[0].proxy = None;
     calls.extend(serve(&system, &mut rng));
@@ -65,8 +65,8 @@
     assert_eq!(code, 0, "{out}");
     wait::until("b1 to be rebooted and serve", || {
         let (vm, _) = system.vm("b1")?;
-        let maintained = vm.maintained_ms != before.maintained_ms;
-        (maintained && vm.phase == Phase::Serving).then_some(())
+        let is_maintained = vm.maintained_ms != before.maintained_ms;
+        (is_maintained && vm.phase == Phase::Serving).then_some(())
     });
     assert_eq!(system.stats()["boots"]["b1"], 1);
     assert_eq!(system.runs().cut, 0);
