--- a/benches/slopes/claims.rs
+++ b/benches/slopes/claims.rs
@@ -1,4 +1,4 @@
-//! A shard's owner: ids remembered, bytes written, time a claim.
+//! A shard's owner: memory per remembered id, bytes written per claim and time per claim.
 
 use corianderfork::claim::segment::{Entry, Writer};
 use corianderfork::claim::{
@@ -6,18 +6,18 @@
 };
 use corianderfork::model::{Name, Time};
 
-use crate::fit::{Series, micros, print_resident, resident_kib};
+use crate::fit::{Series, memory_kib, micros, print_retained};
 
 const CLAIMS: [usize; 4] = [2_000, 8_000, 16_000, 32_000];
-/// Claims that meet in one batch.
+/// Claims per batch.
 const BATCH: usize = 8;
-/// Between two batches.
+/// The time between two batches.
 const GAP_MS: u64 = 25;
 const START: Time = Time::from_millis(1_790_000_000_000);
 
 pub fn series() -> Vec<Series> {
     let time = |claims| micros(|| Shard::start().claim(claims)) / claims as f64;
-    let held = |claims| resident_kib("claims", claims);
+    let memory = |claims| memory_kib("claims", claims);
     let written = |claims| {
         let mut shard = Shard::start();
         shard.claim(claims);
@@ -25,20 +25,20 @@
     };
     vec![
         Series::new("proxy", "claim_of_an_owner", ("remembered id", "us"), &CLAIMS, time),
-        Series::new("proxy", "claims_held", ("remembered id", "KiB"), &CLAIMS, held),
+        Series::new("proxy", "claims_held", ("remembered id", "KiB"), &CLAIMS, memory),
         Series::new("store", "journal_written", ("claim", "KiB"), &CLAIMS, written),
     ]
 }
 
-pub fn print_held(claims: usize) {
-    print_resident(|| {
+pub fn print_memory(claims: usize) {
+    print_retained(|| {
         let mut shard = Shard::start();
         shard.claim(claims);
         shard
     });
 }
 
-/// An owner before a store that takes every write.
+/// An owner of a shard with a simulated store that accepts every write.
 struct Shard {
     owner: Owner,
     head: Option<Entry>,
@@ -59,8 +59,8 @@
                 Action::List => Answer::Listed(head.clone().into_iter().collect()),
                 Action::Put { segment, value, .. } => {
                     revision += 1;
-                    let segment_now = Some(value);
-                    head = head.or(Some(Entry { number: segment, revision, segment: segment_now }));
+                    let content = Some(value);
+                    head = head.or(Some(Entry { number: segment, revision, segment: content }));
                     Answer::PutDone { segment, revision }
                 }
                 Action::Read { segment } => Answer::Read { segment, entry: head.clone() },
@@ -68,7 +68,7 @@
             };
             actions = takeover.on_event(START, Event::Store(answer));
         }
-        let owner = takeover.take_owner().expect("nothing stands in the way");
+        let owner = takeover.take_owner().expect("no other owner");
         Self { owner, head, now: START, revision, written: 0 }
     }
 
@@ -81,18 +81,19 @@
     fn claim(&mut self, claims: usize) {
         for number in 0..claims {
             let id = Id::issue(self.now, number as u64);
-            let ask = Request { key: number as u64, id, attempt: Attempt::new(1, number as u64) };
-            let actions = self.owner.on_event(self.now, Event::Request(ask));
-            self.answer(actions);
+            let request =
+                Request { key: number as u64, id, attempt: Attempt::new(1, number as u64) };
+            let actions = self.owner.on_event(self.now, Event::Request(request));
+            self.carry_out(actions);
             if number % BATCH == BATCH - 1 {
                 self.now = Time::from_millis(self.now.as_millis() + GAP_MS);
                 let actions = self.owner.on_event(self.now, Event::Tick);
-                self.answer(actions);
+                self.carry_out(actions);
             }
         }
     }
 
-    fn answer(&mut self, actions: Vec<Action>) {
+    fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             let answer = match action {
                 Action::Put { segment, value, .. } => self.put(segment, &value),
@@ -105,7 +106,7 @@
                 _ => continue,
             };
             let more = self.owner.on_event(self.now, Event::Store(answer));
-            self.answer(more);
+            self.carry_out(more);
         }
     }
 }
--- a/benches/slopes/config.rs
+++ b/benches/slopes/config.rs
@@ -1,8 +1,8 @@
-//! The operators' configuration: read whole by each process at each change.
+//! The operators' configuration, which each process parses completely on each change.
 
 use corianderfork::config;
 
-use crate::fit::{Series, micros, print_resident, resident_kib};
+use crate::fit::{Series, memory_kib, micros, print_retained};
 use crate::fleet;
 
 const SIZES: [usize; 4] = [340, 850, 1700, 2900];
@@ -13,15 +13,15 @@
         let text = fleet::text(vms);
         micros(|| config::parse(&text)) / 1e3
     };
-    let held = |vms| resident_kib("configuration", vms);
+    let memory = |vms| memory_kib("configuration", vms);
     vec![
         Series::new("all", "configuration_text", ("vm", "KiB"), &SIZES, text),
         Series::new("all", "configuration_parse", ("vm", "ms"), &SIZES, parse),
-        Series::new("all", "configuration_held", ("vm", "KiB"), &SIZES, held),
+        Series::new("all", "configuration_held", ("vm", "KiB"), &SIZES, memory),
     ]
 }
 
-pub fn print_held(vms: usize) {
+pub fn print_memory(vms: usize) {
     let text = fleet::text(vms);
-    print_resident(|| (config::parse(&text), text.clone()));
+    print_retained(|| (config::parse(&text), text.clone()));
 }
--- a/benches/slopes/gossip.rs
+++ b/benches/slopes/gossip.rs
@@ -1,4 +1,4 @@
-//! What a proxy tells each partner four times a second, as bytes on the wire.
+//! The report that a proxy sends to each peer four times per second, in bytes on the wire.
 
 use corianderfork_wire::peer;
 use prost::Message;
--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -1,13 +1,13 @@
-//! What each role costs as the fleet grows: measured at several sizes on one
-//! machine, with a straight line fitted through each.
+//! The cost of each role as the fleet grows, measured at several sizes on one machine and
+//! fitted with a straight line.
 //!
 //! ```sh
 //! cargo bench --bench slopes
 //! ```
 //!
-//! Prints CSV: each point, then a line a slope with its spread (the largest
-//! distance of a point from the line, as a share of the largest value). Times
-//! are the least of several rounds, since the machine's other work only adds.
+//! Prints CSV: each point, then one line per slope with its spread, which is the largest
+//! distance of a point from the line as a share of the largest value. Times are the
+//! minimum of several rounds, since other work on the machine can only add to them.
 
 mod claims;
 mod config;
@@ -22,9 +22,9 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().collect();
     if let [_, flag, what, size] = arguments.as_slice()
-        && flag == fit::HELD
+        && flag == fit::MEMORY_FLAG
     {
-        held(what, size.parse().expect("a size"));
+        print_memory(what, size.parse().expect("a size"));
         return;
     }
     let series: Vec<Series> = [
@@ -43,12 +43,12 @@
     series.iter().for_each(Series::print_slope);
 }
 
-fn held(what: &str, size: usize) {
+fn print_memory(what: &str, size: usize) {
     match what {
-        "configuration" => config::print_held(size),
-        "controller" => controller::print_held(size),
-        "router" => proxy::print_held(size),
-        "claims" => claims::print_held(size),
-        _ => panic!("nothing is called {what}"),
+        "configuration" => config::print_memory(size),
+        "controller" => controller::print_memory(size),
+        "router" => proxy::print_memory(size),
+        "claims" => claims::print_memory(size),
+        _ => panic!("unknown measurement: {what}"),
     }
 }
--- a/benches/slopes/proxy.rs
+++ b/benches/slopes/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy's routing: its view of all runners, and one request.
+//! A proxy's router: its view of all runners and the cost of one request.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -7,12 +7,12 @@
 use corianderfork::router::{Config, Router};
 use corianderfork::view;
 
-use crate::fit::{Series, micros, print_resident, resident_kib};
+use crate::fit::{Series, memory_kib, micros, print_retained};
 
 const VMS: [usize; 4] = [50, 850, 1700, 2900];
-/// Runners a service at the target size.
-const RUNNERS_A_SERVICE: usize = 14;
-/// Requests a measurement.
+/// Runners per service at the target size.
+const RUNNERS_PER_SERVICE: usize = 14;
+/// Requests per measurement.
 const REQUESTS: usize = 1000;
 
 pub fn series() -> Vec<Series> {
@@ -20,8 +20,8 @@
         let mut router = router(vms);
         let service = service(0);
         let now = Time::from_millis(10_000);
-        let all = micros(|| (0..REQUESTS).for_each(|_| one(&mut router, &service, now)));
-        all / REQUESTS as f64
+        let total = micros(|| (0..REQUESTS).for_each(|_| route_one(&mut router, &service, now)));
+        total / REQUESTS as f64
     };
     let change = |vms| {
         let mut router = router(vms);
@@ -31,19 +31,19 @@
             router.apply_record(Time::from_millis(10_000), record(0, revision))
         })
     };
-    let held = |vms| resident_kib("router", vms);
+    let memory = |vms| memory_kib("router", vms);
     vec![
         Series::new("proxy", "pick_and_done", ("vm", "us"), &VMS, request),
         Series::new("proxy", "apply_one_vm_record", ("vm", "us"), &VMS, change),
-        Series::new("proxy", "router_held", ("vm", "KiB"), &VMS, held),
+        Series::new("proxy", "router_held", ("vm", "KiB"), &VMS, memory),
     ]
 }
 
-pub fn print_held(vms: usize) {
-    print_resident(|| router(vms));
+pub fn print_memory(vms: usize) {
+    print_retained(|| router(vms));
 }
 
-fn one(router: &mut Router, service: &Name, now: Time) {
+fn route_one(router: &mut Router, service: &Name, now: Time) {
     if let Ok(ticket) = router.pick(now, service, &[]) {
         router.done(now, ticket, Attempt::Answered);
     }
@@ -51,7 +51,7 @@
 
 fn router(vms: usize) -> Router {
     let mut router = Router::new(Name::new("e1").expect("a name"), Config::default());
-    for number in 0..vms.div_ceil(RUNNERS_A_SERVICE) {
+    for number in 0..vms.div_ceil(RUNNERS_PER_SERVICE) {
         router.set_service(&service(number), 8, 64);
     }
     for vm in 0..vms {
@@ -67,7 +67,7 @@
 fn record(vm: usize, revision: u64) -> view::Vm {
     let port = 10_000 + (vm % 50_000) as u16;
     let address = SocketAddr::from((Ipv4Addr::new(10, 0, (vm / 250) as u8, 1), port));
-    let runner = view::Runner::new(service(vm / RUNNERS_A_SERVICE), address, true);
+    let runner = view::Runner::new(service(vm / RUNNERS_PER_SERVICE), address, true);
     let name = Name::new(&format!("v{vm}")).expect("a name");
     view::Vm::new(name, revision).epoch(1).serving(true).runner(runner)
 }
--- a/crates/e2e/benches/processes/fleet.rs
+++ b/crates/e2e/benches/processes/fleet.rs
@@ -1,16 +1,17 @@
-//! Fleets of any size for whole-system measurements.
+//! Generated fleets of any size for whole-system benchmarks.
 
 use std::fmt::Write;
 
-const VMS_A_RACK: usize = 4;
-const CENTRES: usize = 3;
+const VMS_PER_RACK: usize = 4;
+const DATA_CENTRES: usize = 3;
 
-/// `vms` VMs in one pool a hundred, five services a pool, about one copy a VM.
+/// Returns the configuration of `vms` VMs with one pool per hundred VMs, five services
+/// per pool and about one copy per VM.
 pub fn text(vms: usize) -> String {
     let mut text =
         String::from("[fleet]\nversion = 1\nname = measured\n\n[weights]\nmoves = 1\n\n");
     let pools = vms.div_ceil(100);
-    for centre in 0..CENTRES {
+    for centre in 0..DATA_CENTRES {
         write!(text, "[data_centre.dc{centre}]\nregion = r\n\n").expect("memory");
     }
     for pool in 0..pools {
@@ -24,11 +25,11 @@
             text.push_str("unavailable = 20%\noutlasts = vm\nrun_ms = 5\nwarm_ms = 100\n\n");
         }
     }
-    for rack in 0..vms.div_ceil(VMS_A_RACK) {
-        let first = rack * VMS_A_RACK;
+    for rack in 0..vms.div_ceil(VMS_PER_RACK) {
+        let first = rack * VMS_PER_RACK;
         let names: Vec<_> =
-            (first..vms.min(first + VMS_A_RACK)).map(|vm| format!("v{vm}")).collect();
-        let (centre, pool) = (rack % CENTRES, rack % pools);
+            (first..vms.min(first + VMS_PER_RACK)).map(|vm| format!("v{vm}")).collect();
+        let (centre, pool) = (rack % DATA_CENTRES, rack % pools);
         write!(text, "[rack.r{rack}]\ndata_centre = dc{centre}\nvms = {}\n", names.join(", "))
             .expect("memory");
         write!(text, "cores = 16\nmemory_gb = 32\npool = p{pool}\n\n").expect("memory");
--- a/crates/e2e/benches/processes/latency.rs
+++ b/crates/e2e/benches/processes/latency.rs
@@ -1,4 +1,5 @@
-//! What a proxy adds to a request, and how soon a configuration is in force.
+//! The latency that a proxy adds to a request, and the time until a configuration is in
+//! force.
 
 use std::time::Duration;
 
@@ -10,12 +11,12 @@
 
 use crate::usage::processor_seconds;
 
-const LENGTH: Duration = Duration::from_secs(6);
-/// Changes applied for each distribution.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
+/// Configuration changes measured per fault.
 const CHANGES: usize = 30;
 
-/// Lookups and transfers straight to backend servers and through proxies, in
-/// one run, as ratios; then transfers by the number of entry VMs.
+/// Compares lookups and transfers sent directly to backend servers with those through
+/// proxies in one run, then measures transfers by the number of entry VMs.
 pub fn print() {
     println!(
         "path,rate_per_s,lookup_p50_us,lookup_p99_us,transfer_p50_us,transfer_p99_us,answered"
@@ -57,26 +58,26 @@
     for entries in [2, 4, 8] {
         let system = System::converged(Config::new(SMALL).entries(entries));
         for rate in [50.0, 150.0, 300.0] {
-            let before = (writes(&system), busy(&system));
+            let before = (store_writes(&system), proxy_seconds(&system));
             let summary = run(&system.targets(), "transfer", 1000, rate);
-            let seconds = LENGTH.as_secs_f64();
+            let seconds = LOAD_DURATION.as_secs_f64();
             println!(
                 "{entries},{rate:.0},{},{},{},{:.1},{:.2}",
                 summary.transfer.p50_us,
                 summary.transfer.p99_us,
                 summary.answered,
-                (writes(&system) - before.0) / seconds,
-                (busy(&system) - before.1) * 100.0 / seconds / entries as f64,
+                (store_writes(&system) - before.0) / seconds,
+                (proxy_seconds(&system) - before.1) * 100.0 / seconds / entries as f64,
             );
         }
     }
 }
 
-fn writes(system: &System) -> f64 {
+fn store_writes(system: &System) -> f64 {
     system.stats()["writes"].as_f64().unwrap_or_default()
 }
 
-fn busy(system: &System) -> f64 {
+fn proxy_seconds(system: &System) -> f64 {
     system.entries.iter().filter_map(|entry| entry.proxy.as_ref()).map(processor_seconds).sum()
 }
 
@@ -85,14 +86,14 @@
         services: vec![service.to_owned()],
         transfers,
         rate,
-        length: LENGTH,
+        length: LOAD_DURATION,
         workers: 64,
         seed: 5,
     };
     load.run(&load::Config::new(targets.to_vec()), &|_| {})
 }
 
-/// How soon a change is in force at all of eight proxies.
+/// Measures the time until a change is in force at all of eight proxies.
 pub fn print_in_force() {
     println!("fault,changes,p50_ms,p99_ms,max_ms");
     let faults = [
@@ -102,18 +103,18 @@
     ];
     for (name, fault) in faults {
         let system = System::converged(Config::new(SMALL).entries(8).faults());
-        let mut took: Vec<Duration> = Vec::new();
+        let mut times: Vec<Duration> = Vec::new();
         for _ in 0..CHANGES {
             match &fault {
                 Some(fault) if name.starts_with("one") => system.network_fault(0, fault),
                 Some(fault) => (0..8).for_each(|entry| system.network_fault(entry, fault)),
                 None => {}
             }
-            let text = format!("{SMALL}\n; change {}\n", took.len());
-            took.push(playground::change_config(&system, &text));
+            let text = format!("{SMALL}\n; change {}\n", times.len());
+            times.push(playground::change_config(&system, &text));
         }
-        took.sort();
-        let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize].as_millis();
-        println!("{name},{CHANGES},{},{},{}", at(0.5), at(0.99), at(1.0));
+        times.sort();
+        let quantile = |share: f64| times[((times.len() - 1) as f64 * share) as usize].as_millis();
+        println!("{name},{CHANGES},{},{},{}", quantile(0.5), quantile(0.99), quantile(1.0));
     }
 }
--- a/crates/e2e/benches/processes/main.rs
+++ b/crates/e2e/benches/processes/main.rs
@@ -1,12 +1,12 @@
-//! What the processes cost and how fast they are, measured on one machine.
+//! Benchmarks of the processes' latency and resource use on one machine.
 //!
 //! ```sh
 //! cargo build --release --workspace --bins
 //! cargo bench -p corianderfork-e2e --bench processes
 //! ```
 //!
-//! Prints CSV, a block a measurement. Loads are bounded; nothing else should
-//! run on the machine, since bytes are counted over the whole loopback.
+//! Prints a block of CSV per benchmark. Loads are bounded. Nothing else should run on
+//! the machine, since bytes are counted over the whole loopback interface.
 
 mod fleet;
 mod latency;
@@ -14,17 +14,17 @@
 mod usage;
 
 fn main() {
-    let wanted: Vec<String> =
+    let selected: Vec<String> =
         std::env::args().skip(1).filter(|arg| !arg.starts_with('-')).collect();
-    let measures: [(&str, fn()); 5] = [
+    let benchmarks: [(&str, fn()); 5] = [
         ("latency", latency::print),
         ("in_force", latency::print_in_force),
         ("entries", usage::print_by_entries),
         ("vms", usage::print_by_vms),
         ("outage", outage::print),
     ];
-    for (name, print) in measures {
-        if wanted.is_empty() || wanted.iter().any(|one| one == name) {
+    for (name, print) in benchmarks {
+        if selected.is_empty() || selected.iter().any(|other| other == name) {
             print();
         }
     }
--- a/crates/e2e/benches/processes/usage.rs
+++ b/crates/e2e/benches/processes/usage.rs
@@ -1,4 +1,4 @@
-//! Processor time, memory, calls to the platform and bytes, of idle processes.
+//! Processor time, memory, calls to the platform and network bytes of idle processes.
 
 use std::fs;
 use std::time::{Duration, Instant};
@@ -10,16 +10,16 @@
 
 use crate::fleet;
 
-/// How long each size is watched, after it has come to rest.
-const WATCHED: Duration = Duration::from_secs(10);
-/// Time for the first traffic to end.
-const REST: Duration = Duration::from_secs(6);
-/// The kernel's clock ticks a second.
-const TICKS: f64 = 100.0;
+/// The time measured at each size, after it has settled.
+const MEASURED_TIME: Duration = Duration::from_secs(10);
+/// The time for the initial traffic to end.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+/// The kernel's clock ticks per second.
+const TICKS_PER_SECOND: f64 = 100.0;
 const ENTRIES: [usize; 4] = [3, 6, 9, 12];
 const VMS: [usize; 4] = [60, 250, 500, 1000];
 
-/// By the number of entry VMs, at Gourmoti's size of today.
+/// Measures by the number of entry VMs, at Gourmoti's current size.
 pub fn print_by_entries() {
     println!("entries,{HEADER}");
     for entries in ENTRIES {
@@ -28,7 +28,7 @@
     }
 }
 
-/// By the number of VMs, at three entry VMs.
+/// Measures by the number of VMs, with three entry VMs.
 pub fn print_by_vms() {
     println!("vms,{HEADER}");
     for vms in VMS {
@@ -42,9 +42,9 @@
     loopback_kib_per_s";
 
 fn row(system: &System) -> String {
-    std::thread::sleep(REST);
+    std::thread::sleep(SETTLE_TIME);
     let before = Sample::take(system);
-    std::thread::sleep(WATCHED);
+    std::thread::sleep(MEASURED_TIME);
     let after = Sample::take(system);
     let seconds = (after.at - before.at).as_secs_f64();
     let cpu = |of: fn(&Sample) -> &Vec<f64>| -> Vec<f64> {
@@ -53,20 +53,20 @@
     };
     let proxies = cpu(|sample| &sample.proxies);
     let controllers = cpu(|sample| &sample.controllers);
-    let most = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
-    let resting = |values: &[f64]| values.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
+    let min = |values: &[f64]| values.iter().copied().fold(f64::INFINITY, f64::min);
     let rate = |of: fn(&Sample) -> f64| (of(&after) - of(&before)) / seconds;
-    let running = |of: fn(&Entry) -> &Option<Process>| -> f64 {
+    let max_rss = |of: fn(&Entry) -> &Option<Process>| -> f64 {
         let processes = system.entries.iter().filter_map(|entry| of(entry).as_ref());
         processes.map(rss_mib).fold(0.0, f64::max)
     };
     format!(
         "{:.2},{:.1},{:.2},{:.2},{:.1},{:.1},{:.1},{:.1},{:.1}",
-        most(&proxies),
-        running(|entry| &entry.proxy),
-        resting(&controllers),
-        most(&controllers),
-        running(|entry| &entry.controller),
+        max(&proxies),
+        max_rss(|entry| &entry.proxy),
+        min(&controllers),
+        max(&controllers),
+        max_rss(|entry| &entry.controller),
         rate(|sample| sample.reads),
         rate(|sample| sample.writes),
         rate(|sample| sample.watches),
@@ -88,14 +88,14 @@
     fn take(system: &System) -> Self {
         let stats = system.stats();
         let count = |name: &str| stats[name].as_f64().unwrap_or_default();
-        let of = |of: fn(&Entry) -> &Option<Process>| -> Vec<f64> {
+        let processor_times = |of: fn(&Entry) -> &Option<Process>| -> Vec<f64> {
             let processes = system.entries.iter().filter_map(|entry| of(entry).as_ref());
             processes.map(processor_seconds).collect()
         };
         Self {
             at: Instant::now(),
-            proxies: of(|entry| &entry.proxy),
-            controllers: of(|entry| &entry.controller),
+            proxies: processor_times(|entry| &entry.proxy),
+            controllers: processor_times(|entry| &entry.controller),
             reads: count("reads"),
             writes: count("writes") + count("renewals"),
             watches: count("watches"),
@@ -104,13 +104,14 @@
     }
 }
 
-/// Processor time that a process has taken, in seconds.
+/// Returns the processor time that a process has used, in seconds.
 pub fn processor_seconds(process: &Process) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{}/stat", process.id())).unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
-    (ticks(11) + ticks(12)) / TICKS
+    let ticks =
+        |index: usize| fields.get(index).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
+    (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
 
 fn rss_mib(process: &Process) -> f64 {
@@ -120,7 +121,8 @@
     kib.unwrap_or_default() / 1024.0
 }
 
-/// Bytes received on the loopback: each sent byte once, whoever sent it.
+/// Returns the bytes received on the loopback interface, which counts each byte sent by
+/// any process once.
 fn loopback_bytes() -> f64 {
     let table = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = table.lines().find(|line| line.trim_start().starts_with("lo:"));
--- a/crates/e2e/tests/at_most_once.rs
+++ b/crates/e2e/tests/at_most_once.rs
@@ -124,7 +124,7 @@
         wait::until("transfers to run without the frozen proxy", || {
             (system.runs().runs.len() > before + 60).then_some(())
         });
-        proxy.cont().expect("wakes");
+        proxy.cont().expect("resumes");
     });
     assert!(findings.is_clean(), "{findings:?}");
     assert!(answered(&calls) > 100, "{}", answered(&calls));
--- a/crates/e2e/tests/config.rs
+++ b/crates/e2e/tests/config.rs
@@ -93,7 +93,7 @@
         let is_in_force = (1..3).all(|entry| in_force(&system, entry) == Some(newest));
         is_in_force.then_some(())
     });
-    system.entries[0].proxy.as_ref().expect("runs").cont().expect("wakes");
+    system.entries[0].proxy.as_ref().expect("runs").cont().expect("resumes");
     wait::until("the resumed proxy to have the configuration", || {
         for entry in 1..3 {
             assert!(in_force(&system, entry).is_some_and(|seen| seen >= newest), "reverted");
--- a/crates/e2e/tests/graceful.rs
+++ b/crates/e2e/tests/graceful.rs
@@ -189,7 +189,7 @@
     proxy.stop().expect("freezes");
     start_wave(&system, &[&vm]);
     wait_rebooted(&system, &vm);
-    proxy.cont().expect("wakes");
+    proxy.cont().expect("resumes");
     let calls = callers.finish();
     let drained_ms = drain_ms(&records, &vm);
     println!(
--- a/crates/e2e/tests/leaving.rs
+++ b/crates/e2e/tests/leaving.rs
@@ -212,7 +212,7 @@
     let (code, ended_ms) = drain_command(&system, &vm, "3");
     wait_observed(&callers, unix_ms());
     let last_run_ms = last_run_after(&system, &vm, ended_ms);
-    println!("leaving, down with the wish: code {code}, last run {last_run_ms} ms later");
+    println!("leaving, down with the drain: code {code}, last run {last_run_ms} ms later");
     assert!(
         code == PENDING || last_run_ms <= PROMISED_MS,
         "reported as accepted, last run {last_run_ms} ms later"
@@ -259,7 +259,7 @@
         }
     }
     callers.finish();
-    delays.check("store down once it is told to be accepted", vms.len() * ROUNDS);
+    delays.check("store down once reported as accepted", vms.len() * ROUNDS);
 }
 
 #[test]
@@ -327,8 +327,8 @@
     let mut delays = Delays::default();
     for absence in records.absences() {
         let within = |at_ms: u64| at_ms > absence.from_ms && at_ms < absence.until_ms;
-        let here = runs.iter().filter(|run| run.vm == absence.vm && within(run.at_ms));
-        delays.0.push(here.map(|run| run.at_ms - absence.from_ms).max().unwrap_or_default());
+        let runs_within = runs.iter().filter(|run| run.vm == absence.vm && within(run.at_ms));
+        delays.0.push(runs_within.map(|run| run.at_ms - absence.from_ms).max().unwrap_or_default());
     }
     assert_eq!(system.runs().cut, 0);
     callers.finish();
--- a/examples/at_most_once.rs
+++ b/examples/at_most_once.rs
@@ -1,11 +1,10 @@
-//! A balance move that runs once, though its caller asks twice and the process
-//! that ran it is gone.
+//! A balance transfer that runs once, though its caller retries and the process that ran
+//! it is paused.
 //!
-//! Ids are claimed in a journal, kept here in memory in place of a key-value
-//! service with compare-and-swap. An owner grants a claim only after the write
-//! that holds it is confirmed. Then the owner is paused; a successor seals the
-//! journal, and the paused owner, awake again, finds its write refused and
-//! grants nothing.
+//! Ids are claimed in a journal, which is kept in memory here in place of a key-value
+//! store with compare-and-swap. An owner grants a claim only after the write that contains
+//! it is confirmed. Then the owner is paused and a successor seals the journal. When the
+//! paused owner resumes, its write is refused and it grants nothing.
 //!
 //! Run it with `cargo run --example at_most_once`.
 
@@ -19,7 +18,7 @@
 };
 use corianderfork::model::{Name, Time, name};
 
-/// The segments of one shard, each with its revision.
+/// The segments of one shard's journal, each with its revision.
 #[derive(Default)]
 struct Journal {
     revision: u64,
@@ -32,7 +31,7 @@
         Some(Entry { number, revision: *revision, segment: Some(segment.clone()) })
     }
 
-    /// Carries out a call of an owner or a takeover.
+    /// Executes an action of an owner or a takeover and returns the store's answer.
     fn answer(&mut self, action: &Action) -> Option<Answer> {
         match action {
             Action::List => {
@@ -62,19 +61,19 @@
     }
 }
 
-/// Feeds `event` to a takeover until it has become an owner.
+/// Drives a takeover of the shard until it has become an owner.
 fn take_over(journal: &mut Journal, writer: Writer, token: u64, now: Time) -> Owner {
     let mut takeover = Takeover::new(Config::new(), writer, token);
     let mut actions = takeover.on_event(now, Event::Tick);
     while let Some(answer) = actions.pop().and_then(|action| journal.answer(&action)) {
         actions.extend(takeover.on_event(now, Event::Store(answer)));
     }
-    takeover.take_owner().expect("nobody with a later token is there")
+    takeover.take_owner().expect("no writer has a later token")
 }
 
-/// Carries out `actions` and all that follows from them; gives the replies to
-/// asks, and `None` in their place once the owner is deposed.
-fn carry_out(
+/// Executes `actions` and all actions that follow from them. Returns the replies to
+/// requests, or `None` once the owner is deposed.
+fn execute(
     owner: &mut Owner,
     journal: &mut Journal,
     now: Time,
@@ -101,44 +100,44 @@
     let entry_2 = Writer::new(Name::new("entry-2")?, 42);
     let mut first = take_over(&mut journal, entry_1, 1, start);
 
-    // A caller moves a balance. Its answer is lost on the way back.
-    let moved = Id::issue(start, 7);
+    // A caller transfers a balance, and the response is lost.
+    let transfer = Id::issue(start, 7);
     let attempt = Attempt::new(41, 1);
-    let asked = first.on_event(start, Event::Request(Request { key: 1, id: moved, attempt }));
-    assert!(matches!(asked[..], [Action::Put { .. }]), "not granted before it is written");
-    let verdicts = carry_out(&mut first, &mut journal, start, asked);
+    let actions = first.on_event(start, Event::Request(Request { key: 1, id: transfer, attempt }));
+    assert!(matches!(actions[..], [Action::Put { .. }]), "granted before it was written");
+    let verdicts = execute(&mut first, &mut journal, start, actions);
     assert_eq!(verdicts, Some(vec![Verdict::Granted]));
-    println!("entry-1 runs {moved}");
+    println!("entry-1 runs {transfer}");
 
-    // entry-1 is paused, and entry-2 takes the shard over.
+    // entry-1 is paused, and entry-2 takes over the shard.
     let later = start + Duration::from_secs(10);
     let mut second = take_over(&mut journal, entry_2, 2, later);
 
-    // The caller asks again there. Whether the first try ran is not known, so
-    // the second one does not run.
-    let again = Request { key: 2, id: moved, attempt: Attempt::new(42, 1) };
-    let asked = second.on_event(later, Event::Request(again));
-    let verdicts = carry_out(&mut second, &mut journal, later, asked);
+    // The caller retries there. Whether the first attempt ran is unknown, so the second
+    // one does not run.
+    let retry = Request { key: 2, id: transfer, attempt: Attempt::new(42, 1) };
+    let actions = second.on_event(later, Event::Request(retry));
+    let verdicts = execute(&mut second, &mut journal, later, actions);
     let outcome = Outcome::Unknown;
     assert_eq!(verdicts, Some(vec![Verdict::Duplicate { outcome, holder: attempt }]));
     println!("entry-2 does not run it again: {verdicts:?}");
 
-    // entry-1 wakes and is asked for another move. Its write meets the seal.
+    // entry-1 resumes and receives another transfer. Its write fails at the sealed journal.
     let other = Id::issue(later, 8);
     let stale = Request { key: 3, id: other, attempt: Attempt::new(41, 2) };
-    let asked = first.on_event(later, Event::Request(stale));
-    let verdicts = carry_out(&mut first, &mut journal, later, asked);
+    let actions = first.on_event(later, Event::Request(stale));
+    let verdicts = execute(&mut first, &mut journal, later, actions);
     assert!(verdicts.is_none_or(|verdicts| !verdicts.contains(&Verdict::Granted)));
     println!("entry-1 woke, and grants nothing");
 
-    // Nobody ran that one: entry-2 may.
-    let ask = Request { key: 4, id: other, attempt: Attempt::new(42, 2) };
-    let asked = second.on_event(later, Event::Request(ask));
-    let verdicts = carry_out(&mut second, &mut journal, later, asked);
+    // Nobody ran that transfer, so entry-2 may.
+    let request = Request { key: 4, id: other, attempt: Attempt::new(42, 2) };
+    let actions = second.on_event(later, Event::Request(request));
+    let verdicts = execute(&mut second, &mut journal, later, actions);
     assert_eq!(verdicts, Some(vec![Verdict::Granted]));
-    let done = Event::Settle { id: other, attempt: ask.attempt, end: End::Done };
+    let done = Event::Settle { id: other, attempt: request.attempt, end: End::Done };
     let actions = second.on_event(later, done);
-    carry_out(&mut second, &mut journal, later, actions);
+    execute(&mut second, &mut journal, later, actions);
     println!("entry-2 runs {other}");
     Ok(())
 }
--- a/examples/fenced_worker.rs
+++ b/examples/fenced_worker.rs
@@ -1,10 +1,10 @@
-//! Work that one process does for all, safe against a holder that was paused.
+//! A plan that one process publishes for all, safe against a lease holder that was paused.
 //!
-//! Two workers want to publish a plan. A lease says whose turn it is, and the
-//! fencing token (the revision of the key under the lease) says which plan is
-//! newer. The first worker is paused past its lease and wakes with a plan in
-//! its hands. Without fencing, readers would take that plan for news and undo
-//! the second worker's; here a `Register` finds its token older and drops it.
+//! Two workers want to publish a plan. A lease decides which of them may, and the fencing
+//! token (the revision of the key under the lease) decides which plan is newer. The first
+//! worker is paused until its lease has expired and resumes with an outdated plan. Without
+//! fencing, readers would apply that plan over the second worker's. Here a `Register`
+//! rejects it because its token is older.
 //!
 //! Run it with `cargo run --example fenced_worker`.
 
@@ -14,10 +14,10 @@
 use corianderfork::model::Time;
 use corianderfork::register::{Offer, Register};
 
-/// How long the store keeps a lease that is not renewed.
+/// How long a lease lasts without renewal.
 const TTL: Duration = Duration::from_secs(9);
 
-/// A store with one key, in memory: leases, and create-if-absent.
+/// An in-memory store of one key, with leases and create-if-absent.
 #[derive(Default)]
 struct Store {
     revision: u64,
@@ -26,7 +26,7 @@
 }
 
 impl Store {
-    /// Carries out what a holder asks; nobody waits for the answer to a revoke.
+    /// Executes a holder's action and returns the answer. A revoke has no answer.
     fn answer(&mut self, action: Action) -> Option<Answer> {
         match action {
             Action::Grant => {
@@ -56,13 +56,13 @@
         self.key.is_some_and(|key| key.lease == Some(lease))
     }
 
-    /// The holder was not heard of for the time to live.
-    fn lapse(&mut self) {
+    /// Expires the lease, as the store does after its time to live without a renewal.
+    fn expire_lease(&mut self) {
         self.key = None;
     }
 }
 
-/// Feeds `event` to `holder`, and to it each answer that the store gives.
+/// Passes `event` to `holder`, and then each answer of the store.
 fn drive(holder: &mut Holder, store: &mut Store, now: Time, event: Event) {
     let mut events = vec![event];
     while let Some(event) = events.pop() {
@@ -81,30 +81,30 @@
     let start = Time::from_millis(0);
     drive(&mut first, &mut store, start, Event::Tick);
     drive(&mut second, &mut store, start, Event::Tick);
-    let old = first.token(start).expect("the first to ask holds the lease");
+    let old = first.token(start).expect("the first worker holds the lease");
     assert_eq!(second.token(start), None, "one holder at a time");
     assert_eq!(plan.offer(old.0, "drain rack k1"), Offer::Applied);
     println!("first holds {old:?}: {:?}", plan.get());
 
-    // The first is paused here, between the question above and its next write.
-    // The store hears nothing of it, and the second takes over.
-    store.lapse();
+    // The first is paused here, between checking its token and its next write. Its lease
+    // expires at the store, and the second takes over.
+    store.expire_lease();
     let later = start + TTL + Duration::from_secs(1);
     drive(&mut second, &mut store, later, Event::Vacant);
     let new = second.token(later).expect("the key was absent");
-    assert!(new > old, "a token grows with each holder");
+    assert!(new > old, "each holder's token is larger than the last");
     assert_eq!(plan.offer(new.0, "keep rack k1"), Offer::Applied);
     println!("second holds {new:?}: {:?}", plan.get());
 
-    // The first wakes. Its write was decided under the old token.
+    // The first resumes. It decided on its write under the old token.
     assert_eq!(plan.offer(old.0, "reboot rack k1"), Offer::Stale);
-    assert_eq!(first.token(later), None, "its own clock says so, too");
+    assert_eq!(first.token(later), None, "the lease has expired by the first's own clock");
     drive(&mut first, &mut store, later, Event::Tick);
-    assert_eq!(second.token(later), Some(new), "the second is not disturbed");
+    assert_eq!(second.token(later), Some(new), "the second keeps the lease");
     assert_eq!(plan.get(), Some(&"keep rack k1"));
     println!("first woke; its plan was dropped: {:?}", plan.get());
 
-    // A graceful stop gives the key up at once instead of at the lease's end.
+    // A graceful stop releases the key at once instead of when the lease expires.
     drive(&mut second, &mut store, later, Event::Release);
     assert_eq!(store.key, None);
     assert_eq!(second.token(later), None::<Token>);
--- a/examples/route_and_retry.rs
+++ b/examples/route_and_retry.rs
@@ -1,10 +1,9 @@
-//! Lookups over three copies, one of which fails all that it is given.
+//! Lookups over three copies, one of which fails every request.
 //!
-//! A copy that fails at once is never busy, so a balancer that looks at load
-//! alone sends it the most work. The router looks at success as well: it passes
-//! over a copy that fails while others are free, and ejects one that goes on
-//! failing. A retry budget bounds the second tries meanwhile: failures of one
-//! copy must not double the load of the others.
+//! A copy that fails at once is never busy, so a balancer that considers only load sends
+//! it the most requests. The router also considers success: it skips a copy that fails
+//! while others are free, and ejects one that keeps failing. Meanwhile a retry budget
+//! limits the retries, so that failures of one copy don't double the load of the others.
 //!
 //! Run it with `cargo run --example route_and_retry`.
 
@@ -17,13 +16,14 @@
 use corianderfork::router::{Config, Router};
 use corianderfork::view::{Runner, Vm};
 
-/// Requests, and the time between two of them.
+/// The number of requests.
 const REQUESTS: u64 = 300;
-const GAP: Duration = Duration::from_millis(20);
-/// Tries of one request, the first included.
+/// The time between two requests.
+const INTERVAL: Duration = Duration::from_millis(20);
+/// The most tries of one request, including the first.
 const MAX_TRIES: u32 = 2;
 
-/// What the callers saw, and what the failing copy was given.
+/// The outcomes at callers, and the tries sent to the failing copy.
 #[derive(Debug, Default)]
 struct Tally {
     answered: u64,
@@ -33,12 +33,12 @@
     given_to_failing: u64,
 }
 
-/// What a copy does with a lookup: the one on `vm-2` cuts every connection.
+/// Simulates a lookup at the copy on `vm`. The one on `vm-2` resets every connection.
 fn try_at(vm: &Name) -> Attempt {
     if vm.as_str() == "vm-2" { Attempt::Unknown(Doubt::Reset) } else { Attempt::Answered }
 }
 
-/// Runs one lookup, which is idempotent, to its end.
+/// Makes one lookup, which is idempotent, with retries.
 fn lookup(
     router: &mut Router,
     budget: &mut Budget,
@@ -80,7 +80,7 @@
     let mut budget = Budget::new(retry::Config::default().share(tenth));
 
     let mut tally = Tally::default();
-    // A share of a copy's slots is used after it has settled.
+    // The router uses its share of a copy's slots only after the share has settled.
     let mut now = Time::from_millis(2_000);
     for _ in 0..REQUESTS {
         router.count_request(now, &service);
@@ -89,17 +89,17 @@
             Outcome::Unknown(_) => tally.unknown += 1,
             Outcome::NotRun(_) => tally.not_run += 1,
         }
-        now = now + GAP;
+        now = now + INTERVAL;
     }
     println!("{tally:?}");
 
     assert_eq!(tally.answered + tally.unknown + tally.not_run, REQUESTS);
-    // By load alone it would get a third of the tries or more.
-    assert!(tally.given_to_failing < REQUESTS / 10, "it is left alone");
-    assert!(tally.retries <= REQUESTS / 10, "retries stay within their budget");
+    // By load alone, the failing copy would get a third of the tries or more.
+    assert!(tally.given_to_failing < REQUESTS / 10, "the failing copy is skipped");
+    assert!(tally.retries <= REQUESTS / 10, "retries stay within the budget");
     assert!(tally.answered > REQUESTS * 9 / 10, "the other two copies carry the load");
 
-    // A transfer is another matter: after a cut connection it may have run.
+    // A transfer is not retried: after a connection reset it may have run.
     assert!(!try_at(&Name::new("vm-2")?).may_retry(false));
     Ok(())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,50 +1,49 @@
-//! Coordination parts for fleets that are maintained while they serve.
+//! Coordination components for fleets that are maintained while they serve.
 //!
-//! Each part here is a decision kept apart from the world: time and events go
-//! in, actions come out. None of them reads a clock, starts a thread, does I/O
-//! or draws a random number that was not seeded, so a program embeds one
-//! without taking the others, tests it without waiting, and replays it from a
-//! log. The daemons of this project are thin shells around the same parts.
+//! Each component is a deterministic state machine or function: time and events go in,
+//! actions come out. None of them reads a clock, starts a thread, does I/O or uses an
+//! unseeded random number. A program can therefore embed one without the others, test it
+//! without waiting and replay it from a log. This project's daemons are thin layers around
+//! the same components.
 //!
-//! | part | asks | answers |
+//! | component | question | result |
 //! |---|---|---|
-//! | [`lease`] | may I act now? | a fencing token, or no |
-//! | [`member`] | who is there, and am I in touch? | members by incarnation, ages of contact |
-//! | [`claim`] | may this attempt run this id? | granted once, whoever asks and how often |
-//! | [`drain`] | is anything still in flight there? | who has yet to confirm |
-//! | [`register`] | is this newer than what I have? | applied, the same, or stale |
-//! | [`backoff`] | when do I try again? | a jittered wait |
-//! | [`router`] | which copy serves this request? | a ticket, or when to come back |
-//! | [`queue`] | who waits, and who is refused at once? | the most urgent, the oldest |
-//! | [`limits`] | how much of a shared copy is mine? | a share that sums up over all |
-//! | [`retry`] | may I try once more? | yes within a budget |
-//! | [`outlier`] | which copies fail? | ejections, bounded |
-//! | [`rules`] | which rule decides? | the first that matches, and why |
+//! | [`lease`] | may this process act now? | a fencing token, or none |
+//! | [`member`] | which members exist, and is this one connected? | members by incarnation, ages of contact |
+//! | [`claim`] | may this attempt run this id? | one grant per id |
+//! | [`drain`] | is a request still in flight there? | the members yet to confirm |
+//! | [`register`] | is this value newer than the current one? | applied, the same, or stale |
+//! | [`backoff`] | when is the next retry? | a delay with jitter |
+//! | [`router`] | which copy serves this request? | a ticket, or a time to retry |
+//! | [`queue`] | which requests wait, and which are refused at once? | the most urgent and oldest first |
+//! | [`limits`] | how much of a shared copy may this process use? | shares that add up to its capacity |
+//! | [`retry`] | may this request be retried? | yes, within a budget |
+//! | [`outlier`] | which copies fail? | a bounded number of ejections |
+//! | [`rules`] | which rule applies? | the first that matches, and why |
 //! | [`policy`] | how many copies, where, and when to maintain? | steps with reasons |
-//! | [`jobs`] | which task runs where, until when, and what has ended? | orders to workers, rows to write |
+//! | [`jobs`] | which task runs where, until when, and which have ended? | orders to workers, rows to write |
 //!
-//! Each module says when to use it, what goes wrong without it, and what it
-//! does not promise. Three programs under `examples/` put parts together:
-//! `fenced_worker` (a lease and a register), `at_most_once` (claims against a
-//! journal in memory) and `route_and_retry` (a router and a retry budget).
+//! Each module documents when to use it, what fails without it and what it does not
+//! guarantee. Three programs under `examples/` combine components: `fenced_worker` (a lease
+//! and a register), `at_most_once` (claims in an in-memory journal) and `route_and_retry`
+//! (a router and a retry budget).
 //!
-//! # How a part is driven
+//! # Driving a component
 //!
-//! The program around a part owns clock and I/O. It tells the part what
-//! happened and when, carries out the actions that come back, and tells the
-//! answers. Where a part asks to be woken, its `wake` gives the time. An answer
-//! that never comes is told as failed or unknown, after a timeout of the
-//! program's own; which of the two is the difference between "not written" and
-//! "perhaps written", and the parts treat them apart.
+//! The embedding program owns the clock and the I/O. It passes each event with its time to
+//! the component, executes the returned actions and passes back the answers. If a component
+//! needs a timer, its `wake` returns the time. When an answer does not arrive within the
+//! program's own timeout, the program reports it as failed or as unknown. Failed means "not
+//! written" and unknown means "perhaps written", and components treat the two differently.
 //!
-//! # Example: a configuration that never goes back
+//! # Example: a configuration that never reverts
 //!
 //! ```
 //! use corianderfork::register::{Offer, Register};
 //!
 //! let mut config = Register::default();
 //! assert_eq!(config.offer(4, "four"), Offer::Applied);
-//! // A slow path brings an older revision: it is not taken.
+//! // An older revision that arrives late is rejected.
 //! assert_eq!(config.offer(3, "three"), Offer::Stale);
 //! assert_eq!(config.get(), Some(&"four"));
 //! ```
@@ -64,9 +63,10 @@
 //! let written = Event::Store(Answer::PutDone { revision: 70 });
 //! let _ = holder.on_event(now, written);
 //!
-//! // Ask directly before each act; write under the token that it gives.
+//! // Check directly before each action, and write under the returned token.
 //! assert!(holder.token(Time::from_millis(1_000)).is_some());
-//! // Not renewed, so it ends: by its own clock, a margin before the store's.
+//! // Without a renewal the lease expires by the holder's own clock, a margin before it
+//! // does at the store.
 //! assert!(holder.token(Time::from_millis(8_500)).is_none());
 //! ```
 
