--- a/crates/e2e/src/bin/outage.rs
+++ b/crates/e2e/src/bin/outage.rs
@@ -101,8 +101,9 @@
 /// Returns whether a proxy skips a VM, by the last line of its log on the VM's drain.
 fn is_drained(log: &str, vm: &str) -> bool {
     let has = |line: &&str, text: &str| line.split([' ', ',', '}']).any(|word| word == text);
-    let is_about_vm =
-        |line: &&str| line.contains("an operator's drain") && has(line, &format!("vm={vm}"));
+    let is_about_vm = |line: &&str| {
+        line.contains("drain request of an operator changed") && has(line, &format!("vm={vm}"))
+    };
     log.lines().rfind(is_about_vm).is_some_and(|line| has(&line, "holds=true"))
 }
 
