--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -1,6 +1,6 @@
 //! Records as the store holds them, and the audit of changing them.
 
-use corianderfork_provider::record::{Config, Line};
+use corianderfork_provider::record::{AuditLine, Config};
 use corianderfork_provider::store::{Lookup, Revision};
 use corianderfork_provider::{key, store};
 use serde::de::DeserializeOwned;
@@ -77,7 +77,7 @@
 /// could not be added, if so: the change itself stands, so that this is no
 /// failure of the command.
 pub fn audit(context: &Context<'_>, done: &Done<'_>) -> Option<String> {
-    let line = Line {
+    let line = AuditLine {
         at_ms: context.clock.unix_ms(),
         who: context.by.to_owned(),
         what: done.what.to_owned(),
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,7 +1,7 @@
 //! `show`, `history` and `explain`: the records for readers and for scripts.
 
 use corianderfork_provider::key;
-use corianderfork_provider::record::{Explain, Holder, Line, Member, Wave};
+use corianderfork_provider::record::{AuditLine, Explain, Holder, Member, Wave};
 use corianderfork_provider::store::Range;
 use serde::Serialize;
 
@@ -195,7 +195,7 @@
 ///
 /// Fails if the store can't be read.
 pub fn audit(context: &Context<'_>) -> Result<Report, Error> {
-    let rows: Vec<Line> = Trail::new(&range(context, key::AUDIT)?).lines();
+    let rows: Vec<AuditLine> = Trail::new(&range(context, key::AUDIT)?).lines();
     let mut table = Table::new(["REVISION", "WHEN", "WHO", "WHAT", "FROM", "TO"]);
     for row in &rows {
         let (who, what) = (row.who.clone(), row.what.clone());
--- a/crates/cli/tests/apply.rs
+++ b/crates/cli/tests/apply.rs
@@ -3,7 +3,7 @@
 mod fake;
 
 use corianderfork_provider::key::{AUDIT, CONFIG, audit};
-use corianderfork_provider::record::{Audit, Config};
+use corianderfork_provider::record::{AuditSegment, Config};
 use fake::{Fake, Fault, file, json, sample, theirs};
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 fn audited(store: &Fake) -> Vec<u64> {
     let Some(value) = store.value(&audit(0)) else { return Vec::new() };
-    let trail: Audit = serde_json::from_str(&value).expect("it is a segment");
+    let trail: AuditSegment = serde_json::from_str(&value).expect("it is a segment");
     trail.lines.iter().map(|line| line.revision).collect()
 }
 
--- a/crates/cli/tests/audit.rs
+++ b/crates/cli/tests/audit.rs
@@ -4,13 +4,13 @@
 
 use corianderfork_provider::audit::{FIELD_CHARS, SEGMENT_BYTES, SEGMENTS, Trail, Writer};
 use corianderfork_provider::key::{AUDIT, audit};
-use corianderfork_provider::record::Line;
+use corianderfork_provider::record::AuditLine;
 use corianderfork_provider::store::{MAX_VALUE, Store};
 use fake::{Fake, Fault};
 
-fn line(revision: u64) -> Line {
+fn line(revision: u64) -> AuditLine {
     let text = |what: &str| what.repeat(100);
-    Line {
+    AuditLine {
         at_ms: revision,
         who: "controller".to_owned(),
         what: format!("vm v{revision}"),
@@ -36,7 +36,7 @@
     let mut writer = Writer::new();
     let mut appended = 0;
     while store.value(&audit(SEGMENTS as u64 + 1)).is_none() {
-        let lines: Vec<Line> = (appended..appended + 60).map(line).collect();
+        let lines: Vec<AuditLine> = (appended..appended + 60).map(line).collect();
         writer.append(&store, &lines).expect("the store is up");
         appended += 60;
     }
@@ -82,7 +82,7 @@
     // Cause: only the segment to be written is searched for the lines.
     let store = Fake::default();
     let mut writer = Writer::new();
-    let lines: Vec<Line> = (0..500).map(line).collect();
+    let lines: Vec<AuditLine> = (0..500).map(line).collect();
     let mut batches = lines.chunks(50);
     let full = |store: &Fake| store.value(&audit(0)).is_some_and(|v| v.len() >= SEGMENT_BYTES);
     while !full(&store) {
@@ -108,7 +108,7 @@
     }
     let mut next = 10_000;
     while store.value(&audit(SEGMENTS as u64 + 2)).is_none() {
-        let lines: Vec<Line> = (next..next + 60).map(line).collect();
+        let lines: Vec<AuditLine> = (next..next + 60).map(line).collect();
         Writer::new().append(&store, &lines).expect("the store is up");
         next += 60;
     }
@@ -148,8 +148,8 @@
 fn append_longest_lines_fit_the_store() {
     let store = Fake::default();
     let long = "\u{1}".repeat(20 * FIELD_CHARS);
-    let longest = |revision| Line { from: long.clone(), to: long.clone(), ..line(revision) };
-    let lines: Vec<Line> = (0..200).map(longest).collect();
+    let longest = |revision| AuditLine { from: long.clone(), to: long.clone(), ..line(revision) };
+    let lines: Vec<AuditLine> = (0..200).map(longest).collect();
     Writer::new().append(&store, &lines).expect("the store is up");
     let sizes = segments(&store).into_iter().map(|key| store.value(&key).map_or(0, |v| v.len()));
     assert!(sizes.max().is_some_and(|size| size <= MAX_VALUE));
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use corianderfork_provider::key::{CONFIG, audit};
-use corianderfork_provider::record::Audit;
+use corianderfork_provider::record::AuditSegment;
 use fake::{Fake, Fault, json, sample, theirs};
 
 const KEY: &str = "shared/drain/v01";
@@ -19,7 +19,7 @@
 
 fn changes(store: &Fake) -> Vec<(String, u64)> {
     let Some(value) = store.value(&audit(0)) else { return Vec::new() };
-    let trail: Audit = serde_json::from_str(&value).expect("it is a segment");
+    let trail: AuditSegment = serde_json::from_str(&value).expect("it is a segment");
     trail.lines.into_iter().map(|line| (line.what, line.revision)).collect()
 }
 
--- a/crates/controller/src/actor/planner/outcome.rs
+++ b/crates/controller/src/actor/planner/outcome.rs
@@ -2,7 +2,7 @@
 
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::key;
-use corianderfork_provider::record::{Line, Wave};
+use corianderfork_provider::record::{AuditLine, Wave};
 use corianderfork_provider::store::{Entry, Error, Revision};
 use corianderfork_runtime::clock::unix_millis;
 use stakker::CX;
@@ -72,7 +72,7 @@
         revision: Revision,
     ) {
         let at_ms = unix_millis();
-        self.audit.push(Line { at_ms, who, what, from, to, revision: revision.0 });
+        self.audit.push(AuditLine { at_ms, who, what, from, to, revision: revision.0 });
     }
 
     pub(super) fn on_wave_written(&mut self, now: Time, from: &Wave, wave: Wave, outcome: Outcome) {
--- a/crates/controller/src/outbox.rs
+++ b/crates/controller/src/outbox.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use corianderfork_model::Time;
-use corianderfork_provider::record::{Explain, Line};
+use corianderfork_provider::record::{AuditLine, Explain};
 use corianderfork_provider::store::Revision;
 
 use crate::plan::explain::comparable;
@@ -24,14 +24,14 @@
 /// Audit lines that are still to be written. Does no I/O.
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
-    pending: VecDeque<Line>,
+    pending: VecDeque<AuditLine>,
     in_flight: usize,
     next_write: Time,
 }
 
 impl Audit {
     /// Adds a line.
-    pub fn push(&mut self, line: Line) {
+    pub fn push(&mut self, line: AuditLine) {
         if self.pending.len() >= CAPACITY {
             log::warn!(
                 "audit queue is full as the trail can't be written; dropped its oldest line"
@@ -42,7 +42,7 @@
     }
 
     /// Returns the lines to be written now. [`Audit::on_end`] must follow.
-    pub fn take(&mut self, now: Time) -> Option<Vec<Line>> {
+    pub fn take(&mut self, now: Time) -> Option<Vec<AuditLine>> {
         if self.in_flight > 0 || self.pending.is_empty() || now < self.next_write {
             return None;
         }
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -11,7 +11,7 @@
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::fleet::{Control, Task, Usage, Vm};
 use corianderfork_provider::key;
-use corianderfork_provider::record::Line;
+use corianderfork_provider::record::AuditLine;
 use corianderfork_provider::store::{
     Changes, Entry, Error, Expect, LeaseId, Lookup, Range, Revision, Store,
 };
@@ -179,7 +179,7 @@
 // be written, a failed write must not drop its lines.
 #[test]
 fn audit_failed_write_keeps_lines() {
-    let line = |revision| Line {
+    let line = |revision| AuditLine {
         at_ms: 0,
         who: String::new(),
         what: String::new(),
--- a/crates/provider/src/audit.rs
+++ b/crates/provider/src/audit.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 
 use crate::key;
-use crate::record::{Audit, Line};
+use crate::record::{AuditLine, AuditSegment};
 use crate::store::{Entry, Error, Expect, Range, Revision, Store};
 
 /// A segment with at least this many bytes takes no more lines.
@@ -40,7 +40,7 @@
     /// What it has to replace.
     pub expect: Expect,
     number: u64,
-    audit: Audit,
+    audit: AuditSegment,
 }
 
 /// A segment to drop.
@@ -58,18 +58,18 @@
     number: u64,
     revision: Revision,
     bytes: usize,
-    audit: Audit,
+    audit: AuditSegment,
 }
 
 /// The end of the trail as it was last seen.
 ///
 /// ```
 /// use corianderfork_provider::audit::Trail;
-/// use corianderfork_provider::record::Line;
+/// use corianderfork_provider::record::AuditLine;
 /// use corianderfork_provider::store::{Range, Revision};
 ///
 /// let trail = Trail::new(&Range { revision: Revision(7), entries: Vec::new() });
-/// let line = Line {
+/// let line = AuditLine {
 ///     at_ms: 0,
 ///     who: "operator".to_owned(),
 ///     what: "drain v01".to_owned(),
@@ -100,8 +100,8 @@
     ///
     /// An append whose answer was lost may have taken effect; asking again for
     /// all its lines would put them into the trail twice.
-    pub fn missing(&self, lines: &[Line]) -> Vec<Line> {
-        let seen = |line: &&Line| {
+    pub fn missing(&self, lines: &[AuditLine]) -> Vec<AuditLine> {
+        let seen = |line: &&AuditLine| {
             let latest = self.segments.iter().rev().take(SEARCHED);
             !latest.flat_map(|segment| &segment.audit.lines).any(|other| other == *line)
         };
@@ -114,12 +114,12 @@
     }
 
     /// The write that adds `lines`.
-    pub fn append(&self, lines: &[Line]) -> Put {
+    pub fn append(&self, lines: &[AuditLine]) -> Put {
         let open = self.segments.back().filter(|_| !self.rolls());
         let next = || self.segments.back().map_or(0, |segment| segment.number + 1);
         let number = open.map_or_else(next, |segment| segment.number);
         let expect = open.map_or(Expect::Absent, |segment| Expect::Revision(segment.revision));
-        let mut audit = open.map_or_else(Audit::default, |segment| segment.audit.clone());
+        let mut audit = open.map_or_else(AuditSegment::default, |segment| segment.audit.clone());
         audit.lines.extend(lines.iter().cloned());
         let value = serde_json::to_string(&audit).expect("strings and numbers are always JSON");
         Put { key: key::audit(number), value, expect, number, audit }
@@ -144,9 +144,9 @@
     }
 
     /// All lines, in the order of their revisions.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<AuditLine> {
         let segments = self.segments.iter();
-        let mut lines: Vec<Line> =
+        let mut lines: Vec<AuditLine> =
             segments.flat_map(|segment| segment.audit.lines.clone()).collect();
         lines.sort_by_key(|line| line.revision);
         lines
@@ -165,7 +165,9 @@
         let revision = entry.revision;
         let segment = match serde_json::from_str(&entry.value) {
             Ok(audit) => Self { number, revision, bytes: entry.value.len(), audit },
-            Err(_) => Self { number, revision, bytes: SEGMENT_BYTES, audit: Audit::default() },
+            Err(_) => {
+                Self { number, revision, bytes: SEGMENT_BYTES, audit: AuditSegment::default() }
+            }
         };
         Some(segment)
     }
@@ -194,12 +196,12 @@
     ///
     /// Fails as the store does; with [`Error::Conflict`] only after having
     /// lost against other writers many times in a row.
-    pub fn append(&mut self, store: &dyn Store, lines: &[Line]) -> Result<(), Error> {
-        let lines: Vec<Line> = lines.iter().map(clipped).collect();
+    pub fn append(&mut self, store: &dyn Store, lines: &[AuditLine]) -> Result<(), Error> {
+        let lines: Vec<AuditLine> = lines.iter().map(clipped).collect();
         lines.chunks(BATCH).try_for_each(|batch| self.append_batch(store, batch))
     }
 
-    fn append_batch(&mut self, store: &dyn Store, lines: &[Line]) -> Result<(), Error> {
+    fn append_batch(&mut self, store: &dyn Store, lines: &[AuditLine]) -> Result<(), Error> {
         let mut result = Ok(());
         for _ in 0..ATTEMPTS {
             result = self.attempt(store, lines);
@@ -210,7 +212,7 @@
         result
     }
 
-    fn attempt(&mut self, store: &dyn Store, lines: &[Line]) -> Result<(), Error> {
+    fn attempt(&mut self, store: &dyn Store, lines: &[AuditLine]) -> Result<(), Error> {
         // Before a new segment the trail is read anew: a writer paused for the
         // whole retention would else begin one that was dropped long ago, and
         // its lines would lie at the wrong end and be dropped next.
@@ -240,9 +242,9 @@
     }
 }
 
-fn clipped(line: &Line) -> Line {
+fn clipped(line: &AuditLine) -> AuditLine {
     let clip = |text: &str| text.chars().take(FIELD_CHARS).collect();
-    Line {
+    AuditLine {
         at_ms: line.at_ms,
         who: clip(&line.who),
         what: clip(&line.what),
--- a/crates/provider/src/key.rs
+++ b/crates/provider/src/key.rs
@@ -70,7 +70,7 @@
     format!("{}{segment:08}", claim_log(shard))
 }
 
-/// A segment of the audit trail: [`crate::record::Audit`].
+/// A segment of the audit trail: [`crate::record::AuditSegment`].
 pub fn audit(segment: u64) -> String {
     format!("{AUDIT}{segment:08}")
 }
--- a/crates/provider/src/record.rs
+++ b/crates/provider/src/record.rs
@@ -215,7 +215,7 @@
 
 /// A change in the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct AuditLine {
     /// When, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// Who or what rule.
@@ -232,7 +232,7 @@
 
 /// A segment of the audit trail.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Audit {
+pub struct AuditSegment {
     /// The changes, oldest first.
-    pub lines: Vec<Line>,
+    pub lines: Vec<AuditLine>,
 }
