--- a/crates/model/src/arena.rs
+++ b/crates/model/src/arena.rs
@@ -1,15 +1,15 @@
-//! Growing tables addressed by small `Copy` ids.
+//! Append-only tables addressed by small `Copy` ids.
 //!
-//! Nothing is ever removed from an [`Arena`]: a fleet is replaced whole when a
-//! new configuration comes into force, so ids need no generation.
+//! Items are never removed from an [`Arena`]. A new configuration replaces the
+//! whole fleet, so ids need no generation counter.
 
 use std::marker::PhantomData;
 
-/// A `Copy` id over an index into an [`Arena`].
+/// A typed index into an [`Arena`].
 pub trait Id: Copy + Eq + Ord + std::fmt::Debug {
-    /// The id of the row at `index`.
+    /// Returns the id of the item at `index`.
     fn from_index(index: usize) -> Self;
-    /// The index of the row.
+    /// Returns the index of the item.
     fn index(self) -> usize;
 }
 
@@ -23,7 +23,7 @@
 
         impl $crate::arena::Id for $name {
             fn from_index(index: usize) -> Self {
-                Self(u32::try_from(index).expect("an arena holds fewer than 2^32 rows"))
+                Self(u32::try_from(index).expect("an arena holds fewer than 2^32 items"))
             }
 
             fn index(self) -> usize {
@@ -33,55 +33,55 @@
     };
 }
 
-/// Rows of `T` addressed by ids of `I`.
+/// Items of type `T` addressed by ids of type `I`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arena<I, T> {
-    rows: Vec<T>,
+    items: Vec<T>,
     id: PhantomData<I>,
 }
 
 impl<I, T> Default for Arena<I, T> {
     fn default() -> Self {
-        Self { rows: Vec::new(), id: PhantomData }
+        Self { items: Vec::new(), id: PhantomData }
     }
 }
 
 impl<I: Id, T> Arena<I, T> {
-    /// Adds a row and gives its id.
-    pub fn push(&mut self, row: T) -> I {
-        let id = I::from_index(self.rows.len());
-        self.rows.push(row);
+    /// Adds an item and returns its id.
+    pub fn push(&mut self, item: T) -> I {
+        let id = I::from_index(self.items.len());
+        self.items.push(item);
         id
     }
 
-    /// The row of `id`, if this arena has it.
+    /// Returns the item with `id`, or `None` if it is out of range.
     pub fn get(&self, id: I) -> Option<&T> {
-        self.rows.get(id.index())
+        self.items.get(id.index())
     }
 
-    /// The row of `id`, to change, if this arena has it.
+    /// Returns the item with `id` mutably, or `None` if it is out of range.
     pub fn get_mut(&mut self, id: I) -> Option<&mut T> {
-        self.rows.get_mut(id.index())
+        self.items.get_mut(id.index())
     }
 
-    /// How many rows there are.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.items.len()
     }
 
-    /// Whether there is no row.
+    /// Whether the arena is empty.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.items.is_empty()
     }
 
-    /// Ids and rows, in the order in which they were added.
+    /// Iterates over ids and items in insertion order.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = (I, &T)> {
-        self.rows.iter().enumerate().map(|(index, row)| (I::from_index(index), row))
+        self.items.iter().enumerate().map(|(index, item)| (I::from_index(index), item))
     }
 
-    /// All ids, in order.
+    /// Iterates over all ids in insertion order.
     pub fn ids(&self) -> impl ExactSizeIterator<Item = I> + use<I, T> {
-        (0..self.rows.len()).map(I::from_index)
+        (0..self.items.len()).map(I::from_index)
     }
 }
 
@@ -89,12 +89,12 @@
     type Output = T;
 
     fn index(&self, id: I) -> &T {
-        &self.rows[id.index()]
+        &self.items[id.index()]
     }
 }
 
 impl<I: Id, T> std::ops::IndexMut<I> for Arena<I, T> {
     fn index_mut(&mut self, id: I) -> &mut T {
-        &mut self.rows[id.index()]
+        &mut self.items[id.index()]
     }
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as one configuration describes it.
+//! The fleet described by one configuration.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::place::{DataCentre, DataCentreId, Pool, PoolId, Rack, RackId, Vm, VmId};
 use crate::service::{Service, ServiceId, Team, TeamId, Weights};
 
-/// All that operators declared, but for the rules.
+/// Everything that operators configured, except the rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
     data_centres: Table<DataCentreId, DataCentre>,
@@ -16,66 +16,68 @@
     pools: Table<PoolId, Pool>,
     services: Table<ServiceId, Service>,
     teams: Table<TeamId, Team>,
-    /// What decisions are weighed by.
+    /// The costs by which decisions are compared.
     pub weights: Weights,
 }
 
-/// Rows with an index over their names.
+/// Items with an index by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Table<I, T> {
-    rows: Arena<I, T>,
-    names: HashMap<Name, I>,
+    items: Arena<I, T>,
+    ids_by_name: HashMap<Name, I>,
 }
 
 impl<I, T> Default for Table<I, T> {
     fn default() -> Self {
-        Self { rows: Arena::default(), names: HashMap::new() }
+        Self { items: Arena::default(), ids_by_name: HashMap::new() }
     }
 }
 
 impl<I: Id, T> Table<I, T> {
-    fn add(&mut self, name: Name, row: T) -> I {
-        let id = self.rows.push(row);
-        self.names.insert(name, id);
+    fn add(&mut self, name: Name, item: T) -> I {
+        let id = self.items.push(item);
+        self.ids_by_name.insert(name, id);
         id
     }
 }
 
-macro_rules! table {
-    ($rows:ident, $id:ty, $row:ty, $one:ident, $all:ident, $ids:ident, $find:ident, $add:ident, $what:literal) => {
-        #[doc = concat!("Adds a ", $what, ". The last one added under a name is the one found by it.")]
-        pub fn $add(&mut self, row: $row) -> $id {
-            self.$rows.add(row.name.clone(), row)
+/// Defines the accessors of one table of [`Fleet`].
+macro_rules! accessors {
+    ($table:ident, $id:ty, $item:ty, $by_id:ident, $all:ident, $ids:ident, $find:ident, $add:ident, $noun:literal) => {
+        #[doc = concat!("Adds a ", $noun, ". If a name is added twice, lookups return the last one.")]
+        pub fn $add(&mut self, item: $item) -> $id {
+            self.$table.add(item.name.clone(), item)
         }
 
-        #[doc = concat!("The ", $what, " of `id`.")]
+        #[doc = concat!("Returns the ", $noun, " with `id`.")]
         ///
         /// # Panics
         ///
-        /// Panics if the id is of another, larger fleet.
-        pub fn $one(&self, id: $id) -> &$row {
-            &self.$rows.rows[id]
+        /// Panics if `id` is out of range, which can happen only for the id of another
+        /// fleet.
+        pub fn $by_id(&self, id: $id) -> &$item {
+            &self.$table.items[id]
         }
 
-        #[doc = concat!("Every ", $what, " with its id, in the order of the configuration.")]
-        pub fn $all(&self) -> impl ExactSizeIterator<Item = ($id, &$row)> {
-            self.$rows.rows.iter()
+        #[doc = concat!("Iterates over each ", $noun, " and its id in configuration order.")]
+        pub fn $all(&self) -> impl ExactSizeIterator<Item = ($id, &$item)> {
+            self.$table.items.iter()
         }
 
-        #[doc = concat!("The id of every ", $what, ", in order.")]
+        #[doc = concat!("Iterates over the id of each ", $noun, " in configuration order.")]
         pub fn $ids(&self) -> impl ExactSizeIterator<Item = $id> + use<> {
-            self.$rows.rows.ids()
+            self.$table.items.ids()
         }
 
-        #[doc = concat!("The ", $what, " called `name`.")]
+        #[doc = concat!("Returns the id of the ", $noun, " called `name`.")]
         pub fn $find(&self, name: &str) -> Option<$id> {
-            self.$rows.names.get(name).copied()
+            self.$table.ids_by_name.get(name).copied()
         }
     };
 }
 
 impl Fleet {
-    table!(
+    accessors!(
         data_centres,
         DataCentreId,
         DataCentre,
@@ -86,10 +88,10 @@
         add_data_centre,
         "data centre"
     );
-    table!(racks, RackId, Rack, rack, racks, rack_ids, find_rack, add_rack, "rack");
-    table!(vms, VmId, Vm, vm, vms, vm_ids, find_vm, add_vm, "VM");
-    table!(pools, PoolId, Pool, pool, pools, pool_ids, find_pool, add_pool, "pool");
-    table!(
+    accessors!(racks, RackId, Rack, rack, racks, rack_ids, find_rack, add_rack, "rack");
+    accessors!(vms, VmId, Vm, vm, vms, vm_ids, find_vm, add_vm, "VM");
+    accessors!(pools, PoolId, Pool, pool, pools, pool_ids, find_pool, add_pool, "pool");
+    accessors!(
         services,
         ServiceId,
         Service,
@@ -100,9 +102,9 @@
         add_service,
         "service"
     );
-    table!(teams, TeamId, Team, team, teams, team_ids, find_team, add_team, "team");
+    accessors!(teams, TeamId, Team, team, teams, team_ids, find_team, add_team, "team");
 
-    /// The data centre in which a VM stands.
+    /// Returns the data centre of a VM.
     pub fn data_centre_of(&self, vm: VmId) -> DataCentreId {
         self.rack(self.vm(vm).rack).data_centre
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,9 @@
-//! Names, ids, time and the fleet as its operators wrote it.
+//! Names, ids, time and the configured fleet.
 //!
-//! Every other member speaks in the types of this one. A [`Fleet`] is the
-//! checked form of one configuration: data centres, racks, VMs, pools, teams
+//! All other crates of the workspace use these types. A [`Fleet`] is the
+//! validated form of one configuration: data centres, racks, VMs, pools, teams
 //! and services in arenas, addressed by small `Copy` ids. An id is valid only
-//! for the fleet that gave it; what crosses a process border is a [`Name`].
+//! for the fleet that returned it; processes refer to items by [`Name`].
 //!
 //! ```
 //! use corianderfork_model::{fleet::Fleet, place::DataCentre, Name};
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -1,13 +1,16 @@
-//! The names operators give to things.
+//! Validated names of fleet items.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// The longest name, in bytes: it has to fit a store key with room to spare.
+/// The maximum length of a name in bytes. It leaves room for a prefix in a store
+/// key.
 pub const MAX_LEN: usize = 64;
 
-/// A name of 1 to 64 letters, digits, `-` and `_`: safe in a store key, a URL
-/// path and a metric label without escaping. Cheap to clone.
+/// A name of 1 to 64 ASCII letters, digits, `-` and `_`.
+///
+/// Needs no escaping in a store key, a URL path or a metric label. Cheap to
+/// clone.
 ///
 /// ```
 /// use corianderfork_model::Name;
@@ -20,33 +23,33 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// Why a text is not a [`Name`].
+/// The reason why a text is not a valid [`Name`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
     /// The text is empty.
-    #[error("a name is empty; write 1 to {MAX_LEN} letters, digits, `-` or `_`")]
+    #[error("the name is empty; write 1 to {MAX_LEN} letters, digits, `-` or `_`")]
     Empty,
     /// The text is longer than [`MAX_LEN`] bytes.
     #[error("the name `{0:.20}…` is too long; shorten it to {MAX_LEN} characters or fewer")]
     TooLong(String),
-    /// The text has a character that a name cannot hold.
-    #[error("the name `{text}` holds `{found}`; use only letters, digits, `-` and `_`")]
+    /// The text contains a character that is not allowed in a name.
+    #[error("the name `{text}` contains `{found}`; use only letters, digits, `-` and `_`")]
     Character {
         /// The whole text.
         text: String,
-        /// The first character at fault.
+        /// The first invalid character.
         found: char,
     },
 }
 
 impl Name {
-    /// Checks `text` and makes it a name.
+    /// Validates `text` and converts it to a name.
     ///
     /// # Errors
     ///
-    /// Fails if the text is empty, longer than [`MAX_LEN`], or holds anything
-    /// but ASCII letters, digits, `-` and `_`.
+    /// Returns an error if the text is empty, longer than [`MAX_LEN`] bytes, or
+    /// contains anything but ASCII letters, digits, `-` and `_`.
     pub fn new(text: &str) -> Result<Self, Error> {
         if text.is_empty() {
             return Err(Error::Empty);
@@ -54,14 +57,14 @@
         if text.len() > MAX_LEN {
             return Err(Error::TooLong(text.to_owned()));
         }
-        let fits = |c: &char| c.is_ascii_alphanumeric() || *c == '-' || *c == '_';
-        if let Some(found) = text.chars().find(|c| !fits(c)) {
+        let is_allowed = |c: &char| c.is_ascii_alphanumeric() || *c == '-' || *c == '_';
+        if let Some(found) = text.chars().find(|c| !is_allowed(c)) {
             return Err(Error::Character { text: text.to_owned(), found });
         }
         Ok(Self(text.into()))
     }
 
-    /// The text of the name.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/model/src/place.rs
+++ b/crates/model/src/place.rs
@@ -1,78 +1,78 @@
-//! Where copies run: data centres, racks, VMs and the pools they belong to.
+//! Data centres, racks, VMs and pools.
 
 use crate::{id, name::Name};
 
 id! {
-    /// A data centre of a [`crate::Fleet`].
+    /// The id of a [`DataCentre`] in a [`crate::Fleet`].
     DataCentreId
 }
 id! {
-    /// A rack of a [`crate::Fleet`].
+    /// The id of a [`Rack`] in a [`crate::Fleet`].
     RackId
 }
 id! {
-    /// A VM of a [`crate::Fleet`].
+    /// The id of a [`Vm`] in a [`crate::Fleet`].
     VmId
 }
 id! {
-    /// A pool of a [`crate::Fleet`].
+    /// The id of a [`Pool`] in a [`crate::Fleet`].
     PoolId
 }
 
-/// A data centre: the largest failure domain short of a region.
+/// A data centre, the largest failure domain within a region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct DataCentre {
     /// Its name.
     pub name: Name,
-    /// The region it stands in.
+    /// The region that contains it.
     pub region: Name,
 }
 
 impl DataCentre {
-    /// A data centre of `region`.
+    /// Creates a data centre in `region`.
     pub fn new(name: Name, region: Name) -> Self {
         Self { name, region }
     }
 }
 
-/// A rack: a failure domain of a few VMs behind one switch.
+/// A rack, a failure domain of a few VMs behind one switch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Rack {
     /// Its name.
     pub name: Name,
-    /// Where it stands.
+    /// The data centre that contains it.
     pub data_centre: DataCentreId,
 }
 
 impl Rack {
-    /// A rack in `data_centre`.
+    /// Creates a rack in `data_centre`.
     pub fn new(name: Name, data_centre: DataCentreId) -> Self {
         Self { name, data_centre }
     }
 }
 
-/// What a VM has, or what a copy of a service needs.
+/// The capacity of a VM, or the resources that a copy of a service needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Size {
-    /// Processor time, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub milli_cores: u32,
     /// Memory, in MiB.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// The number of accelerators.
     pub accelerators: u16,
 }
 
 impl Size {
-    /// Whether `other` fits into this size.
+    /// Whether `other` fits into this size in every dimension.
     pub const fn holds(&self, other: &Self) -> bool {
         self.milli_cores >= other.milli_cores
             && self.memory_mib >= other.memory_mib
             && self.accelerators >= other.accelerators
     }
 
-    /// What is left of this size beside `other`, or `None` if it doesn't fit.
+    /// Subtracts `other`, or returns `None` if it does not fit.
     pub fn minus(&self, other: &Self) -> Option<Self> {
         Some(Self {
             milli_cores: self.milli_cores.checked_sub(other.milli_cores)?,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Both sizes together; stops at the largest number.
+    /// Adds `other`, saturating at the numeric bounds.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             milli_cores: self.milli_cores.saturating_add(other.milli_cores),
@@ -91,36 +91,36 @@
     }
 }
 
-/// What the provider promises of a VM.
+/// The provider's guarantee for a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Kind {
-    /// Stays until it is given back.
+    /// Runs until the operators release it.
     #[default]
     Standard,
-    /// May be taken away at any time.
+    /// May be reclaimed by the provider at any time.
     Preemptible,
 }
 
-/// A VM (worker) on which copies of services run.
+/// A VM (worker) that runs copies of services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Vm {
-    /// Its name, the same as in the platform's list.
+    /// Its name, as in the platform's list of VMs.
     pub name: Name,
-    /// The rack it stands in.
+    /// The rack that contains it.
     pub rack: RackId,
-    /// What it has.
+    /// Its capacity.
     pub size: Size,
-    /// What the provider promises of it.
+    /// The provider's guarantee.
     pub kind: Kind,
-    /// The pool its operators placed it in. The pool it belongs to at the
-    /// moment is in its record in the platform's service.
+    /// The pool that the configuration assigns it to. While a VM is lent, its
+    /// record in the platform's store names another pool.
     pub home: PoolId,
 }
 
 impl Vm {
-    /// A standard VM in `rack`, at home in `home`.
+    /// Creates a standard VM in `rack` whose home pool is `home`.
     pub fn new(name: Name, rack: RackId, size: Size, home: PoolId) -> Self {
         Self { name, rack, size, kind: Kind::Standard, home }
     }
@@ -132,9 +132,9 @@
 pub struct Pool {
     /// Its name.
     pub name: Name,
-    /// How many days pass at most between two maintenances of one VM.
+    /// The maximum number of days between two maintenances of one VM.
     pub maintenance_days: u16,
-    /// Whether VMs may be lent to other pools.
+    /// Whether its VMs may be lent to other pools.
     pub lends: bool,
 }
 
@@ -142,7 +142,7 @@
     /// The default [`Pool::maintenance_days`]: six weeks.
     pub const MAINTENANCE_DAYS: u16 = 42;
 
-    /// A pool that lends its VMs and is maintained once in six weeks.
+    /// Creates a pool that lends its VMs and is maintained every six weeks.
     pub fn new(name: Name) -> Self {
         Self { name, maintenance_days: Self::MAINTENANCE_DAYS, lends: true }
     }
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -1,35 +1,35 @@
-//! What runs: services, the budgets they keep, and the teams they belong to.
+//! Services, their availability budgets, and the teams that own them.
 
 use crate::place::{PoolId, Size};
 use crate::{id, name::Name, share::Share};
 
 id! {
-    /// A service of a [`crate::Fleet`].
+    /// The id of a [`Service`] in a [`crate::Fleet`].
     ServiceId
 }
 id! {
-    /// A team of a [`crate::Fleet`].
+    /// The id of a [`Team`] in a [`crate::Fleet`].
     TeamId
 }
 
-/// How soon a service's work has to be done when there is not room for all.
+/// The priority of a service's work when capacity is short.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum Class {
-    /// Archive and audit work: shed first.
+    /// Archive and audit work, shed first.
     Later,
     /// Most services.
     #[default]
     Normal,
-    /// Settlement and transfer: served before all others.
+    /// Settlement and transfer, served before all others.
     First,
 }
 
-/// The largest failure that a service's budget has to outlast.
+/// The largest failure that a service's budget must tolerate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum Outlasts {
-    /// None: no copy is held idle for failures.
+    /// None: no spare copies are kept for failures.
     Nothing,
     /// The loss of one VM.
     #[default]
@@ -40,23 +40,24 @@
     DataCentre,
 }
 
-/// The availability that a service keeps through every wave.
+/// The availability that a service keeps during every maintenance wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Budget {
-    /// Copies able to serve that are never gone below.
+    /// The minimum number of copies that are able to serve.
     pub min_copies: u32,
-    /// Copies that are never exceeded.
+    /// The maximum number of copies.
     pub max_copies: u32,
-    /// The share of its copies that may be out of service at once.
+    /// The share of its copies that may be out of service at the same time.
     pub unavailable: Share,
-    /// The largest failure that must leave enough copies for the load.
+    /// The largest failure after which the remaining copies must still carry the
+    /// load.
     pub outlasts: Outlasts,
 }
 
 impl Budget {
-    /// A budget of `min_copies` to `max_copies` with a tenth of the copies out
-    /// of service at once, outlasting the loss of a VM.
+    /// Creates a budget of `min_copies` to `max_copies` that tolerates the loss
+    /// of a VM and allows a tenth of the copies to be out of service.
     pub fn new(min_copies: u32, max_copies: u32) -> Self {
         Self {
             min_copies,
@@ -67,42 +68,42 @@
     }
 }
 
-/// A service: a job that a pool carries as licensed copies (runners).
+/// A service, which a pool runs as licensed copies (runners).
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Service {
-    /// Its name, the first part of the path that callers ask for.
+    /// Its name, the first segment of the path in callers' requests.
     pub name: Name,
-    /// The pool that carries it.
+    /// The pool that runs it.
     pub pool: PoolId,
-    /// The team it belongs to, if teams are in use.
+    /// The team that owns it, if teams are configured.
     pub team: Option<TeamId>,
-    /// How soon its work has to be done.
+    /// The priority of its work.
     pub class: Class,
-    /// What one copy needs, as declared.
+    /// The resources that one copy needs, as configured.
     pub size: Size,
-    /// The availability it keeps.
+    /// Its availability budget.
     pub budget: Budget,
-    /// Copies that may run at once, all together.
+    /// The number of copies that may run at the same time in the whole fleet.
     pub licences: u32,
-    /// Requests that one copy works on at once.
+    /// The number of requests that one copy handles concurrently.
     pub slots: u16,
-    /// Connections that one copy holds at once.
+    /// The maximum number of connections to one copy.
     pub connections: u16,
-    /// How long one request takes, as declared, in milliseconds.
+    /// The expected duration of one request in milliseconds, as configured.
     pub run_millis: u32,
-    /// How long a copy takes from its start to the first answer, as declared,
-    /// in milliseconds.
+    /// The expected time from the start of a copy to its first response in
+    /// milliseconds, as configured.
     pub warm_millis: u32,
 }
 
 impl Service {
-    /// Today's [`Service::slots`].
+    /// The default [`Service::slots`].
     pub const SLOTS: u16 = 8;
-    /// Today's [`Service::connections`].
+    /// The default [`Service::connections`].
     pub const CONNECTIONS: u16 = 64;
 
-    /// A service of normal class with the slots and connections of today.
+    /// Creates a service of normal class with the default slots and connections.
     pub fn new(name: Name, pool: PoolId, size: Size, budget: Budget, licences: u32) -> Self {
         Self {
             name,
@@ -126,25 +127,25 @@
 pub struct Team {
     /// Its name.
     pub name: Name,
-    /// What its services may take all together.
+    /// The total resources that its services may use.
     pub quota: Size,
 }
 
 impl Team {
-    /// A team that may take `quota`.
+    /// Creates a team with `quota`.
     pub fn new(name: Name, quota: Size) -> Self {
         Self { name, quota }
     }
 }
 
-/// What a user's decisions are weighed by: the cost of one unit each.
+/// The costs by which a user's decisions are compared, each for one unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Weights {
     /// The cost of one move of a VM or a copy.
     pub moves: u32,
-    /// The cost of one licensed copy held idle for an hour.
+    /// The cost of one licensed copy that is idle for an hour.
     pub buffer: u32,
-    /// The cost of one hour of roll-out.
+    /// The cost of one hour of a roll-out.
     pub roll_out: u32,
 }
 
--- a/crates/model/src/share.rs
+++ b/crates/model/src/share.rs
@@ -1,9 +1,11 @@
-//! Shares of a whole.
+//! Fractions in thousandths.
 
 use std::fmt;
 
-/// A share of a whole in thousandths, 0 to 1000. An integer, so that two
-/// processes that compute one from the same numbers get the same share.
+/// A fraction of a whole in thousandths, 0 to 1000.
+///
+/// An integer, so that processes that compute a share from the same numbers get
+/// the same result.
 ///
 /// ```
 /// use corianderfork_model::Share;
@@ -16,20 +18,20 @@
 pub struct Share(u16);
 
 impl Share {
-    /// The whole.
+    /// The whole: 1000 thousandths.
     pub const WHOLE: Self = Self(1000);
 
-    /// `thousandths` of the whole, or `None` above 1000.
+    /// Creates a share of `thousandths`, or returns `None` above 1000.
     pub const fn from_per_mille(thousandths: u16) -> Option<Self> {
         if thousandths <= 1000 { Some(Self(thousandths)) } else { None }
     }
 
-    /// Thousandths of the whole.
+    /// Returns the share in thousandths.
     pub const fn per_mille(self) -> u16 {
         self.0
     }
 
-    /// This share of `count`, rounded up.
+    /// Returns this share of `count`, rounded up.
     pub const fn of(self, count: u32) -> u32 {
         (count as u64 * self.0 as u64).div_ceil(1000) as u32
     }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,13 +1,12 @@
-//! Time as the pure parts see it: a number they are handed.
+//! Points in time, passed as arguments to code that does no I/O.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Milliseconds since an origin of the driver's choice.
+/// Milliseconds since an origin that the caller chooses.
 ///
-/// Daemons pass the monotonic time since their start, or, where the doc of a
-/// function says so, the time since the Unix epoch. The two never mix in one
-/// state machine.
+/// Daemons pass their monotonic clock, or the time since the Unix epoch where a
+/// function's documentation says so. One state machine never mixes the two.
 ///
 /// ```
 /// use corianderfork_model::Time;
@@ -37,12 +36,12 @@
     /// The origin.
     pub const ZERO: Self = Self(0);
 
-    /// The time `millis` after the origin.
+    /// Creates the time `millis` after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// Milliseconds since the origin.
+    /// Returns the milliseconds since the origin.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
@@ -60,7 +59,7 @@
 impl Sub for Time {
     type Output = Duration;
 
-    /// The time passed since `earlier`; zero if `earlier` is the later one.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     fn sub(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
