--- a/crates/provider/src/audit.rs
+++ b/crates/provider/src/audit.rs
@@ -1,13 +1,14 @@
-//! The audit trail: who changed what, when, from, to, and at which revision.
+//! The audit trail: who changed what, when, the old and new value, and the
+//! revision.
 //!
-//! The trail lies in the platform's service as numbered segments of lines.
-//! Lines are added to the last segment by compare-and-swap; one that has
-//! reached [`SEGMENT_BYTES`] takes no more, and the next is begun. The newest
-//! [`SEGMENTS`] segments are kept. Whether a segment is full follows from its
-//! content alone: two writers that race, or one that was paused, decide the
-//! same, and the compare-and-swap lets one of them through.
+//! The trail is stored in the platform's store as numbered segments of lines.
+//! Lines are appended to the last segment by compare-and-swap. A segment that
+//! has reached [`SEGMENT_BYTES`] is full, and the next append starts a new one.
+//! The newest [`SEGMENTS`] segments are kept. Whether a segment is full depends
+//! only on its content, so that concurrent or paused writers decide the same
+//! and the compare-and-swap lets one of them succeed.
 //!
-//! [`Trail`] decides and does no I/O; [`Writer`] carries its decisions out.
+//! [`Trail`] does no I/O; [`Writer`] performs the reads and writes.
 
 use std::collections::VecDeque;
 
@@ -15,41 +16,43 @@
 use crate::record::{AuditLine, AuditSegment};
 use crate::store::{Entry, Error, Expect, Range, Revision, Store};
 
-/// A segment with at least this many bytes takes no more lines.
+/// A segment of at least this many bytes is full.
 pub const SEGMENT_BYTES: usize = 64 << 10;
-/// How many segments are kept; the oldest beyond them are dropped.
+/// The number of segments to keep; older ones are deleted.
 pub const SEGMENTS: usize = 64;
-/// Longer fields of a line are cut, so that no line outgrows a segment.
+/// Longer fields of a line are truncated, so that no line exceeds a segment.
 pub const FIELD_CHARS: usize = 512;
-/// The most lines written at once: with a segment just short of full, and each
-/// character escaped, they stay below the store's largest value.
-const BATCH: usize = 64;
-/// How often an append that loses against other writers starts again.
-const ATTEMPTS: usize = 8;
-/// A lost append lies in the last segment, or just before one begun since.
-const SEARCHED: usize = 2;
-
-/// A write that adds lines to the trail.
+/// The maximum number of lines per write. Added to a segment that is almost
+/// full, with each character escaped, they stay below the store's value limit.
+const MAX_BATCH_LINES: usize = 64;
+/// The maximum number of attempts of an append that conflicts with other
+/// writers.
+const MAX_ATTEMPTS: usize = 8;
+/// The number of segments searched for an append whose response was lost: it is
+/// in the last segment, or in the one before if a new one was started since.
+const SEARCHED_SEGMENTS: usize = 2;
+
+/// A write that appends lines to the trail.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Put {
     /// The key of the segment.
     pub key: String,
-    /// Its new content.
+    /// The new content of the segment.
     pub value: String,
-    /// What it has to replace.
+    /// The precondition of the write.
     pub expect: Expect,
     number: u64,
     audit: AuditSegment,
 }
 
-/// A segment to drop.
+/// A segment beyond the retention.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
-pub struct Surplus {
+pub struct ExpiredSegment {
     /// Its key.
     pub key: String,
-    /// Its revision, at which it is dropped.
+    /// Its revision, the precondition of the deletion.
     pub revision: Revision,
 }
 
@@ -61,7 +64,7 @@
     audit: AuditSegment,
 }
 
-/// The end of the trail as it was last seen.
+/// The trail as last read or written. [`Writer`] keeps only its end.
 ///
 /// ```
 /// use corianderfork_provider::audit::Trail;
@@ -86,36 +89,36 @@
 }
 
 impl Trail {
-    /// The trail as a read of [`key::AUDIT`] found it.
+    /// Creates the trail from a read of [`key::AUDIT`].
     ///
-    /// A segment that can't be read counts as full: it is neither overwritten
-    /// nor does it stop the trail.
+    /// A segment that cannot be parsed counts as full, so that it is not
+    /// overwritten and later appends still work.
     pub fn new(range: &Range) -> Self {
         let mut segments: Vec<Segment> = range.entries.iter().filter_map(Segment::new).collect();
         segments.sort_by_key(|segment| segment.number);
         Self { segments: segments.into() }
     }
 
-    /// Those of `lines` that the end of the trail doesn't have yet.
+    /// Returns those of `lines` that the end of the trail does not contain.
     ///
-    /// An append whose answer was lost may have taken effect; asking again for
-    /// all its lines would put them into the trail twice.
+    /// An append whose response was lost may have been applied; retrying it
+    /// with all lines would duplicate them.
     pub fn missing(&self, lines: &[AuditLine]) -> Vec<AuditLine> {
-        let seen = |line: &&AuditLine| {
-            let latest = self.segments.iter().rev().take(SEARCHED);
+        let is_missing = |line: &&AuditLine| {
+            let latest = self.segments.iter().rev().take(SEARCHED_SEGMENTS);
             !latest.flat_map(|segment| &segment.audit.lines).any(|other| other == *line)
         };
-        lines.iter().filter(seen).cloned().collect()
+        lines.iter().filter(is_missing).cloned().collect()
     }
 
-    /// Whether the next append begins a segment.
-    pub fn rolls(&self) -> bool {
+    /// Whether the next append starts a new segment.
+    pub fn needs_new_segment(&self) -> bool {
         self.segments.back().is_none_or(|segment| segment.bytes >= SEGMENT_BYTES)
     }
 
-    /// The write that adds `lines`.
+    /// Returns the write that appends `lines`.
     pub fn append(&self, lines: &[AuditLine]) -> Put {
-        let open = self.segments.back().filter(|_| !self.rolls());
+        let open = self.segments.back().filter(|_| !self.needs_new_segment());
         let next = || self.segments.back().map_or(0, |segment| segment.number + 1);
         let number = open.map_or_else(next, |segment| segment.number);
         let expect = open.map_or(Expect::Absent, |segment| Expect::Revision(segment.revision));
@@ -125,25 +128,25 @@
         Put { key: key::audit(number), value, expect, number, audit }
     }
 
-    /// Takes note that `put` was written as `revision`.
-    pub fn written(&mut self, put: Put, revision: Revision) {
+    /// Records that `put` was written at `revision`.
+    pub fn on_written(&mut self, put: Put, revision: Revision) {
         self.segments.retain(|segment| segment.number != put.number);
         let bytes = put.value.len();
         self.segments.push_back(Segment { number: put.number, revision, bytes, audit: put.audit });
     }
 
-    /// The segments beyond [`SEGMENTS`], oldest first.
-    pub fn surplus(&self) -> Vec<Surplus> {
+    /// Returns the segments beyond [`SEGMENTS`], oldest first.
+    pub fn expired(&self) -> Vec<ExpiredSegment> {
         let count = self.segments.len().saturating_sub(SEGMENTS);
         let oldest = self.segments.iter().take(count);
-        let drop = |segment: &Segment| Surplus {
+        let to_expired = |segment: &Segment| ExpiredSegment {
             key: key::audit(segment.number),
             revision: segment.revision,
         };
-        oldest.map(drop).collect()
+        oldest.map(to_expired).collect()
     }
 
-    /// All lines, in the order of their revisions.
+    /// Returns all lines, ordered by revision.
     pub fn lines(&self) -> Vec<AuditLine> {
         let segments = self.segments.iter();
         let mut lines: Vec<AuditLine> =
@@ -152,9 +155,9 @@
         lines
     }
 
-    /// Forgets all but the segments that later appends look at.
+    /// Drops all segments that later appends do not search.
     fn trim(&mut self) {
-        let rest = self.segments.len().saturating_sub(SEARCHED);
+        let rest = self.segments.len().saturating_sub(SEARCHED_SEGMENTS);
         self.segments.drain(..rest);
     }
 }
@@ -173,38 +176,38 @@
     }
 }
 
-/// Appends to the trail in the store.
+/// Appends lines to the trail in the store.
 ///
-/// One that is kept remembers the last segment, so that an append is one
-/// write; it reads the trail only at first, after a lost race, and before a new
-/// segment.
+/// A writer caches the last segments, so that an append usually needs one write.
+/// It reads the trail at the first append, after a failure, and before it starts
+/// a new segment.
 #[derive(Debug, Default)]
 pub struct Writer {
     trail: Option<Trail>,
 }
 
 impl Writer {
-    /// A writer that has not seen the trail yet.
+    /// Creates a writer with an empty cache.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds `lines`. After a failure, calling it again with the same lines
-    /// adds those that are not there yet.
+    /// Appends `lines`. Idempotent: a retry after a failure with the same lines
+    /// appends only those that are missing.
     ///
     /// # Errors
     ///
-    /// Fails as the store does; with [`Error::Conflict`] only after having
-    /// lost against other writers many times in a row.
+    /// Returns the errors of the store, and [`Error::Conflict`] only after several
+    /// conflicts with other writers in a row.
     pub fn append(&mut self, store: &dyn Store, lines: &[AuditLine]) -> Result<(), Error> {
-        let lines: Vec<AuditLine> = lines.iter().map(clipped).collect();
-        lines.chunks(BATCH).try_for_each(|batch| self.append_batch(store, batch))
+        let lines: Vec<AuditLine> = lines.iter().map(truncated).collect();
+        lines.chunks(MAX_BATCH_LINES).try_for_each(|batch| self.append_batch(store, batch))
     }
 
     fn append_batch(&mut self, store: &dyn Store, lines: &[AuditLine]) -> Result<(), Error> {
         let mut result = Ok(());
-        for _ in 0..ATTEMPTS {
-            result = self.attempt(store, lines);
+        for _ in 0..MAX_ATTEMPTS {
+            result = self.try_append(store, lines);
             if !matches!(result, Err(Error::Conflict { .. })) {
                 break;
             }
@@ -212,12 +215,12 @@
         result
     }
 
-    fn attempt(&mut self, store: &dyn Store, lines: &[AuditLine]) -> Result<(), Error> {
-        // Before a new segment the trail is read anew: a writer paused for the
-        // whole retention would else begin one that was dropped long ago, and
-        // its lines would lie at the wrong end and be dropped next.
-        let kept = self.trail.take().filter(|trail| !trail.rolls());
-        let mut trail = match kept {
+    fn try_append(&mut self, store: &dyn Store, lines: &[AuditLine]) -> Result<(), Error> {
+        // Rereads the trail before starting a segment. A writer that was paused
+        // for the whole retention would otherwise recreate a segment that was
+        // deleted long ago, and its lines would be the next to be deleted.
+        let cached = self.trail.take().filter(|trail| !trail.needs_new_segment());
+        let mut trail = match cached {
             Some(trail) => trail,
             None => Trail::new(&store.range(key::AUDIT)?),
         };
@@ -225,8 +228,8 @@
         if !missing.is_empty() {
             let put = trail.append(&missing);
             let revision = store.put(&put.key, &put.value, put.expect, None)?;
-            trail.written(put, revision);
-            drop_surplus(store, &trail);
+            trail.on_written(put, revision);
+            delete_expired(store, &trail);
         }
         trail.trim();
         self.trail = Some(trail);
@@ -234,22 +237,22 @@
     }
 }
 
-/// Drops the segments beyond the retention. One that can't be dropped now is
-/// dropped by a later append, so that a failure here is none of the append.
-fn drop_surplus(store: &dyn Store, trail: &Trail) {
-    for segment in trail.surplus() {
+/// Deletes the segments beyond the retention. Failures are ignored because a
+/// later append retries the deletion.
+fn delete_expired(store: &dyn Store, trail: &Trail) {
+    for segment in trail.expired() {
         let _ = store.delete(&segment.key, Expect::Revision(segment.revision));
     }
 }
 
-fn clipped(line: &AuditLine) -> AuditLine {
-    let clip = |text: &str| text.chars().take(FIELD_CHARS).collect();
+fn truncated(line: &AuditLine) -> AuditLine {
+    let truncate = |text: &str| text.chars().take(FIELD_CHARS).collect();
     AuditLine {
         at_ms: line.at_ms,
-        who: clip(&line.who),
-        what: clip(&line.what),
-        from: clip(&line.from),
-        to: clip(&line.to),
+        who: truncate(&line.who),
+        what: truncate(&line.what),
+        from: truncate(&line.from),
+        to: truncate(&line.to),
         revision: line.revision,
     }
 }
--- a/crates/provider/src/count.rs
+++ b/crates/provider/src/count.rs
@@ -1,25 +1,26 @@
-//! Counts the calls a process makes, since the platform counts them too.
+//! Counts the store calls of a process, for comparison with the platform's own
+//! counts.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 use crate::store::{Changes, Error, Expect, LeaseId, Lookup, Range, Revision, Store};
 
-/// Calls made so far.
+/// The number of store calls so far, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Calls {
     /// Reads of a key or a prefix.
     pub reads: u64,
-    /// Writes, deletes, and grants, renewals and ends of leases.
+    /// Writes, deletes, and grants, renewals and revocations of leases.
     pub writes: u64,
-    /// Watches, each counted once however long it waits.
+    /// Watches, each counted once regardless of how long it waits.
     pub watches: u64,
-    /// Calls among these that failed.
+    /// Calls of any kind that failed.
     pub failures: u64,
 }
 
-/// A [`Store`] that counts the calls it passes on.
+/// A [`Store`] that counts calls and forwards them to another store.
 #[derive(Debug, Default)]
 pub struct CountingStore<S> {
     inner: S,
@@ -30,7 +31,7 @@
 }
 
 impl<S> CountingStore<S> {
-    /// Counts the calls to `inner`.
+    /// Wraps `inner`.
     pub fn new(inner: S) -> Self {
         Self {
             inner,
@@ -41,12 +42,12 @@
         }
     }
 
-    /// The store behind.
+    /// Returns the wrapped store.
     pub fn inner(&self) -> &S {
         &self.inner
     }
 
-    /// The calls made so far.
+    /// Returns the current counts.
     pub fn calls(&self) -> Calls {
         Calls {
             reads: self.reads.load(Ordering::Relaxed),
@@ -56,7 +57,7 @@
         }
     }
 
-    fn tell<T>(&self, counter: &AtomicU64, result: Result<T, Error>) -> Result<T, Error> {
+    fn record<T>(&self, counter: &AtomicU64, result: Result<T, Error>) -> Result<T, Error> {
         counter.fetch_add(1, Ordering::Relaxed);
         let failed =
             matches!(result, Err(Error::Unavailable(_) | Error::Unknown(_) | Error::Malformed(_)));
@@ -69,11 +70,11 @@
 
 impl<S: Store> Store for CountingStore<S> {
     fn get(&self, key: &str) -> Result<Lookup, Error> {
-        self.tell(&self.reads, self.inner.get(key))
+        self.record(&self.reads, self.inner.get(key))
     }
 
     fn range(&self, prefix: &str) -> Result<Range, Error> {
-        self.tell(&self.reads, self.inner.range(prefix))
+        self.record(&self.reads, self.inner.range(prefix))
     }
 
     fn put(
@@ -83,26 +84,26 @@
         expect: Expect,
         lease: Option<LeaseId>,
     ) -> Result<Revision, Error> {
-        self.tell(&self.writes, self.inner.put(key, value, expect, lease))
+        self.record(&self.writes, self.inner.put(key, value, expect, lease))
     }
 
     fn delete(&self, key: &str, expect: Expect) -> Result<Revision, Error> {
-        self.tell(&self.writes, self.inner.delete(key, expect))
+        self.record(&self.writes, self.inner.delete(key, expect))
     }
 
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, Error> {
-        self.tell(&self.watches, self.inner.watch(prefix, after, wait))
+        self.record(&self.watches, self.inner.watch(prefix, after, wait))
     }
 
     fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
-        self.tell(&self.writes, self.inner.grant(ttl))
+        self.record(&self.writes, self.inner.grant(ttl))
     }
 
     fn renew(&self, lease: LeaseId) -> Result<(), Error> {
-        self.tell(&self.writes, self.inner.renew(lease))
+        self.record(&self.writes, self.inner.renew(lease))
     }
 
     fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.tell(&self.writes, self.inner.revoke(lease))
+        self.record(&self.writes, self.inner.revoke(lease))
     }
 }
--- a/crates/provider/src/fleet.rs
+++ b/crates/provider/src/fleet.rs
@@ -1,4 +1,4 @@
-//! VMs, tasks and usage, as the platform lists and controls them.
+//! The platform's API for VMs, tasks and usage.
 
 use std::net::SocketAddr;
 
@@ -6,91 +6,93 @@
 
 use crate::store::Error;
 
-/// What the platform says of a VM. The list lags.
+/// The state of a VM in the platform's list, which lags behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[non_exhaustive]
 pub enum VmState {
     /// Up.
     Live,
-    /// About to go.
+    /// About to be removed.
     Leaving,
     /// Down for a reboot.
     Rebooting,
-    /// Gone for good.
+    /// Removed permanently.
     Gone,
 }
 
-/// A VM in the platform's list.
+/// An entry in the platform's list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Vm {
     /// Its name.
     pub name: Name,
-    /// Its state, as of some time ago.
+    /// Its state, possibly outdated.
     pub state: VmState,
 }
 
-/// How far a task has come.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[non_exhaustive]
 pub enum TaskState {
-    /// Asked for, not yet able to serve.
+    /// Requested, but not yet able to serve.
     Starting,
     /// Able to serve.
     Running,
-    /// Takes nothing new and ends when it has nothing in flight.
+    /// Accepts no new requests and ends when none are in flight.
     Stopping,
 }
 
-/// A copy of a service that runs on a VM as a task.
+/// A task: one copy of a service on a VM.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Task {
     /// The VM.
     pub vm: Name,
     /// The service.
     pub service: Name,
-    /// Where it answers, once it is known.
+    /// The address at which it accepts requests, once known.
     #[serde(default, with = "address")]
     pub address: Option<SocketAddr>,
-    /// How far it has come.
+    /// Its state.
     pub state: TaskState,
 }
 
-/// The usage that a task reported.
+/// The resource usage that a task reported.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Usage {
     /// The VM.
     pub vm: Name,
     /// The service.
     pub service: Name,
-    /// Processor time in use, in thousandths of a core.
+    /// CPU usage, in thousandths of a core.
     pub milli_cores: u32,
-    /// Memory in use, in MiB.
+    /// Memory usage, in MiB.
     pub memory_mib: u32,
-    /// When it was taken, in milliseconds since the Unix epoch.
+    /// The time of the measurement, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// The platform's side that runs VMs and tasks. Calls block for a bounded
-/// time. Starting what runs and stopping what doesn't are no errors, so a call
-/// whose answer was lost is made again.
+/// Lists and controls VMs and tasks.
+///
+/// Calls block for a bounded time. Starting a running task and stopping a
+/// stopped one succeed, so a call whose response was lost can be retried.
 pub trait Control: Send + Sync {
-    /// The list of VMs; it lags.
+    /// Returns the list of VMs, which lags behind.
     ///
     /// # Errors
     ///
-    /// Fails if the platform is unavailable, as do all calls here.
+    /// Returns an error if the platform is unavailable. This holds for all methods
+    /// of this trait.
     fn vms(&self) -> Result<Vec<Vm>, Error>;
 
-    /// All tasks.
+    /// Returns all tasks.
     ///
     /// # Errors
     ///
     /// As for [`Control::vms`].
     fn tasks(&self) -> Result<Vec<Task>, Error>;
 
-    /// What tasks use; it lags.
+    /// Returns the usage of all tasks, which lags behind.
     ///
     /// # Errors
     ///
@@ -111,7 +113,7 @@
     /// As for [`Control::vms`].
     fn stop(&self, vm: &Name, service: &Name) -> Result<(), Error>;
 
-    /// Reboots a VM. All that runs on it ends at once.
+    /// Reboots a VM. Everything that runs on it ends immediately.
     ///
     /// # Errors
     ///
@@ -119,7 +121,7 @@
     fn reboot(&self, vm: &Name) -> Result<(), Error>;
 }
 
-/// An address as text, with the empty text for none.
+/// Serializes an optional address as text; empty means `None`.
 mod address {
     use std::net::SocketAddr;
 
--- a/crates/provider/src/http.rs
+++ b/crates/provider/src/http.rs
@@ -1,4 +1,5 @@
-//! The platform over HTTP and JSON: the one file that knows its protocol.
+//! Client of the platform over HTTP and JSON. No other file of the crate depends
+//! on the protocol.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -13,13 +14,13 @@
     Changes, Entry, Error, Expect, LeaseId, Lookup, MAX_VALUE, Range, Revision, Store,
 };
 
-/// How long the store may go over a watch's own wait before the connection is
-/// taken for silent.
+/// Added to the wait of a watch before the connection counts as silent.
 const WATCH_SLACK: Duration = Duration::from_millis(500);
-/// The longest answer read, in bytes: a full range of a large fleet fits.
-const MAX_ANSWER: u64 = 64 << 20;
+/// The maximum size of a response body in bytes. All records of a large fleet
+/// fit.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Where the platform is and how long to wait for it.
+/// The address of the platform and the timeout of calls.
 #[derive(Clone, Debug)]
 pub struct Config {
     address: SocketAddr,
@@ -28,19 +29,20 @@
 }
 
 impl Config {
-    /// The platform at `address`, waited for 2 s a call.
+    /// Creates a configuration for the platform at `address` with a timeout of
+    /// 2 s.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, timeout: Duration::from_secs(2), caller: "corianderfork".to_owned() }
     }
 
-    /// How long each call but a watch may take.
+    /// Sets the timeout of each call except watches.
     #[must_use]
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// The name by which the platform counts this process's calls.
+    /// Sets the name under which the platform counts the calls of this process.
     #[must_use]
     pub fn caller(mut self, caller: &str) -> Self {
         self.caller = caller.to_owned();
@@ -48,16 +50,16 @@
     }
 }
 
-/// A client of the platform. Blocks; share it among threads.
+/// A blocking client of the platform that threads can share.
 #[derive(Debug)]
 pub struct Client {
-    /// Replaced after a call without an answer.
+    /// Replaced after a call without a response.
     agent: Mutex<ureq::Agent>,
     config: Config,
 }
 
 #[derive(Serialize)]
-struct Put<'a> {
+struct PutRequest<'a> {
     key: &'a str,
     value: &'a str,
     expect: Option<u64>,
@@ -65,67 +67,67 @@
 }
 
 #[derive(Serialize)]
-struct Delete<'a> {
+struct DeleteRequest<'a> {
     key: &'a str,
     expect: Option<u64>,
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct WriteResponse {
     revision: Revision,
 }
 
 #[derive(Deserialize)]
-struct Conflict {
+struct ConflictResponse {
     current: Option<Entry>,
 }
 
 #[derive(Serialize)]
-struct Grant {
+struct GrantRequest {
     ttl_ms: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Lease {
+struct LeaseBody {
     lease: LeaseId,
 }
 
 #[derive(Deserialize)]
-struct Vms {
+struct VmList {
     vms: Vec<Vm>,
 }
 
 #[derive(Deserialize)]
-struct Tasks {
+struct TaskList {
     tasks: Vec<Task>,
 }
 
 #[derive(Deserialize)]
-struct Usages {
+struct UsageList {
     usage: Vec<Usage>,
 }
 
 #[derive(Serialize)]
-struct Copy<'a> {
+struct TaskRequest<'a> {
     vm: &'a Name,
     service: &'a Name,
 }
 
 #[derive(Serialize)]
-struct Reboot<'a> {
+struct RebootRequest<'a> {
     vm: &'a Name,
 }
 
-/// An answer of any status.
-struct Answer {
+/// A response of any status.
+struct HttpResponse {
     status: u16,
     body: String,
 }
 
 impl Client {
-    /// A client for the platform of `config`. Connects at the first call.
+    /// Creates a client. It connects at the first call.
     pub fn new(config: Config) -> Self {
-        let agent = Mutex::new(agent(&config));
+        let agent = Mutex::new(build_agent(&config));
         Self { agent, config }
     }
 
@@ -133,14 +135,14 @@
         self.agent.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Forgets all idle connections after a call that brought no answer.
+    /// Drops all idle connections after a call without a response.
     ///
-    /// Open connections can go silent for good while new ones work. Each idle
-    /// one would cost a call its whole timeout before it is found out, one
-    /// after the other, and with a lease to renew there is time for one only.
-    fn renewed<T>(&self, result: Result<T, Error>) -> Result<T, Error> {
+    /// Open connections can go silent permanently while new ones work. Each
+    /// silent idle connection would cost one call its whole timeout, and the
+    /// renewal of a lease has time for only one timeout.
+    fn drop_connections_if_lost<T>(&self, result: Result<T, Error>) -> Result<T, Error> {
         if matches!(result, Err(Error::Unknown(_))) {
-            *self.agent.lock().unwrap_or_else(PoisonError::into_inner) = agent(&self.config);
+            *self.agent.lock().unwrap_or_else(PoisonError::into_inner) = build_agent(&self.config);
         }
         result
     }
@@ -149,32 +151,32 @@
         format!("http://{}{path}", self.config.address)
     }
 
-    fn read(&self, path: &str, timeout: Duration) -> Result<Answer, Error> {
+    fn read(&self, path: &str, timeout: Duration) -> Result<HttpResponse, Error> {
         let request = self.agent().get(self.url(path));
-        let sent = request.config().timeout_global(Some(timeout)).build().call();
-        self.renewed(answer(sent))
+        let http_result = request.config().timeout_global(Some(timeout)).build().call();
+        self.drop_connections_if_lost(read_response(http_result))
     }
 
-    fn write(&self, path: &str, body: &impl Serialize) -> Result<Answer, Error> {
+    fn write(&self, path: &str, body: &impl Serialize) -> Result<HttpResponse, Error> {
         let body = serde_json::to_string(body).map_err(|e| Error::Malformed(e.to_string()))?;
         let request = self.agent().post(self.url(path)).content_type("application/json");
-        let sent = request.config().timeout_global(Some(self.config.timeout)).build().send(body);
-        self.renewed(answer(sent))
+        let http_result =
+            request.config().timeout_global(Some(self.config.timeout)).build().send(body);
+        self.drop_connections_if_lost(read_response(http_result))
     }
 
     fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        json(&accepted(self.read(path, self.config.timeout)?)?)
+        json(&success_body(self.read(path, self.config.timeout)?)?)
     }
 
     fn post(&self, path: &str, body: &impl Serialize) -> Result<String, Error> {
-        accepted(self.write(path, body)?)
+        success_body(self.write(path, body)?)
     }
 }
 
-fn agent(config: &Config) -> ureq::Agent {
-    // A redirect or a proxy from the environment would carry a write
-    // somewhere else, perhaps twice; nothing of ours shows that, so both
-    // are off.
+fn build_agent(config: &Config) -> ureq::Agent {
+    // Disables redirects and proxies from the environment: they could send a
+    // write to another server, or twice, without any trace in this process.
     ureq::Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
@@ -185,8 +187,9 @@
         .new_agent()
 }
 
-/// Sorts a transport failure by whether the store may have acted on the call.
-fn failure(error: ureq::Error) -> Error {
+/// Converts a transport error by whether the platform may have processed the
+/// call.
+fn transport_error(error: ureq::Error) -> Error {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => {
             Error::Unavailable(error.to_string())
@@ -199,19 +202,21 @@
     }
 }
 
-fn answer(sent: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Result<Answer, Error> {
-    let mut response = sent.map_err(failure)?;
-    let status = response.status().as_u16();
-    let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_string();
-    Ok(Answer { status, body: body.map_err(failure)? })
+fn read_response(
+    http_result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
+) -> Result<HttpResponse, Error> {
+    let mut raw = http_result.map_err(transport_error)?;
+    let status = raw.status().as_u16();
+    let body = raw.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_string();
+    Ok(HttpResponse { status, body: body.map_err(transport_error)? })
 }
 
-fn accepted(answer: Answer) -> Result<String, Error> {
-    match answer.status {
-        200 => Ok(answer.body),
+fn success_body(response: HttpResponse) -> Result<String, Error> {
+    match response.status {
+        200 => Ok(response.body),
         404 => Err(Error::Lapsed),
         410 => Err(Error::Compacted),
-        503 | 429 => Err(Error::Unavailable(format!("status {}", answer.status))),
+        503 | 429 => Err(Error::Unavailable(format!("status {}", response.status))),
         status => Err(Error::Malformed(format!("status {status}"))),
     }
 }
@@ -220,18 +225,18 @@
     serde_json::from_str(body).map_err(|e| Error::Malformed(e.to_string()))
 }
 
-fn written(key: &str, len: usize, answer: Answer) -> Result<Revision, Error> {
-    match answer.status {
+fn written_revision(key: &str, len: usize, response: HttpResponse) -> Result<Revision, Error> {
+    match response.status {
         409 => {
-            let conflict: Conflict = json(&answer.body)?;
+            let conflict: ConflictResponse = json(&response.body)?;
             Err(Error::Conflict { key: key.to_owned(), current: conflict.current })
         }
         413 => Err(Error::TooLarge { key: key.to_owned(), len }),
-        _ => Ok(json::<Written>(&accepted(answer)?)?.revision),
+        _ => Ok(json::<WriteResponse>(&success_body(response)?)?.revision),
     }
 }
 
-const fn expected(expect: Expect) -> Option<u64> {
+const fn expected_revision(expect: Expect) -> Option<u64> {
     match expect {
         Expect::Absent => Some(0),
         Expect::Revision(revision) => Some(revision.0),
@@ -263,56 +268,56 @@
         if len > MAX_VALUE {
             return Err(Error::TooLarge { key: key.to_owned(), len });
         }
-        let put = Put { key, value, expect: expected(expect), lease };
-        written(key, len, self.write("/kv/put", &put)?)
+        let put = PutRequest { key, value, expect: expected_revision(expect), lease };
+        written_revision(key, len, self.write("/kv/put", &put)?)
     }
 
     fn delete(&self, key: &str, expect: Expect) -> Result<Revision, Error> {
-        let delete = Delete { key, expect: expected(expect) };
-        written(key, 0, self.write("/kv/delete", &delete)?)
+        let delete = DeleteRequest { key, expect: expected_revision(expect) };
+        written_revision(key, 0, self.write("/kv/delete", &delete)?)
     }
 
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, Error> {
         let path = format!("/watch?prefix={prefix}&after={after}&wait_ms={}", millis(wait));
-        json(&accepted(self.read(&path, wait + WATCH_SLACK)?)?)
+        json(&success_body(self.read(&path, wait + WATCH_SLACK)?)?)
     }
 
     fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
-        let body = self.post("/lease", &Grant { ttl_ms: millis(ttl) })?;
-        Ok(json::<Lease>(&body)?.lease)
+        let body = self.post("/lease", &GrantRequest { ttl_ms: millis(ttl) })?;
+        Ok(json::<LeaseBody>(&body)?.lease)
     }
 
     fn renew(&self, lease: LeaseId) -> Result<(), Error> {
-        self.post("/lease/renew", &Lease { lease }).map(drop)
+        self.post("/lease/renew", &LeaseBody { lease }).map(drop)
     }
 
     fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.post("/lease/revoke", &Lease { lease }).map(drop)
+        self.post("/lease/revoke", &LeaseBody { lease }).map(drop)
     }
 }
 
 impl Control for Client {
     fn vms(&self) -> Result<Vec<Vm>, Error> {
-        Ok(self.get_json::<Vms>("/vms")?.vms)
+        Ok(self.get_json::<VmList>("/vms")?.vms)
     }
 
     fn tasks(&self) -> Result<Vec<Task>, Error> {
-        Ok(self.get_json::<Tasks>("/tasks")?.tasks)
+        Ok(self.get_json::<TaskList>("/tasks")?.tasks)
     }
 
     fn usage(&self) -> Result<Vec<Usage>, Error> {
-        Ok(self.get_json::<Usages>("/usage")?.usage)
+        Ok(self.get_json::<UsageList>("/usage")?.usage)
     }
 
     fn start(&self, vm: &Name, service: &Name) -> Result<(), Error> {
-        self.post("/tasks/start", &Copy { vm, service }).map(drop)
+        self.post("/tasks/start", &TaskRequest { vm, service }).map(drop)
     }
 
     fn stop(&self, vm: &Name, service: &Name) -> Result<(), Error> {
-        self.post("/tasks/stop", &Copy { vm, service }).map(drop)
+        self.post("/tasks/stop", &TaskRequest { vm, service }).map(drop)
     }
 
     fn reboot(&self, vm: &Name) -> Result<(), Error> {
-        self.post("/vms/reboot", &Reboot { vm }).map(drop)
+        self.post("/vms/reboot", &RebootRequest { vm }).map(drop)
     }
 }
--- a/crates/provider/src/lib.rs
+++ b/crates/provider/src/lib.rs
@@ -1,14 +1,15 @@
-//! The platform's service behind two traits, and the records kept in it.
+//! Client of the platform's service, and the records stored in it.
 //!
-//! What must be agreed or must last goes through [`store::Store`]: a small
-//! key-value service with compare-and-swap, leases and watches. VMs, tasks and
-//! usage go through [`fleet::Control`]. [`http::Client`] speaks to both over
-//! HTTP and JSON; another platform needs another adapter, in one file.
-//! [`key`] and [`record`] say what the processes keep under which key.
+//! Shared or durable state goes through [`store::Store`], a key-value service
+//! with compare-and-swap, leases and watches. VMs, tasks and usage go through
+//! [`fleet::Control`]. [`http::Client`] implements both traits over HTTP and
+//! JSON; another platform needs another adapter, in one file. [`key`] and
+//! [`record`] define the keys and the values stored under them.
 //!
-//! Every call blocks and is bounded in time. A write has three ends, kept
-//! apart by [`store::Error`]: applied, not applied, and unknown, where the
-//! answer was lost and only reading back tells.
+//! Every call blocks for a bounded time. A write has three outcomes that
+//! [`store::Error`] distinguishes: applied, not applied, and unknown. An
+//! unknown outcome means that the response was lost and the caller must read
+//! the key back.
 //!
 //! ```no_run
 //! use corianderfork_provider::{http, store::{Expect, Store}};
--- a/crates/provider/src/record.rs
+++ b/crates/provider/src/record.rs
@@ -1,4 +1,4 @@
-//! The records kept in the platform's service, as JSON.
+//! The records in the platform's store, encoded as JSON.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,42 +6,42 @@
 use corianderfork_model::Name;
 use serde::{Deserialize, Serialize};
 
-/// The operators' configuration, accepted whole.
+/// The operators' configuration, stored as one record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// The INI text.
     pub text: String,
     /// Who applied it.
     pub by: String,
-    /// What they said of it.
+    /// The comment given with it.
     #[serde(default)]
     pub note: String,
-    /// A number of the one apply, by which its writer recognises its own
-    /// write when the answer was lost.
+    /// A unique token of this write. Lets the writer recognise its own write if
+    /// the response was lost.
     pub token: String,
 }
 
-/// Where a VM is between two pools, or around a reboot.
+/// The state of a VM during a move between pools or a reboot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[non_exhaustive]
 pub enum Phase {
-    /// Takes work of its pool.
+    /// Accepts requests of its pool.
     Serving,
-    /// Takes no new work; some may be in flight.
+    /// Accepts no new requests; some may be in flight.
     Draining,
-    /// Nothing of any proxy is in flight there.
+    /// No proxy has a request in flight there.
     Drained,
     /// Down for a reboot.
     Rebooting,
-    /// Back, but not yet seen able to serve.
+    /// Up again, but not yet known to be healthy.
     Returning,
     /// Out of service: failed, gone, or held by an operator.
     Out,
 }
 
 impl Phase {
-    /// Whether proxies may send new work.
+    /// Whether proxies may send new requests.
     pub const fn takes_work(self) -> bool {
         matches!(self, Self::Serving)
     }
@@ -60,70 +60,70 @@
     }
 }
 
-/// A copy of a service on a VM.
+/// A copy of a service that runs on a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runner {
     /// The service.
     pub service: Name,
-    /// Where it answers.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
 }
 
-/// The one record that says which pool a VM belongs to and what it may do.
+/// The authoritative record of a VM's pool and phase.
 ///
-/// It is only ever written by compare-and-swap against the revision it was
-/// decided on, so that a controller that was paused past its lease cannot
-/// undo what came after.
+/// Written only by compare-and-swap against the revision that the decision was
+/// based on, so that a controller that was paused past its lease cannot
+/// overwrite later changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The pool it belongs to.
+    /// The pool it currently belongs to.
     pub pool: Name,
-    /// Where it is.
+    /// Its phase.
     pub phase: Phase,
-    /// Grows by one at each drain; proxies confirm a drain by this number.
+    /// Incremented by each drain. Proxies acknowledge a drain with this number.
     pub epoch: u64,
-    /// The copies it carries that are able to serve.
+    /// Its copies that are able to serve.
     pub runners: Vec<Runner>,
-    /// Why it is where it is: a rule, a wave, an operator.
+    /// The reason for its phase: a rule, a wave or an operator.
     pub reason: String,
-    /// When it came there, in milliseconds since the Unix epoch.
+    /// When it entered the phase, in milliseconds since the Unix epoch.
     pub since_ms: u64,
     /// When it was last maintained, in milliseconds since the Unix epoch; 0 if
-    /// that is not known.
+    /// unknown.
     #[serde(default)]
     pub maintained_ms: u64,
-    /// The pool it goes to once it is drained, if it is being moved.
+    /// The pool that it joins after draining, if it is being moved.
     #[serde(default)]
     pub moving_to: Option<Name>,
 }
 
-/// An operator's wish that a VM be drained and stay so.
+/// An operator's request to drain a VM and keep it drained.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Who asked.
+    /// Who requested it.
     pub by: String,
     /// Why.
     pub reason: String,
 }
 
-/// What a controller has heard of what operators wrote.
+/// The newest operator write that the leading controller knows of.
 ///
-/// A write that is answered is known to the store alone until a watch has shown it. If
-/// the store goes down first nobody acts on it, for the whole outage; what a
-/// controller has heard it passes on to all others.
+/// A successful write is known only to the store until a watch has delivered it.
+/// If the store fails before that, no process acts on the write during the
+/// outage. A controller passes what it knows on to all other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorRevision {
-    /// The revision of the newest drain or configuration that it has heard of.
+    /// The revision of the newest drain or configuration that it has received.
     pub revision: u64,
 }
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Stands between callers and backend servers.
+    /// Forwards requests of callers to backend servers.
     Proxy,
-    /// Decides for the fleet while it holds the lease.
+    /// Plans the fleet while it holds the leader lease.
     Controller,
 }
 
@@ -136,95 +136,96 @@
     }
 }
 
-/// A process of ours that runs.
+/// A running proxy or controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The name of its entry VM.
     pub name: Name,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Grows with each start of the process of this name.
+    /// Increases with each start of the process with this name.
     pub incarnation: u64,
-    /// Where its entry VM stands.
+    /// The data centre of its entry VM.
     pub data_centre: Name,
-    /// Where peers reach it.
+    /// The address at which it accepts messages of peers.
     pub peers: SocketAddr,
-    /// Where callers reach it; none for a controller.
+    /// The address at which it accepts requests of callers; `None` for a
+    /// controller.
     #[serde(default)]
     pub callers: Option<SocketAddr>,
 }
 
-/// Who holds a lease.
+/// The holder of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The member's name.
     pub name: Name,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Where peers reach it.
+    /// The address at which it accepts messages of peers.
     pub peers: SocketAddr,
 }
 
 /// A maintenance wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// Its number; grows by one a wave.
+    /// Its number, incremented for each wave.
     pub number: u64,
-    /// Why it runs.
+    /// The reason for it.
     pub reason: String,
     /// When it began, in milliseconds since the Unix epoch.
     pub began_ms: u64,
-    /// By when it is to end, in milliseconds since the Unix epoch; 0 for a day
-    /// after it began. Until then copies are moved out of its way only where
-    /// the user's weights say that it is worth it.
+    /// The deadline, in milliseconds since the Unix epoch; 0 stands for one day
+    /// after the start. Before the deadline, copies are moved out of the way of
+    /// the wave only if that pays off by the user's weights.
     #[serde(default)]
     pub deadline_ms: u64,
-    /// The VMs still to be maintained, in order.
+    /// The pending VMs, in order.
     pub todo: Vec<Name>,
     /// The VMs under maintenance.
     pub doing: Vec<Name>,
-    /// The VMs that came back healthy.
+    /// The VMs that are healthy after maintenance.
     pub done: Vec<Name>,
-    /// The VMs that came back failing.
+    /// The VMs that are failing after maintenance.
     pub failed: Vec<Name>,
-    /// How many VMs go at once.
+    /// The number of VMs under maintenance at the same time.
     pub step: u32,
-    /// Why it has stopped for an operator, if it has.
+    /// Why it is halted until an operator intervenes, if it is.
     #[serde(default)]
     pub halted: Option<String>,
 }
 
-/// What the controller decided last, for `corianderctl explain`.
+/// The controller's last decision, for `corianderctl explain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explain {
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of the decision, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// The revision of the configuration.
     pub config: u64,
-    /// The rule that decided.
+    /// The rule that matched.
     pub rule: String,
-    /// Why: the values seen and their age, a line each.
+    /// The observed values and their ages, one per line.
     pub seen: Vec<String>,
-    /// Why the rules before it did not match, a line each.
+    /// Why the preceding rules did not match, one per line.
     pub passed: Vec<String>,
-    /// What was decided, a line each.
+    /// The planned steps, one per line.
     pub steps: Vec<String>,
-    /// What cannot be done and why, a line each.
+    /// What cannot be done and why, one per line.
     pub problems: Vec<String>,
 }
 
-/// A change in the audit trail.
+/// One change in the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditLine {
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of the change, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who or what rule.
+    /// The person or rule that made the change.
     pub who: String,
-    /// What was changed.
+    /// The subject of the change.
     pub what: String,
-    /// What it was before.
+    /// The old value.
     pub from: String,
-    /// What it is now.
+    /// The new value.
     pub to: String,
     /// The revision of the write.
     pub revision: u64,
--- a/crates/provider/src/store.rs
+++ b/crates/provider/src/store.rs
@@ -1,12 +1,12 @@
-//! The key-value service: compare-and-swap, leases and watches.
+//! The interface of the key-value store: compare-and-swap, leases and watches.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The largest value, in bytes.
+/// The maximum size of a value in bytes.
 pub const MAX_VALUE: usize = 1 << 20;
 
-/// The number of a write, counted over the whole store; only ever grows.
+/// The sequence number of a write. Increases with every write to the store.
 #[derive(
     Clone,
     Copy,
@@ -29,37 +29,38 @@
     }
 }
 
-/// A lease granted by the store; keys written under it go when it lapses.
+/// The id of a lease. The store deletes the keys attached to a lease when the
+/// lease expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(transparent)]
 pub struct LeaseId(pub u64);
 
-/// A key with its value.
+/// A key and its value.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Entry {
     /// The key.
     pub key: String,
     /// The value.
     pub value: String,
-    /// The revision of the last write of this key.
+    /// The revision of the last write to this key.
     pub revision: Revision,
-    /// The lease the key goes with, if any.
+    /// The lease that the key is attached to, if any.
     #[serde(default)]
     pub lease: Option<LeaseId>,
 }
 
-/// What a write expects to replace.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// Nothing: the key must be absent.
+    /// The key must be absent.
     Absent,
-    /// The entry last written at this revision.
+    /// The last write of the key must be at this revision.
     Revision(Revision),
-    /// Anything. Only for values that one process alone ever writes.
+    /// No precondition. Only for values with a single writer.
     Anything,
 }
 
-/// What a read of one key found.
+/// The result of reading one key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize)]
 pub struct Lookup {
     /// The store's revision at the time of the read.
@@ -68,7 +69,7 @@
     pub entry: Option<Entry>,
 }
 
-/// What a read of a prefix found.
+/// The result of reading all keys with a prefix.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize)]
 pub struct Range {
     /// The store's revision at the time of the read.
@@ -77,94 +78,97 @@
     pub entries: Vec<Entry>,
 }
 
-/// One change that a watch saw.
+/// One change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize)]
 pub struct Change {
     /// The key that changed.
     pub key: String,
-    /// The entry now, or `None` if the key was deleted or its lease lapsed.
+    /// The new entry, or `None` if the key was deleted or its lease expired.
     pub entry: Option<Entry>,
     /// The revision of the change.
     pub revision: Revision,
 }
 
-/// What a watch saw by its end.
+/// The result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Deserialize)]
 pub struct Changes {
-    /// The revision up to which the changes are complete; watch on after it.
+    /// The revision up to which the changes are complete. The next watch starts
+    /// after it.
     pub revision: Revision,
     /// The changes, oldest first.
     pub changes: Vec<Change>,
 }
 
-/// Why a call failed.
+/// The reason why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The entry is not the expected one; nothing was written.
-    #[error("the key `{key}` was changed by someone else; read it again and decide anew")]
+    /// The precondition failed; nothing was written.
+    #[error("the key `{key}` was changed concurrently; read it again and retry")]
     Conflict {
         /// The key.
         key: String,
-        /// The entry as it is, if there is one.
+        /// The current entry, if the key exists.
         current: Option<Entry>,
     },
-    /// The store refused or could not be reached; nothing was written.
-    #[error("the platform's store is unavailable ({0}); nothing was written, try again later")]
+    /// The store rejected the call or is unreachable; nothing was written.
+    #[error("the platform's store is unavailable ({0}); nothing was written; retry later")]
     Unavailable(String),
-    /// The answer was lost; a write may have taken effect.
-    #[error("the platform's store gave no answer ({0}); read back before writing again")]
+    /// The response was lost; a write may have been applied.
+    #[error("no response from the platform's store ({0}); read the key back before writing again")]
     Unknown(String),
     /// The value is larger than [`MAX_VALUE`].
-    #[error("the value of `{key}` has {len} bytes; the store takes at most {MAX_VALUE}")]
+    #[error("the value of `{key}` has {len} bytes; the store accepts at most {MAX_VALUE}")]
     TooLarge {
         /// The key.
         key: String,
         /// The length of the value, in bytes.
         len: usize,
     },
-    /// The watch begins before what the store remembers.
-    #[error("the watch starts too far back; read the prefix whole and watch from there")]
+    /// The store no longer has the history from the start of the watch.
+    #[error(
+        "the store no longer has changes that old; read the whole prefix and watch from its revision"
+    )]
     Compacted,
-    /// The lease has lapsed.
-    #[error("the lease has lapsed; stop acting under it and ask for a new one")]
+    /// The lease has expired.
+    #[error("the lease has expired; stop acting under it and request a new one")]
     Lapsed,
-    /// The answer could not be understood.
-    #[error("the platform's store answered what is not its protocol: {0}; check its address")]
+    /// The response could not be decoded.
+    #[error("invalid response of the platform's store: {0}; check its address")]
     Malformed(String),
 }
 
 impl Error {
-    /// Whether a write that failed like this may have taken effect.
+    /// Whether a write that failed with this error may have been applied.
     pub const fn may_have_applied(&self) -> bool {
         matches!(self, Self::Unknown(_) | Self::Malformed(_))
     }
 }
 
-/// The key-value service.
+/// A key-value store.
 ///
-/// Calls block, each for a bounded time that the implementation states.
+/// Each call blocks for a bounded time that the implementation documents.
 pub trait Store: Send + Sync {
     /// Reads one key.
     ///
     /// # Errors
     ///
-    /// Fails if the store is unavailable or its answer was lost.
+    /// Returns an error if the store is unavailable or its response was lost.
     fn get(&self, key: &str) -> Result<Lookup, Error>;
 
-    /// Reads all keys that begin with `prefix`.
+    /// Reads all keys that start with `prefix`.
     ///
     /// # Errors
     ///
-    /// Fails if the store is unavailable or its answer was lost.
+    /// Returns an error if the store is unavailable or its response was lost.
     fn range(&self, prefix: &str) -> Result<Range, Error>;
 
-    /// Writes a key if it is as expected.
+    /// Writes a key if `expect` holds.
     ///
     /// # Errors
     ///
-    /// [`Error::may_have_applied`] tells whether the write may have taken
-    /// effect all the same.
+    /// If [`Error::may_have_applied`] returns true, the write may have been
+    /// applied despite the error.
     fn put(
         &self,
         key: &str,
@@ -173,38 +177,41 @@
         lease: Option<LeaseId>,
     ) -> Result<Revision, Error>;
 
-    /// Deletes a key if it is as expected.
+    /// Deletes a key if `expect` holds.
     ///
     /// # Errors
     ///
     /// As for [`Store::put`].
     fn delete(&self, key: &str, expect: Expect) -> Result<Revision, Error>;
 
-    /// Waits up to `wait` for changes after a revision to keys with a prefix.
+    /// Waits up to `wait` for changes after revision `after` to keys that start
+    /// with `prefix`.
     ///
     /// # Errors
     ///
-    /// [`Error::Compacted`] asks for a new [`Store::range`].
+    /// After [`Error::Compacted`], the caller must read the prefix with
+    /// [`Store::range`] before it watches again.
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, Error>;
 
-    /// Grants a lease.
+    /// Grants a lease that expires after `ttl` unless it is renewed.
     ///
     /// # Errors
     ///
-    /// A lease whose grant was lost lapses by itself.
+    /// If the response was lost, a lease may exist; it expires by itself.
     fn grant(&self, ttl: Duration) -> Result<LeaseId, Error>;
 
-    /// Renews a lease for its whole time.
+    /// Renews a lease for its full duration.
     ///
     /// # Errors
     ///
-    /// [`Error::Lapsed`] if it is too late.
+    /// Returns [`Error::Lapsed`] if the lease has expired already.
     fn renew(&self, lease: LeaseId) -> Result<(), Error>;
 
-    /// Ends a lease; its keys go at once.
+    /// Ends a lease; its keys are deleted immediately.
     ///
     /// # Errors
     ///
-    /// Fails if the store is unavailable; the lease then lapses by itself.
+    /// Returns an error if the store is unavailable; the lease then expires by
+    /// itself.
     fn revoke(&self, lease: LeaseId) -> Result<(), Error>;
 }
