--- a/crates/coord/src/claim/takeover.rs
+++ b/crates/coord/src/claim/takeover.rs
@@ -5,12 +5,12 @@
 
 use corianderfork_model::Time;
 
-use super::book::Book;
 use super::config::Config;
+use super::index::Book;
+use super::journal::Journal;
 use super::message::{Action, Answer, Event, Verdict};
 use super::owner::Owner;
 use super::segment::{Entry, HEAD, Segment, Writer};
-use super::writer::Journal;
 use crate::backoff::{self, Backoff};
 
 /// The first wait after the platform's service failed.
@@ -73,7 +73,7 @@
     }
 
     /// When the next [`Event::Tick`] is due, if any.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_tick(&self) -> Option<Time> {
         match self.step {
             Step::Waiting(at) => Some(at),
             _ => None,
@@ -95,7 +95,7 @@
     /// first [`Event::Tick`] starts it.
     pub fn on_event(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
-            Event::Ask(ask) => {
+            Event::Request(ask) => {
                 let verdict = Verdict::Unavailable { retry_after: self.config.ask_wait };
                 vec![Action::Reply { key: ask.key, verdict }]
             }
--- a/crates/entry/src/planner/wave.rs
+++ b/crates/entry/src/planner/wave.rs
@@ -45,7 +45,7 @@
                 || vms.get(name).is_some_and(|v| v.state == State::Maintained)
         };
         let in_maintenance = wave.vms.iter().filter(|name| is_away(name)).count();
-        let capacity = wave.most.saturating_sub(in_maintenance);
+        let capacity = wave.max_concurrent.saturating_sub(in_maintenance);
         if capacity == 0 {
             return;
         }
@@ -79,9 +79,9 @@
 
     /// Whether there is enough time to maintain the remaining VMs later.
     fn may_wait(&self, wave: &Wave, remaining: usize) -> bool {
-        let rounds = u32::try_from(remaining.div_ceil(wave.most)).unwrap_or(u32::MAX);
+        let rounds = u32::try_from(remaining.div_ceil(wave.max_concurrent)).unwrap_or(u32::MAX);
         let needed = ROUND_DURATION.saturating_mul(rounds).saturating_add(RESERVE);
-        self.wave_age(wave.number).is_some_and(|elapsed| elapsed + needed < wave.within)
+        self.wave_age(wave.number).is_some_and(|elapsed| elapsed + needed < wave.time_limit)
     }
 
     fn wave_age(&self, number: u64) -> Option<Duration> {
@@ -135,7 +135,7 @@
         let (node, vm) = (self.node.clone(), vm.clone());
         spawn_local(async move {
             let answer = super::call(&node, &call).await;
-            (vm, answer.map(|(status, body)| fleet::ordered(status, &body)))
+            (vm, answer.map(|(status, body)| fleet::parse_order(status, &body)))
         })
     }
 
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use corianderfork_adapter::store::{self, Item, Outcome, Page, Reading, Txn, Watched};
+use corianderfork_adapter::store::{self, Item, Outcome, Page, Reading, Txn, Update};
 use corianderfork_adapter::{Call, Fault};
 use corianderfork_model::Time;
 use hyper::body::Bytes;
@@ -114,7 +114,7 @@
     pub async fn read(&self, key: &str) -> Result<Reading, Error> {
         let (status, body) =
             self.call(&store::get(key), "get", RESPONSE_TIMEOUT).await.map_err(from_call_error)?;
-        store::got(status, &body).map_err(from_fault)
+        store::parse_get(status, &body).map_err(from_fault)
     }
 
     /// Reads all keys with a prefix, page by page. Returns the revision of the first page:
@@ -131,7 +131,7 @@
             let call = store::range(prefix, after.as_deref(), false);
             let (status, body) =
                 self.call(&call, "range", RESPONSE_TIMEOUT).await.map_err(from_call_error)?;
-            let page: Page = store::ranged(status, &body).map_err(from_fault)?;
+            let page: Page = store::parse_range(status, &body).map_err(from_fault)?;
             revision.get_or_insert(page.revision);
             let is_last = !page.more || page.items.is_empty();
             items.extend(page.items);
@@ -147,12 +147,12 @@
     /// # Errors
     ///
     /// Fails if the store doesn't respond.
-    pub async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Watched, Error> {
+    pub async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<Update, Error> {
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(1_000);
         let call = store::watch(prefix, after, wait_ms);
         let (status, body) =
             self.call(&call, WATCH, wait + WATCH_SLACK).await.map_err(from_call_error)?;
-        store::watched(status, &body).map_err(from_fault)
+        store::parse_watch(status, &body).map_err(from_fault)
     }
 
     /// Applies a transaction: changes keys if its conditions hold.
@@ -163,7 +163,7 @@
     pub async fn txn(&self, txn: &Txn) -> Result<Outcome, Error> {
         let (status, body) =
             self.call(&store::txn(txn), "txn", RESPONSE_TIMEOUT).await.map_err(from_call_error)?;
-        store::txn_done(status, &body).map_err(from_fault)
+        store::parse_txn(status, &body).map_err(from_fault)
     }
 
     /// Creates a lease. Returns its number and its time to live.
@@ -174,10 +174,10 @@
     pub async fn lease(&self, ttl: Duration) -> Result<(u64, Duration), Error> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(1_000);
         let (status, body) = self
-            .call(&store::lease(ttl_ms), "lease", RESPONSE_TIMEOUT)
+            .call(&store::grant_lease(ttl_ms), "lease", RESPONSE_TIMEOUT)
             .await
             .map_err(from_call_error)?;
-        let (lease, ttl_ms) = store::leased(status, &body).map_err(from_fault)?;
+        let (lease, ttl_ms) = store::parse_lease(status, &body).map_err(from_fault)?;
         Ok((lease, Duration::from_millis(ttl_ms)))
     }
 
@@ -188,15 +188,15 @@
     /// Fails if the store doesn't respond.
     pub async fn keep(&self, lease: u64) -> Result<bool, Error> {
         let (status, _) = self
-            .call(&store::keep(lease), "keep", RESPONSE_TIMEOUT)
+            .call(&store::renew_lease(lease), "keep", RESPONSE_TIMEOUT)
             .await
             .map_err(from_call_error)?;
-        store::kept(status).map_err(from_fault)
+        store::parse_renewal(status).map_err(from_fault)
     }
 
     /// Revokes a lease; if this fails, it expires.
     pub async fn end(&self, lease: u64) {
-        let _ = self.call(&store::end(lease), "end", RESPONSE_TIMEOUT).await;
+        let _ = self.call(&store::revoke_lease(lease), "end", RESPONSE_TIMEOUT).await;
     }
 }
 
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use corianderfork_routing::outcome::{Attempt, Doubt, Refused};
+use corianderfork_routing::outcome::{Attempt, Doubt, Rejection};
 use ureq::http;
 use ureq::unversioned::resolver::DefaultResolver;
 use ureq::unversioned::transport::{Connector, TcpConnector};
@@ -214,7 +214,7 @@
         if let (503 | 421, Some(reason)) = (status, not_run)
             && (is_own || echoed.is_none())
         {
-            return Ok(Outcome::without_response(Attempt::Refused(parse_refusal(reason))));
+            return Ok(Outcome::without_response(Attempt::Rejected(parse_refusal(reason))));
         }
         if !is_own {
             return Ok(Outcome::unknown(Doubt::Mismatch));
@@ -267,11 +267,11 @@
     if values.next().is_some() { None } else { Some(first) }
 }
 
-fn parse_refusal(reason: &str) -> Refused {
+fn parse_refusal(reason: &str) -> Rejection {
     match reason {
-        "leaving" => Refused::Leaving,
-        "not-here" => Refused::NotHere,
-        _ => Refused::Busy,
+        "leaving" => Rejection::Leaving,
+        "not-here" => Rejection::NotHere,
+        _ => Rejection::Busy,
     }
 }
 
--- a/crates/proxy/src/members.rs
+++ b/crates/proxy/src/members.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use corianderfork_coord::member::{Config, Heard, Known, Table};
+use corianderfork_coord::member::{Config, Identity, Sighting, Table};
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::record::{Member, Role};
 use corianderfork_wire::peer;
@@ -43,8 +43,8 @@
     Name::new(&format!("{}-{}", member.role, member.name)).ok()
 }
 
-fn to_known(member: &Member) -> Option<Known> {
-    Some(Known::new(table_name(member)?, member.incarnation))
+fn to_known(member: &Member) -> Option<Identity> {
+    Some(Identity::new(table_name(member)?, member.incarnation))
 }
 
 impl Members {
@@ -60,7 +60,7 @@
         forget_after: Duration,
     ) -> Result<Self, corianderfork_model::name::Error> {
         let name = Name::new(&format!("{}-{}", me.role, me.name))?;
-        let table = Table::new(config, Known::new(name, me.incarnation));
+        let table = Table::new(config, Identity::new(name, me.incarnation));
         Ok(Self { me, table, entries: BTreeMap::new(), forget_after })
     }
 
@@ -100,7 +100,7 @@
             entry.unlisted_since =
                 if is_listed { None } else { entry.unlisted_since.or(Some(now)) };
         }
-        self.table.on_store(sent, revision, listed);
+        self.table.on_list(sent, revision, listed);
         self.remove_expired(now)
     }
 
@@ -110,7 +110,7 @@
         self.table.on_snapshot(now, listed);
     }
 
-    fn record_listed<'a>(&mut self, listed: impl Iterator<Item = &'a Member>) -> Vec<Known> {
+    fn record_listed<'a>(&mut self, listed: impl Iterator<Item = &'a Member>) -> Vec<Identity> {
         let mut known_members = Vec::new();
         for member in listed {
             let Some(subject) = to_known(member) else { continue };
@@ -163,13 +163,13 @@
         Some(())
     }
 
-    fn record_contact(&mut self, now: Time, member: Known, age: Duration) {
-        self.table.on_heard(now, [Heard { member, age }]);
+    fn record_contact(&mut self, now: Time, member: Identity, age: Duration) {
+        self.table.on_sightings(now, [Sighting { member, age }]);
     }
 
     /// Adds or updates a member; returns `None` for this process and for earlier
     /// incarnations.
-    fn update(&mut self, member: &Member) -> Option<Known> {
+    fn update(&mut self, member: &Member) -> Option<Identity> {
         let known = to_known(member)?;
         if member.role == self.me.role && member.name == self.me.name {
             return None;
@@ -234,7 +234,7 @@
             acks,
             config_revision,
         };
-        let others = self.table.heard(now).into_iter().filter_map(|heard| {
+        let others = self.table.sightings(now).into_iter().filter_map(|heard| {
             let entry = self.entries.get(&heard.member.name)?;
             Some(peer::Seen {
                 member: Some(convert::member(&entry.member)),
