--- a/crates/runtime/src/admin.rs
+++ b/crates/runtime/src/admin.rs
@@ -1,5 +1,5 @@
-//! Readiness, liveness and metrics over HTTP, for a daemon that serves no
-//! callers.
+//! HTTP endpoints for readiness, liveness and metrics, with a server for daemons
+//! that do not serve callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,34 +8,36 @@
 
 use crate::metrics::Metrics;
 
-/// Readiness: whether the process may be given work.
+/// The path of the readiness check.
 pub const READY: &str = "/-/ready";
-/// Liveness: whether the process runs.
+/// The path of the liveness check.
 pub const LIVE: &str = "/-/live";
-/// Metrics as text.
+/// The path of the metrics.
 pub const METRICS: &str = "/-/metrics";
 
-/// Why the process is not ready, or `None` if it is.
+/// Returns why the process is not ready, or `None` if it is ready.
 pub type Ready = Arc<dyn Fn() -> Option<String> + Send + Sync>;
 
-/// The status and text for one of the paths here; `None` for any other.
+/// Returns the status and body for a path of this module, or `None` for any other
+/// path.
 pub fn answer(path: &str, metrics: &Metrics, ready: &Ready) -> Option<(u16, String)> {
     match path {
         LIVE => Some((200, "live\n".to_owned())),
         READY => Some(match ready() {
             None => (200, "ready\n".to_owned()),
-            Some(why) => (503, format!("not ready: {why}\n")),
+            Some(reason) => (503, format!("not ready: {reason}\n")),
         }),
         METRICS => Some((200, metrics.text())),
         _ => None,
     }
 }
 
-/// Serves the paths at `listen` on a thread of its own and gives the address.
+/// Serves the paths at `listen` on a separate thread and returns the bound
+/// address.
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub fn serve(listen: SocketAddr, metrics: Metrics, ready: Ready) -> std::io::Result<SocketAddr> {
     let server = Server::http(listen).map_err(std::io::Error::other)?;
     let bound = server.server_addr().to_ip().unwrap_or(listen);
@@ -43,7 +45,7 @@
         for request in server.incoming_requests() {
             let (status, text) = answer(request.url(), &metrics, &ready)
                 .unwrap_or((404, format!("try {READY}, {LIVE} or {METRICS}\n")));
-            // A reader that has gone away is no loss: it asks again.
+            // Ignores clients that have disconnected: they repeat the request.
             let _ = request.respond(Response::from_string(text).with_status_code(status));
         }
     })?;
--- a/crates/runtime/src/core.rs
+++ b/crates/runtime/src/core.rs
@@ -1,5 +1,5 @@
-//! The event loop: one thread that runs stakker's actors and what other
-//! threads post to them.
+//! The event loop: one thread that runs stakker actors and the events that other
+//! threads post.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
@@ -8,25 +8,25 @@
 
 use crate::port;
 
-/// The longest sleep: an upper bound only, timers wake the loop before.
+/// An upper bound on the sleep of the loop. Timers wake it earlier.
 const MAX_SLEEP: Duration = Duration::from_secs(60);
-/// How many posted events run before timers get their turn.
-const BATCH: usize = 64;
+/// The maximum number of queued events that run before timers are checked.
+const MAX_EVENTS_PER_TURN: usize = 64;
 
-/// What another thread posts to the core.
+/// A closure that another thread posts to the event loop.
 pub type Event = Box<dyn FnOnce(&mut Stakker) + Send>;
 
-/// The core's queue is full.
+/// The error of posting to an event loop that is full or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the core's queue is full or the core has ended; drop the event or try again later")]
+#[error("the event queue is full or the event loop has ended; drop the event or retry later")]
 pub struct Full;
 
-/// Why the core ended abnormally.
+/// The reason why the event loop ended abnormally.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}; let the platform start the process anew and read its last log lines")]
+#[error("{0}; let the platform restart the process, and read its last log lines")]
 pub struct Failure(String);
 
-/// Posts events to the core from any thread.
+/// Posts events to the event loop from any thread.
 #[derive(Clone, Debug)]
 pub struct Handle {
     sender: SyncSender<Event>,
@@ -37,30 +37,33 @@
     ///
     /// # Errors
     ///
-    /// Fails at once if the queue is full: a thread that waited here could
-    /// hold up a caller's answer for something that is sent again anyway.
+    /// Returns [`Full`] without waiting if the queue is full: waiting here could
+    /// delay the response to a caller for a message that is repeated anyway.
     pub fn post(&self, event: impl FnOnce(&mut Stakker) + Send + 'static) -> Result<(), Full> {
         self.sender.try_send(Box::new(event)).map_err(|error| match error {
             TrySendError::Full(_) | TrySendError::Disconnected(_) => Full,
         })
     }
 
-    /// Posts an event, waiting for room. For events that must not be lost.
+    /// Posts an event, blocking until the queue has space. For events that must not
+    /// be lost.
     ///
     /// # Errors
     ///
-    /// Fails if the core has ended.
+    /// Returns an error if the event loop has ended.
     pub fn post_wait(&self, event: impl FnOnce(&mut Stakker) + Send + 'static) -> Result<(), Full> {
         self.sender.send(Box::new(event)).map_err(|_| Full)
     }
 }
 
-/// Runs the core on this thread until an actor shuts it down. `queue` bounds
-/// the events posted and not yet run; `setup` starts the first actors.
+/// Runs the event loop on this thread until an actor shuts it down.
+///
+/// `queue` is the maximum number of queued events; `setup` starts the first
+/// actors.
 ///
 /// # Errors
 ///
-/// Fails if it was shut down for a failure.
+/// Returns an error if the loop was shut down because of a failure.
 pub fn run(queue: usize, setup: impl FnOnce(&mut Stakker, Handle)) -> Result<(), Failure> {
     let (sender, receiver) = sync_channel(queue);
     let mut stakker = Stakker::new(Instant::now());
@@ -68,7 +71,7 @@
     setup(&mut stakker, Handle { sender });
     stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
-        turn(&mut stakker, &receiver);
+        run_once(&mut stakker, &receiver);
     }
     match stakker.shutdown_reason() {
         Some(StopCause::Failed(error) | StopCause::Killed(error)) => {
@@ -78,17 +81,17 @@
     }
 }
 
-fn turn(stakker: &mut Stakker, receiver: &Receiver<Event>) {
+fn run_once(stakker: &mut Stakker, receiver: &Receiver<Event>) {
     let sleep = stakker.next_wait_max(Instant::now(), MAX_SLEEP, false);
     match receiver.recv_timeout(sleep) {
         Ok(event) => {
             event(stakker);
-            for event in receiver.try_iter().take(BATCH) {
+            for event in receiver.try_iter().take(MAX_EVENTS_PER_TURN) {
                 event(stakker);
             }
         }
         Err(RecvTimeoutError::Timeout) => {}
-        // No handle is left, so nothing can be posted any more: timers go on.
+        // All handles are dropped, so no events can arrive, but timers still run.
         Err(RecvTimeoutError::Disconnected) => std::thread::sleep(sleep),
     }
     stakker.run(Instant::now(), false);
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,11 +1,12 @@
-//! What the daemons share.
+//! Infrastructure that the daemons share.
 //!
-//! A daemon is a thin shell around pure decisions. Its core is one thread that
-//! runs stakker's actors ([`core`]) under a [`supervisor`]; a [`timer`] actor
-//! tells the others when time has come. What blocks runs elsewhere and posts
-//! back through a [`port::Port`]: calls to the platform on a [`worker`] thread,
-//! the watch of shared keys on one of its own ([`sync`]), messages of peers on
-//! one tokio thread ([`peers`]). All queues between threads are bounded.
+//! A daemon is a thin shell around decision code that does no I/O. Its event
+//! loop is one thread that runs stakker actors ([`core`]) under a
+//! [`supervisor`], with a [`timer`] actor for periodic ticks. Blocking work runs
+//! on other threads and posts results through a [`port::Port`]: calls to the
+//! platform on [`worker`] threads, the watch of shared keys on a thread of its
+//! own ([`sync`]), and messages between peers on one tokio thread ([`peers`]).
+//! All queues between threads are bounded.
 //!
 //! ```
 //! use corianderfork_runtime::core;
--- a/crates/runtime/src/log.rs
+++ b/crates/runtime/src/log.rs
@@ -1,28 +1,30 @@
-//! Structured logs, as JSON or text, on standard error.
+//! Structured logs on standard error, as JSON or text.
 
 use logforth::filter::RustLogFilter;
 use logforth::layout::{JsonLayout, TextLayout};
 use logforth::starter_log;
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Text for people.
+    /// Human-readable text.
     Text,
 }
 
-/// Why logging could not be set up.
+/// The reason why logging could not be set up.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The filter does not parse.
-    #[error("`{filter}` is no log level; write error, warn, info, debug, trace or MODULE=LEVEL")]
+    /// The filter is invalid.
+    #[error(
+        "`{filter}` is not a log filter; write error, warn, info, debug, trace or MODULE=LEVEL"
+    )]
     Filter {
-        /// The filter as written.
+        /// The filter text.
         filter: String,
     },
     /// Logging is set up already.
@@ -35,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// Fails on a filter that doesn't parse, and when called twice.
+/// Returns an error if the filter is invalid or logging is set up already.
 pub fn set_up(format: Format, filter: &str) -> Result<(), Error> {
     let filter =
         filter.parse::<RustLogFilter>().map_err(|_| Error::Filter { filter: filter.to_owned() })?;
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text form that Prometheus reads.
+//! Metrics in the Prometheus text format.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
@@ -6,10 +6,10 @@
 
 use corianderfork_provider::count::Calls;
 
-/// The prefix of all names.
+/// The prefix of all metric names.
 const NAMESPACE: &str = "corianderfork";
 
-/// The metrics of a process. Clones share the same numbers.
+/// The metrics registry of a process. Clones share the same metrics.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -23,11 +23,11 @@
 }
 
 impl Metrics {
-    /// No metrics yet, but for the calls to the platform's store.
+    /// Creates a registry that contains only `store_calls`.
     ///
     /// # Panics
     ///
-    /// Only if a constant name in here is not a metric name.
+    /// Never, because the names in this function are valid.
     pub fn new() -> Self {
         let registry = Registry::new_custom(Some(NAMESPACE.to_owned()), None)
             .expect("the namespace is a metric name");
@@ -40,33 +40,33 @@
         Self { registry, store_calls }
     }
 
-    /// A counter, by labels.
+    /// Registers a counter with `labels`.
     ///
     /// # Panics
     ///
-    /// If the name is taken or no metric name: a fault of the program.
+    /// Panics if the name is invalid or already registered.
     pub fn counter(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let counter = IntCounterVec::new(Opts::new(name, help), labels).expect("a metric name");
         self.registry.register(Box::new(counter.clone())).expect("registered once");
         counter
     }
 
-    /// A gauge, by labels.
+    /// Registers a gauge with `labels`.
     ///
     /// # Panics
     ///
-    /// If the name is taken or no metric name: a fault of the program.
+    /// Panics if the name is invalid or already registered.
     pub fn gauge(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
         let gauge = IntGaugeVec::new(Opts::new(name, help), labels).expect("a metric name");
         self.registry.register(Box::new(gauge.clone())).expect("registered once");
         gauge
     }
 
-    /// A histogram of seconds, by labels.
+    /// Registers a histogram of durations in seconds with `labels`.
     ///
     /// # Panics
     ///
-    /// If the name is taken or no metric name: a fault of the program.
+    /// Panics if the name is invalid or already registered.
     pub fn duration_histogram(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
         let buckets = prometheus::exponential_buckets(0.0005, 2.0, 16).expect("growing buckets");
         let options = HistogramOpts::new(name, help).buckets(buckets);
@@ -75,22 +75,23 @@
         histogram
     }
 
-    /// Tells how many calls were made to the platform's store.
+    /// Sets the gauges of calls to the platform's store.
     pub fn set_store_calls(&self, calls: Calls) {
-        let set = |kind: &str, count: u64| {
+        let set_gauge = |kind: &str, count: u64| {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
             self.store_calls.with_label_values(&[kind]).set(count);
         };
-        set("read", calls.reads);
-        set("write", calls.writes);
-        set("watch", calls.watches);
-        set("failed", calls.failures);
+        set_gauge("read", calls.reads);
+        set_gauge("write", calls.writes);
+        set_gauge("watch", calls.watches);
+        set_gauge("failed", calls.failures);
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
-        // Writing to memory cannot fail, and half a page is better than none.
+        // Writing to memory cannot fail; on an encoding error, partial output is
+        // better than none.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8(text).unwrap_or_default()
     }
--- a/crates/runtime/src/peers.rs
+++ b/crates/runtime/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between our own processes: tonic on one thread of its own.
+//! gRPC between proxies and controllers, with tonic on one separate thread.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,54 +12,55 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Response, Status};
 
-/// Calls to peers under way at once, over all peers.
-const CALLS: usize = 256;
-/// How long a connection may take to open.
-const CONNECT: Duration = Duration::from_millis(500);
+/// The maximum number of concurrent calls to all peers together.
+const MAX_CALLS: usize = 256;
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Gives the answer to a call, from any thread, at any time.
+/// Sends the response to a request, from any thread at any time.
 #[derive(Debug)]
 pub struct Reply<T>(oneshot::Sender<T>);
 
 impl<T> Reply<T> {
-    /// Sends the answer. An asker that is gone asks again.
-    pub fn send(self, answer: T) {
-        let _ = self.0.send(answer);
+    /// Sends the response. Does nothing if the peer is gone; it repeats the
+    /// request.
+    pub fn send(self, response: T) {
+        let _ = self.0.send(response);
     }
 }
 
-/// What the process does with messages of its peers.
+/// Handles the requests of peers.
 ///
-/// Runs on the thread of all messages: no call here may block.
+/// All methods run on the peer thread and must not block.
 pub trait Handler: Send + Sync + 'static {
-    /// A peer tells what it knows.
+    /// Handles the report of a peer and replies with a report of this process.
     fn exchange(&self, report: peer::Report, reply: Reply<peer::Report>);
-    /// A new process asks for configuration and records.
+    /// Handles the request of a new process for the configuration and records.
     fn snapshot(&self, request: peer::SnapshotRequest, reply: Reply<peer::SnapshotReply>);
-    /// A proxy asks to claim an id.
+    /// Handles the request of a proxy to claim a request id.
     fn claim(&self, request: peer::ClaimRequest, reply: Reply<peer::ClaimReply>);
-    /// A proxy tells how a claimed attempt ended.
+    /// Handles the outcome of a claimed attempt.
     fn settle(&self, request: peer::SettleRequest, reply: Reply<peer::SettleReply>);
 }
 
-/// Why a call to a peer brought no answer.
+/// The reason why a call to a peer failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The peer could not be reached or gave no answer in time.
-    #[error("the peer at {peer} gave no answer ({why}); ask another, or this one again later")]
-    NoAnswer {
-        /// Its address.
+    /// The peer is unreachable or did not respond in time.
+    #[error("no response from the peer at {peer} ({reason}); try another peer, or retry later")]
+    NoResponse {
+        /// The address of the peer.
         peer: SocketAddr,
-        /// The transport's reason.
-        why: String,
+        /// The error of the transport.
+        reason: String,
     },
-    /// Too many calls are under way.
-    #[error("too many calls to peers are under way; drop this one or try again later")]
+    /// Too many calls are in flight.
+    #[error("too many calls to peers are in flight; drop this one or retry later")]
     Busy,
 }
 
-/// Calls peers. Clones share connections.
+/// A client for calls to peers. Clones share connections.
 #[derive(Clone, Debug)]
 pub struct Peers {
     runtime: tokio::runtime::Handle,
@@ -67,11 +68,14 @@
     calls: Arc<Semaphore>,
 }
 
-/// Binds `listen`, starts the thread, and serves `handler` there.
+/// Binds `listen` and serves requests with `handler` on a new thread.
+///
+/// Returns a client for calls to peers and the bound address.
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be bound or the system gives no thread.
+/// Returns an error if the address cannot be bound or the thread cannot be
+/// started.
 pub fn start(
     listen: SocketAddr,
     handler: Arc<dyn Handler>,
@@ -82,7 +86,7 @@
     let peers = Peers {
         runtime: runtime.handle().clone(),
         channels: Arc::default(),
-        calls: Arc::new(Semaphore::new(CALLS)),
+        calls: Arc::new(Semaphore::new(MAX_CALLS)),
     };
     let service = PeerServer::new(Service { handler })
         .max_decoding_message_size(MAX_MESSAGE)
@@ -91,9 +95,9 @@
         let incoming =
             tonic::transport::server::TcpIncoming::from(listener).with_nodelay(Some(true));
         let server = tonic::transport::Server::builder().add_service(service);
-        let served = runtime.block_on(server.serve_with_incoming(incoming));
-        if let Err(error) = served {
-            ::log::error!("messages of peers are no longer served: {error}");
+        let serve_result = runtime.block_on(server.serve_with_incoming(incoming));
+        if let Err(error) = serve_result {
+            ::log::error!("the server for requests of peers failed: {error}");
         }
     })?;
     Ok((peers, bound))
@@ -105,28 +109,29 @@
     ($name:ident, $request:ty, $reply:ty, $doc:literal) => {
         #[doc = $doc]
         ///
-        /// `then` runs on the thread of all messages and must not block.
+        /// Runs `callback` with the result on the peer thread, or on the calling
+        /// thread if too many calls are in flight. The callback must not block.
         pub fn $name(
             &self,
-            to: SocketAddr,
+            address: SocketAddr,
             request: $request,
             timeout: Duration,
-            then: impl FnOnce(Result<$reply, Error>) + Send + 'static,
+            callback: impl FnOnce(Result<$reply, Error>) + Send + 'static,
         ) {
             let Ok(permit) = Arc::clone(&self.calls).try_acquire_owned() else {
-                then(Err(Error::Busy));
+                callback(Err(Error::Busy));
                 return;
             };
             let peers = self.clone();
             self.runtime.spawn(async move {
-                let mut client = peers.client(to);
+                let mut client = peers.client(address);
                 let call = client.$name(Request::new(request));
-                let answer = tokio::time::timeout(timeout, call).await;
+                let result = tokio::time::timeout(timeout, call).await;
                 drop(permit);
-                then(match answer {
-                    Ok(Ok(answer)) => Ok(answer.into_inner()),
-                    Ok(Err(status)) => Err(peers.failed(to, status.to_string())),
-                    Err(_) => Err(peers.failed(to, "timeout".to_owned())),
+                callback(match result {
+                    Ok(Ok(response)) => Ok(response.into_inner()),
+                    Ok(Err(status)) => Err(peers.disconnect(address, status.to_string())),
+                    Err(_) => Err(peers.disconnect(address, "timeout".to_owned())),
                 });
             });
         }
@@ -134,71 +139,81 @@
 }
 
 impl Peers {
-    call!(exchange, peer::Report, peer::Report, "Tells a peer what this process knows.");
+    call!(
+        exchange,
+        peer::Report,
+        peer::Report,
+        "Sends a report to a peer and receives its report."
+    );
     call!(
         snapshot,
         peer::SnapshotRequest,
         peer::SnapshotReply,
-        "Asks a peer for configuration and records."
+        "Requests the configuration and records from a peer."
+    );
+    call!(
+        claim,
+        peer::ClaimRequest,
+        peer::ClaimReply,
+        "Requests a claim of an id from the owner of its shard."
     );
-    call!(claim, peer::ClaimRequest, peer::ClaimReply, "Asks the owner of a shard to claim an id.");
     call!(
         settle,
         peer::SettleRequest,
         peer::SettleReply,
-        "Tells the owner of a shard how an attempt ended."
+        "Reports the outcome of an attempt to the owner of its shard."
     );
 
-    /// Claims an id and waits for the answer: for threads that may block.
+    /// Requests a claim of an id and blocks until the response arrives.
     ///
     /// # Errors
     ///
-    /// Fails if the peer gave no answer in time; the claim may then have been
-    /// made all the same.
+    /// Returns an error if the peer did not respond in time. The claim may have
+    /// been granted nevertheless.
     pub fn claim_wait(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         request: peer::ClaimRequest,
         timeout: Duration,
     ) -> Result<peer::ClaimReply, Error> {
         let (sender, receiver) = mpsc::sync_channel(1);
-        self.claim(to, request, timeout, move |answer| {
-            let _ = sender.try_send(answer);
+        self.claim(address, request, timeout, move |result| {
+            let _ = sender.try_send(result);
         });
         receiver.recv().unwrap_or(Err(Error::Busy))
     }
 
-    fn client(&self, to: SocketAddr) -> Client {
+    fn client(&self, address: SocketAddr) -> Client {
         let mut channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
-        let channel = channels.entry(to).or_insert_with(|| connect(to)).clone();
+        let channel = channels.entry(address).or_insert_with(|| connect(address)).clone();
         PeerClient::new(channel)
             .max_decoding_message_size(MAX_MESSAGE)
             .max_encoding_message_size(MAX_MESSAGE)
     }
 
-    /// Drops the connection with the call that failed on it.
+    /// Drops the connection to a peer after a failed call and returns the error.
     ///
-    /// A connection can go silent for good while new ones work: something
-    /// between the two ends has lost track of it. Every call on it would then
-    /// time out although the peer is well, so the next call opens a new one.
-    fn failed(&self, to: SocketAddr, why: String) -> Error {
-        self.channels.lock().unwrap_or_else(PoisonError::into_inner).remove(&to);
-        Error::NoAnswer { peer: to, why }
+    /// A connection can go silent permanently while new ones work, if a device on
+    /// the path has lost its state. Every call on it would then time out although
+    /// the peer is up, so the next call opens a new connection.
+    fn disconnect(&self, address: SocketAddr, reason: String) -> Error {
+        self.channels.lock().unwrap_or_else(PoisonError::into_inner).remove(&address);
+        Error::NoResponse { peer: address, reason }
     }
 }
 
-fn connect(to: SocketAddr) -> Channel {
-    let endpoint = Endpoint::from_shared(format!("http://{to}")).expect("an address is a URI");
-    endpoint.connect_timeout(CONNECT).tcp_nodelay(true).connect_lazy()
+fn connect(address: SocketAddr) -> Channel {
+    let endpoint = Endpoint::from_shared(format!("http://{address}")).expect("an address is a URI");
+    endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true).connect_lazy()
 }
 
 struct Service {
     handler: Arc<dyn Handler>,
 }
 
-async fn answered<T>(receiver: oneshot::Receiver<T>) -> Result<Response<T>, Status> {
-    let answer = receiver.await;
-    answer.map(Response::new).map_err(|_| Status::unavailable("stopping; ask another peer"))
+async fn wait_for_response<T>(receiver: oneshot::Receiver<T>) -> Result<Response<T>, Status> {
+    let response = receiver.await;
+    response.map(Response::new).map_err(|_| Status::unavailable("stopping; ask another peer"))
 }
 
 macro_rules! serve {
@@ -208,7 +223,7 @@
             $(async fn $name(&self, request: Request<$request>) -> Result<Response<$reply>, Status> {
                 let (sender, receiver) = oneshot::channel();
                 self.handler.$name(request.into_inner(), Reply(sender));
-                answered(receiver).await
+                wait_for_response(receiver).await
             })*
         }
     };
--- a/crates/runtime/src/port.rs
+++ b/crates/runtime/src/port.rs
@@ -9,8 +9,10 @@
 
 use crate::core::{Full, Handle};
 
-/// Where messages of `T` reach an actor. Clone it into other threads; only the
-/// core holds what is behind it, since stakker's references stay on its thread.
+/// Sends messages of type `T` to an actor from any thread.
+///
+/// Refers to the actor's `Fwd` by an index, because stakker's references cannot
+/// leave the thread of the event loop.
 pub struct Port<T> {
     handle: Handle,
     index: usize,
@@ -29,9 +31,11 @@
     }
 }
 
+/// The `Fwd<T>` of each open port, with the type erased.
 #[derive(Clone, Default)]
 struct Ports(Rc<RefCell<Vec<Box<dyn Any>>>>);
 
+/// Registers an empty table of ports.
 pub(crate) fn install(stakker: &mut Stakker) {
     stakker.anymap_set(Ports::default());
 }
@@ -40,26 +44,26 @@
     /// Opens a port that forwards to `fwd`.
     pub fn open(stakker: &mut stakker::Core, handle: Handle, fwd: Fwd<T>) -> Self {
         let ports: Ports = stakker.anymap_get();
-        let mut rows = ports.0.borrow_mut();
-        rows.push(Box::new(fwd));
-        Self { handle, index: rows.len() - 1, message: PhantomData }
+        let mut fwds = ports.0.borrow_mut();
+        fwds.push(Box::new(fwd));
+        Self { handle, index: fwds.len() - 1, message: PhantomData }
     }
 
     /// Sends a message.
     ///
     /// # Errors
     ///
-    /// Fails at once if the core's queue is full.
+    /// Returns [`Full`] without waiting if the event queue is full.
     pub fn send(&self, message: T) -> Result<(), Full> {
         let index = self.index;
         self.handle.post(move |stakker| deliver(stakker, index, message))
     }
 
-    /// Sends a message, waiting for room in the core's queue.
+    /// Sends a message, blocking until the event queue has space.
     ///
     /// # Errors
     ///
-    /// Fails if the core has ended.
+    /// Returns an error if the event loop has ended.
     pub fn send_wait(&self, message: T) -> Result<(), Full> {
         let index = self.index;
         self.handle.post_wait(move |stakker| deliver(stakker, index, message))
@@ -68,7 +72,7 @@
 
 fn deliver<T: 'static>(stakker: &mut Stakker, index: usize, message: T) {
     let ports: Ports = stakker.anymap_get();
-    let fwd = ports.0.borrow().get(index).and_then(|row| row.downcast_ref::<Fwd<T>>().cloned());
+    let fwd = ports.0.borrow().get(index).and_then(|any| any.downcast_ref::<Fwd<T>>().cloned());
     if let Some(fwd) = fwd {
         fwd.fwd(message);
     }
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,14 +1,14 @@
-//! A process's settings: INI, checked whole before anything starts.
+//! The settings of a process: an INI file that is validated completely at startup.
 //!
-//! A [`File`] is read key by key; what is wrong is collected, and
-//! [`File::finish`] reports all of it at once, unknown keys included.
+//! The caller reads each key from a [`File`]. Problems are collected, and
+//! [`File::finish`] reports all of them at once, including unknown keys.
 //!
 //! ```
 //! use corianderfork_runtime::settings::File;
 //!
 //! let mut file = File::parse("[process]\nname = e1\nlisten = 127.0.0.1:0\n")?;
 //! assert_eq!(file.name("process", "name").as_str(), "e1");
-//! let error = file.finish().expect_err("`listen` was not asked for");
+//! let error = file.finish().expect_err("`listen` was not read");
 //! assert!(error.to_string().contains("unknown key `listen`"));
 //! # Ok::<(), corianderfork_runtime::settings::Error>(())
 //! ```
@@ -27,59 +27,63 @@
 
 use crate::log::Format;
 
-/// The section every daemon has.
+/// The section that all daemons have.
 const PROCESS: &str = "process";
 
-/// Why settings cannot be used.
+/// The reason why settings are unusable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
     /// The file cannot be read.
-    #[error("the settings `{path}` cannot be read: {why}; name a readable file")]
+    #[error("the settings `{path}` cannot be read: {reason}; name a readable file")]
     Unreadable {
         /// The path.
         path: String,
-        /// The system's reason.
-        why: String,
+        /// The error of the system.
+        reason: String,
     },
     /// The text is not INI.
-    #[error("line {line}, column {column}: {why}; write `[section]` lines and `key = value` lines")]
+    #[error(
+        "line {line}, column {column}: {reason}; write `[section]` lines and `key = value` lines"
+    )]
     Syntax {
         /// The line, counted from 1.
         line: usize,
         /// The column, counted from 1.
         column: usize,
-        /// What is wrong.
-        why: String,
+        /// The error of the parser.
+        reason: String,
     },
-    /// Keys are missing, unknown or wrong: all of them.
-    #[error("the settings are wrong:\n{}", .0.iter().map(|problem| format!("  - {problem}")).collect::<Vec<_>>().join("\n"))]
+    /// All keys that are missing, unknown or invalid.
+    #[error("the settings are invalid:\n{}", .0.iter().map(|problem| format!("  - {problem}")).collect::<Vec<_>>().join("\n"))]
     Invalid(Vec<String>),
 }
 
-/// Settings being read.
+/// A settings file that is being read.
 #[derive(Clone, Debug)]
 pub struct File {
+    /// The values that have not been read yet, by section and key.
     sections: BTreeMap<String, BTreeMap<String, String>>,
+    /// The keys that have been read, by section.
     known: BTreeMap<String, Vec<String>>,
     problems: Vec<String>,
 }
 
-/// What every daemon is told.
+/// The settings that all daemons have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub struct Process {
     /// The name of the entry VM.
     pub name: Name,
-    /// Where it stands.
+    /// The data centre of the entry VM.
     pub data_centre: Name,
-    /// The platform's service.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// Where peers reach the process.
+    /// The address for requests of peers.
     pub peers: SocketAddr,
-    /// How log lines are written.
+    /// The format of log lines.
     pub log_format: Format,
-    /// What is logged.
+    /// The log filter.
     pub log: String,
 }
 
@@ -88,55 +92,56 @@
     ///
     /// # Errors
     ///
-    /// Fails if it cannot be read or is not INI.
+    /// Returns an error if the file cannot be read or is not INI.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).map_err(|error| Error::Unreadable {
             path: path.display().to_string(),
-            why: error.to_string(),
+            reason: error.to_string(),
         })?;
         Self::parse(&text)
     }
 
-    /// Reads settings from a text.
+    /// Parses settings from `text`.
     ///
     /// # Errors
     ///
-    /// Fails if it is not INI.
+    /// Returns an error if the text is not INI.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let ini = Ini::load_from_str(text).map_err(|error| Error::Syntax {
             line: error.line + 1,
             column: error.col + 1,
-            why: error.msg.to_string(),
+            reason: error.msg.to_string(),
         })?;
         let mut file =
             Self { sections: BTreeMap::new(), known: BTreeMap::new(), problems: Vec::new() };
         for (section, properties) in &ini {
-            file.take(section.unwrap_or_default(), properties);
+            file.add_section(section.unwrap_or_default(), properties);
         }
         Ok(file)
     }
 
-    fn take(&mut self, section: &str, properties: &ini::Properties) {
+    fn add_section(&mut self, section: &str, properties: &ini::Properties) {
         for (key, value) in properties.iter() {
             if section.is_empty() {
-                self.problems.push(format!("`{key}` stands before any section; move it into one"));
+                self.problems.push(format!("`{key}` is outside of any section; move it into one"));
                 continue;
             }
-            let rows = self.sections.entry(section.to_owned()).or_default();
-            if rows.insert(key.to_owned(), value.to_owned()).is_some() {
-                self.problems.push(format!("`{key}` stands twice in [{section}]; keep one"));
+            let values = self.sections.entry(section.to_owned()).or_default();
+            if values.insert(key.to_owned(), value.to_owned()).is_some() {
+                self.problems.push(format!("`{key}` is set twice in [{section}]; keep one"));
             }
         }
     }
 
-    fn find(&mut self, section: &str, key: &str) -> Option<String> {
+    /// Removes and returns a value, and marks its key as known.
+    fn take(&mut self, section: &str, key: &str) -> Option<String> {
         self.known.entry(section.to_owned()).or_default().push(key.to_owned());
         self.sections.get_mut(section)?.remove(key)
     }
 
-    /// A value with a default.
+    /// Reads a value, or returns `default` if it is missing or invalid.
     pub fn get_or<T: FromStr<Err: Display>>(&mut self, section: &str, key: &str, default: T) -> T {
-        let Some(text) = self.find(section, key) else { return default };
+        let Some(text) = self.take(section, key) else { return default };
         match text.parse() {
             Ok(value) => value,
             Err(error) => {
@@ -146,36 +151,36 @@
         }
     }
 
-    /// A value that must be there; `placeholder` stands for it until
-    /// [`File::finish`] fails.
+    /// Reads a required value. If it is missing or invalid, returns `placeholder`,
+    /// and [`File::finish`] will fail.
     pub fn required<T: FromStr<Err: Display>>(
         &mut self,
         section: &str,
         key: &str,
         placeholder: T,
     ) -> T {
-        let there = self.sections.get(section).is_some_and(|rows| rows.contains_key(key));
-        if !there {
+        let is_present = self.sections.get(section).is_some_and(|values| values.contains_key(key));
+        if !is_present {
             self.problems.push(format!("[{section}] has no `{key}`; add `{key} = …`"));
         }
         self.get_or(section, key, placeholder)
     }
 
-    /// A name that must be there.
+    /// Reads a required name.
     ///
     /// # Panics
     ///
-    /// Never: the placeholder is a name.
+    /// Never, because the placeholder is a valid name.
     pub fn name(&mut self, section: &str, key: &str) -> Name {
         self.required(section, key, Name::new("missing").expect("a name"))
     }
 
-    /// An address that must be there.
+    /// Reads a required address.
     pub fn address(&mut self, section: &str, key: &str) -> SocketAddr {
         self.required(section, key, SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0))
     }
 
-    /// A number within bounds.
+    /// Reads a number within `bounds`.
     pub fn number(
         &mut self,
         section: &str,
@@ -187,13 +192,13 @@
         if bounds.contains(&value) {
             return value;
         }
-        let (least, most) = (bounds.start(), bounds.end());
+        let (min, max) = (bounds.start(), bounds.end());
         self.problems
-            .push(format!("[{section}] {key} = {value} is out of bounds; write {least} to {most}"));
+            .push(format!("[{section}] {key} = {value} is out of bounds; write {min} to {max}"));
         default
     }
 
-    /// A duration in milliseconds within bounds.
+    /// Reads a duration in milliseconds within `bounds`.
     pub fn millis(
         &mut self,
         section: &str,
@@ -205,7 +210,7 @@
         Duration::from_millis(self.number(section, key, default, bounds))
     }
 
-    /// The `[process]` section that every daemon has.
+    /// Reads the `[process]` section.
     pub fn process(&mut self) -> Process {
         let format = self.get_or(PROCESS, "log_format", "json".to_owned());
         let log_format = match format.as_str() {
@@ -227,19 +232,19 @@
         }
     }
 
-    /// Ends the reading.
+    /// Checks that all keys were valid and known.
     ///
     /// # Errors
     ///
-    /// Fails with all that is missing, wrong or unknown.
+    /// Returns all missing, invalid and unknown keys.
     pub fn finish(mut self) -> Result<(), Error> {
-        for (section, rows) in &self.sections {
+        for (section, values) in &self.sections {
             let Some(known) = self.known.get(section) else {
                 let help = nearest::help(section, self.known.keys().map(String::as_str));
                 self.problems.push(format!("unknown section [{section}]; {help}"));
                 continue;
             };
-            for key in rows.keys() {
+            for key in values.keys() {
                 let help = nearest::help(key, known.iter().map(String::as_str));
                 self.problems.push(format!("unknown key `{key}` in [{section}]; {help}"));
             }
--- a/crates/runtime/src/signal.rs
+++ b/crates/runtime/src/signal.rs
@@ -1,13 +1,13 @@
-//! SIGTERM and SIGINT begin a graceful stop.
+//! Handlers of SIGTERM and SIGINT for a graceful stop.
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// Calls `stop` on a thread of its own, once for each signal.
+/// Calls `stop` on a separate thread for each signal.
 ///
 /// # Errors
 ///
-/// Fails if the handlers cannot be set.
+/// Returns an error if the handlers or the thread cannot be set up.
 pub fn on_stop(mut stop: impl FnMut() + Send + 'static) -> std::io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     std::thread::Builder::new().name("signals".to_owned()).spawn(move || {
--- a/crates/runtime/src/supervisor.rs
+++ b/crates/runtime/src/supervisor.rs
@@ -1,5 +1,4 @@
-//! Supervisors: actors that start other actors and start them anew when they
-//! fail.
+//! Supervisors: actors that start child actors and restart them after failures.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,11 +9,11 @@
 
 use crate::clock::Monotonic;
 
-/// How a child is started: given the supervisor's context and what to tell
-/// when the child ends.
+/// Starts a child, given the supervisor's context and a callback for the child's
+/// end.
 pub type Start = Box<dyn Fn(&mut Cx<'_, Supervisor>, Ret<StopCause>) -> ActorOwnAnon>;
 
-/// When to start a failed child anew and when to give up.
+/// The restart limit and backoff of a supervisor.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     restarts: usize,
@@ -29,21 +28,22 @@
 }
 
 impl Config {
-    /// How many restarts within [`Config::within`] are too many.
+    /// Sets the maximum number of restarts within [`Config::within`].
     #[must_use]
     pub fn restarts(mut self, restarts: usize) -> Self {
         self.restarts = restarts;
         self
     }
 
-    /// The time within which restarts are counted.
+    /// Sets the time window in which restarts are counted.
     #[must_use]
     pub fn within(mut self, within: Duration) -> Self {
         self.within = within;
         self
     }
 
-    /// The delay before the first restart; doubles with each one counted.
+    /// Sets the delay before the first restart. It doubles with each restart in the
+    /// window.
     #[must_use]
     pub fn delay(mut self, delay: Duration) -> Self {
         self.delay = delay;
@@ -51,7 +51,7 @@
     }
 }
 
-/// The pure part: counts restarts.
+/// The restart history of one child. Does no I/O.
 #[derive(Clone, Debug)]
 pub struct Restarts {
     config: Config,
@@ -59,26 +59,27 @@
 }
 
 impl Restarts {
-    /// Counts restarts by `config`.
+    /// Creates an empty history.
     pub fn new(config: Config) -> Self {
         Self { config, recent: VecDeque::new() }
     }
 
-    /// A child failed: the delay before its restart, or `None` to give up.
+    /// Records a failure and returns the delay before the restart, or `None` if
+    /// the limit is reached.
     ///
-    /// A child that fails at each start would otherwise spin for ever and hide
-    /// the fault; given up, the process ends with a failure that the platform
-    /// sees, and the entry VM is replaced.
-    pub fn failed(&mut self, now: Time) -> Option<Duration> {
+    /// Without a limit, a child that fails at each start would restart forever
+    /// and hide the fault. With it, the process exits with a failure that the
+    /// platform notices, and the entry VM is replaced.
+    pub fn on_failure(&mut self, now: Time) -> Option<Duration> {
         while self.recent.front().is_some_and(|at| now - *at > self.config.within) {
             self.recent.pop_front();
         }
         if self.recent.len() >= self.config.restarts {
             return None;
         }
-        let doubled = u32::try_from(self.recent.len()).unwrap_or(u32::MAX).min(16);
+        let doublings = u32::try_from(self.recent.len()).unwrap_or(u32::MAX).min(16);
         self.recent.push_back(now);
-        Some(self.config.delay * (1 << doubled))
+        Some(self.config.delay * (1 << doublings))
     }
 }
 
@@ -89,7 +90,7 @@
     actor: Option<ActorOwnAnon>,
 }
 
-/// Starts children in order and keeps them running.
+/// An actor that starts children and restarts them when they fail.
 pub struct Supervisor {
     name: &'static str,
     clock: Monotonic,
@@ -98,7 +99,7 @@
 }
 
 impl Supervisor {
-    /// A supervisor without children.
+    /// Creates a supervisor without children.
     pub fn init(_: CX![], name: &'static str, clock: Monotonic, config: Config) -> Option<Self> {
         Some(Self { name, clock, config, children: Vec::new() })
     }
@@ -111,21 +112,21 @@
     }
 
     fn start(&mut self, cx: CX![], index: usize) {
-        let ended = ret_some_to!([cx], ended(index) as (StopCause));
+        let on_end = ret_some_to!([cx], on_child_end(index) as (StopCause));
         let Some(child) = self.children.get_mut(index) else { return };
         ::log::debug!("{}: starting {}", self.name, child.name);
-        child.actor = Some((child.start)(cx, ended));
+        child.actor = Some((child.start)(cx, on_end));
     }
 
-    fn ended(&mut self, cx: CX![], index: usize, cause: StopCause) {
+    fn on_child_end(&mut self, cx: CX![], index: usize, cause: StopCause) {
         let Some(child) = self.children.get_mut(index) else { return };
         child.actor = None;
         if !cause.has_error() {
-            ::log::info!("{}: {} has ended", self.name, child.name);
+            ::log::info!("{}: {} ended", self.name, child.name);
             return;
         }
         ::log::error!("{}: {} failed: {cause}", self.name, child.name);
-        match child.restarts.failed(self.clock.now()) {
+        match child.restarts.on_failure(self.clock.now()) {
             Some(delay) => {
                 after!(delay, [cx], start(index));
             }
@@ -137,8 +138,8 @@
     }
 }
 
-/// Ends the core with a failure when `cause` is one: what the root supervisor
-/// tells when it gives up.
+/// Shuts the event loop down if `cause` is a failure, such as that of the root
+/// supervisor after too many restarts.
 pub fn escalate(stakker: &mut stakker::Core, cause: Option<StopCause>) {
     if let Some(cause) = cause
         && cause.has_error()
--- a/crates/runtime/src/sync.rs
+++ b/crates/runtime/src/sync.rs
@@ -1,5 +1,5 @@
-//! Keeps up with the keys that every process shares: one read of all, then
-//! watches, on a thread of its own.
+//! Replicates a prefix of the store on a separate thread: one full read, then a
+//! series of watches.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,36 +11,37 @@
 use crate::core::Full;
 use crate::port::Port;
 
-/// The least wait after a failure, whatever peers show.
-const LEAST_WAIT: Duration = Duration::from_millis(10);
+/// The minimum wait after a failure, regardless of wake-ups.
+const MIN_WAIT: Duration = Duration::from_millis(10);
 
-/// What became known.
+/// The result of one read or watch.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub enum Outcome {
-    /// All entries, replacing what was known before.
+    /// All entries. Replaces everything received before.
     Snapshot(Range),
-    /// Changes since.
+    /// The changes since the previous outcome.
     Changes(Changes),
-    /// The store did not answer, or not in time.
+    /// The call failed or timed out.
     Failed(Error),
 }
 
-/// News with the time at which the call behind it was sent: what it shows was
-/// true no earlier than then.
+/// The outcome of a call and the time when the call was sent. The outcome shows
+/// the state of the store at that time or later.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub struct Update {
     /// When the call was sent.
     pub sent: Instant,
-    /// How long before that the answer to the watch before came. What was written meanwhile
-    /// is known to nobody if the store goes down within this time.
+    /// The time between the previous response and this call; `None` if there was no
+    /// such response. If the store fails in this interval, no process knows of
+    /// the writes made in it.
     pub gap: Option<Duration>,
-    /// What it brought.
+    /// The result of the call.
     pub outcome: Outcome,
 }
 
-/// How to keep up.
+/// The prefix, watch duration and backoff of a reader.
 #[derive(Clone, Debug)]
 pub struct Config {
     prefix: &'static str,
@@ -58,27 +59,27 @@
 }
 
 impl Config {
-    /// Keeps up with the keys that begin with `prefix`, in place of all shared ones.
+    /// Sets the prefix of the keys to replicate. The default is [`key::SHARED`].
     #[must_use]
     pub fn prefix(mut self, prefix: &'static str) -> Self {
         self.prefix = prefix;
         self
     }
 
-    /// How long one watch waits.
+    /// Sets the duration of one watch.
     ///
-    /// A watch's connection can go silent for good while it looks open; the
-    /// process would then miss every change and never notice. Ending each
-    /// watch after this time, and its connection with it when the answer stays
-    /// out, bounds what can be missed. A shorter wait costs calls: one watch a
-    /// process each `wait`.
+    /// The connection of a watch can go silent permanently while it looks open,
+    /// and the process would miss all changes unnoticed. Ending each watch after
+    /// this time, and closing its connection if there is no response, limits
+    /// that to one watch. A shorter duration costs more calls: each process
+    /// sends one watch per `wait`.
     #[must_use]
     pub fn wait(mut self, wait: Duration) -> Self {
         self.wait = wait;
         self
     }
 
-    /// How long to wait after failures.
+    /// Sets the backoff after failures.
     #[must_use]
     pub fn backoff(mut self, backoff: backoff::Config) -> Self {
         self.backoff = backoff;
@@ -86,8 +87,8 @@
     }
 }
 
-/// Ends the waits of readers that could not reach the store, once a peer shows that it
-/// reaches it.
+/// Ends the backoff of readers that failed to reach the store as soon as a peer
+/// proves that the store is reachable.
 ///
 /// ```
 /// use corianderfork_runtime::sync::Waker;
@@ -105,35 +106,37 @@
 pub struct Waker(Arc<(Mutex<u64>, Condvar)>);
 
 impl Waker {
-    /// A peer, or another reader of this process, has read the store at `revision`. Whether
-    /// none had at so new a one.
+    /// Records that a peer or another reader of this process has read the store at
+    /// `revision`. Returns whether that is newer than all revisions recorded before.
     pub fn wake(&self, revision: u64) -> bool {
         let (newest, changed) = &*self.0;
         let mut newest = newest.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_news = revision > *newest;
-        if is_news {
+        let is_newer = revision > *newest;
+        if is_newer {
             *newest = revision;
             changed.notify_all();
         }
-        is_news
+        is_newer
     }
 
-    /// Waits for `longest`, or until a peer has read the store at a revision after `known`.
-    /// Gives the newest one that a peer has read it at: who passes that on as known is woken
-    /// once a change, and not by each report of its peers.
-    pub fn wait(&self, known: u64, longest: Duration) -> u64 {
+    /// Waits until a revision newer than `known` is recorded, at most for `timeout`.
+    ///
+    /// Returns the newest recorded revision. A caller that passes it as `known` to
+    /// the next wait is woken once per change, not by every report of a peer.
+    pub fn wait(&self, known: u64, timeout: Duration) -> u64 {
         let (newest, changed) = &*self.0;
         let newest = newest.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = changed.wait_timeout_while(newest, longest, |newest| *newest <= known);
+        let waited = changed.wait_timeout_while(newest, timeout, |newest| *newest <= known);
         *waited.unwrap_or_else(PoisonError::into_inner).0
     }
 }
 
-/// Starts the thread; it ends with the core. After a failure `waker` ends its wait.
+/// Starts a reader thread that sends an [`Update`] to `port` after each call and
+/// ends with the event loop. `waker` can end its wait after a failure.
 ///
 /// # Errors
 ///
-/// Fails if the system gives no thread.
+/// Returns an error if the thread cannot be started.
 pub fn start(
     store: Arc<dyn Store>,
     config: Config,
@@ -149,12 +152,12 @@
         waker,
         port,
         after: None,
-        shown: 0,
-        answered: None,
+        known_revision: 0,
+        last_response: None,
     };
     std::thread::Builder::new()
         .name("sync".to_owned())
-        .spawn(move || while reader.turn().is_ok() {})?;
+        .spawn(move || while reader.run_once().is_ok() {})?;
     Ok(())
 }
 
@@ -165,55 +168,61 @@
     backoff: Backoff,
     waker: Waker,
     port: Port<Update>,
-    /// Up to where all is known; `None` asks for a read of all.
+    /// The revision to watch from; `None` requests a full read.
     after: Option<Revision>,
     /// The newest revision at which this process or a peer has read the store.
-    shown: u64,
-    /// When the last call brought an answer; `None` after one that failed.
-    answered: Option<Instant>,
+    known_revision: u64,
+    /// When the last response arrived; `None` after a failed call.
+    last_response: Option<Instant>,
 }
 
 impl Reader {
-    fn turn(&mut self) -> Result<(), Full> {
+    fn run_once(&mut self) -> Result<(), Full> {
         let sent = Instant::now();
-        let gap = self.answered.take().map(|answered| sent - answered);
-        let outcome = match self.after {
+        let gap = self.last_response.take().map(|last_response| sent - last_response);
+        let result = match self.after {
             None => self.store.range(self.prefix).map(Outcome::Snapshot),
             Some(after) => self.store.watch(self.prefix, after, self.wait).map(Outcome::Changes),
         };
-        match outcome {
-            Ok(outcome) => self.learned(sent, gap, outcome),
-            Err(error) => self.failed(sent, gap, error),
+        match result {
+            Ok(outcome) => self.on_success(sent, gap, outcome),
+            Err(error) => self.on_failure(sent, gap, error),
         }
     }
 
-    fn learned(
+    fn on_success(
         &mut self,
         sent: Instant,
         gap: Option<Duration>,
         outcome: Outcome,
     ) -> Result<(), Full> {
-        self.answered = Some(Instant::now());
+        self.last_response = Some(Instant::now());
         self.backoff.reset();
         self.after = match &outcome {
             Outcome::Snapshot(range) => Some(range.revision),
             Outcome::Changes(changes) => Some(changes.revision),
             Outcome::Failed(_) => self.after,
         };
-        self.shown = self.shown.max(self.after.map_or(0, |revision| revision.0));
+        self.known_revision = self.known_revision.max(self.after.map_or(0, |revision| revision.0));
         self.port.send_wait(Update { sent, gap, outcome })
     }
 
-    fn failed(&mut self, sent: Instant, gap: Option<Duration>, error: Error) -> Result<(), Full> {
+    fn on_failure(
+        &mut self,
+        sent: Instant,
+        gap: Option<Duration>,
+        error: Error,
+    ) -> Result<(), Full> {
         if error == Error::Compacted {
             self.after = None;
         }
         self.port.send_wait(Update { sent, gap, outcome: Outcome::Failed(error) })?;
-        // All processes lose the store at the same moment; without jitter they
-        // would all come back at the same moment too, and take it down again.
-        std::thread::sleep(LEAST_WAIT);
-        let longest = self.backoff.next_wait().saturating_sub(LEAST_WAIT);
-        self.shown = self.shown.max(self.waker.wait(self.shown, longest));
+        // All processes lose the store at the same time. Without jitter they
+        // would all return at the same time and overload it again.
+        std::thread::sleep(MIN_WAIT);
+        let timeout = self.backoff.next_wait().saturating_sub(MIN_WAIT);
+        self.known_revision =
+            self.known_revision.max(self.waker.wait(self.known_revision, timeout));
         Ok(())
     }
 }
--- a/crates/runtime/src/timer.rs
+++ b/crates/runtime/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: one actor that tells its subscribers when time has come.
+//! The timer service: an actor that sends periodic ticks to its subscribers.
 
 use std::time::{Duration, Instant};
 
@@ -7,10 +7,10 @@
 
 use crate::clock::Monotonic;
 
-/// What a subscriber gets.
+/// A tick of a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tick {
-    /// The process's monotonic time.
+    /// The monotonic time of the process.
     pub now: Time,
 }
 
@@ -19,22 +19,23 @@
     fwd: Fwd<Tick>,
 }
 
-/// The timer service.
+/// The timer service actor.
 pub struct Service {
     clock: Monotonic,
     subscriptions: Vec<Subscription>,
 }
 
 impl Service {
-    /// Starts the service on `clock`.
+    /// Creates the service with `clock`.
     pub fn init(_: CX![], clock: Monotonic) -> Option<Self> {
         Some(Self { clock, subscriptions: Vec::new() })
     }
 
-    /// Tells `fwd` at once and then each `period` after it was last told.
+    /// Sends a tick to `fwd` immediately and then one `period` after each tick.
     ///
-    /// A subscription of an actor that has ended stays, silent: an actor that
-    /// is started anew subscribes anew, a few times in a process's life.
+    /// The subscription of an actor that has ended is never removed but has no
+    /// effect. A restarted actor subscribes again, which happens only a few times
+    /// in the life of a process.
     pub fn subscribe(&mut self, cx: CX![], period: Duration, fwd: Fwd<Tick>) {
         self.subscriptions.push(Subscription { period, fwd });
         self.fire(cx, self.subscriptions.len() - 1);
@@ -43,9 +44,9 @@
     fn fire(&mut self, cx: CX![], index: usize) {
         let Some(subscription) = self.subscriptions.get(index) else { return };
         fwd!([subscription.fwd], Tick { now: self.clock.now() });
-        // Counted from now, not from when it was due: after a freeze of the
-        // process a fixed schedule would fire once for each period missed, all
-        // at once, and flood the platform on waking.
+        // The next tick is relative to now, not to the due time: after a freeze
+        // of the process, a fixed schedule would fire all missed ticks at once
+        // and flood the platform.
         let next = Instant::now() + subscription.period;
         let delay = next.saturating_duration_since(cx.now());
         after!(delay, [cx], fire(index));
--- a/crates/runtime/tests/sync.rs
+++ b/crates/runtime/tests/sync.rs
@@ -1,4 +1,4 @@
-//! The reader of the shared keys.
+//! Tests of the reader thread.
 #![allow(clippy::unwrap_used)]
 
 use std::sync::Arc;
@@ -14,84 +14,85 @@
 use corianderfork_runtime::sync::{self, Update, Waker};
 use stakker::fwd_do;
 
-/// Far longer than any wait of a test.
-const LONG: Duration = Duration::from_secs(600);
-const PATIENCE: Duration = Duration::from_secs(20);
-const MOMENT: Duration = Duration::from_millis(300);
+/// A backoff that never ends within a test.
+const LONG_BACKOFF: Duration = Duration::from_secs(600);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// A store that refuses each call, and tells of it.
-struct Down(Sender<()>);
+/// A store that fails each call and signals it on a channel.
+struct UnavailableStore(Sender<()>);
 
-impl Down {
-    fn refuse<T>(&self) -> Result<T, Error> {
+impl UnavailableStore {
+    fn fail<T>(&self) -> Result<T, Error> {
         let _ = self.0.send(());
         Err(Error::Unavailable("down".to_owned()))
     }
 }
 
-impl Store for Down {
+impl Store for UnavailableStore {
     fn get(&self, _: &str) -> Result<Lookup, Error> {
-        self.refuse()
+        self.fail()
     }
 
     fn range(&self, _: &str) -> Result<Range, Error> {
-        self.refuse()
+        self.fail()
     }
 
     fn put(&self, _: &str, _: &str, _: Expect, _: Option<LeaseId>) -> Result<Revision, Error> {
-        self.refuse()
+        self.fail()
     }
 
     fn delete(&self, _: &str, _: Expect) -> Result<Revision, Error> {
-        self.refuse()
+        self.fail()
     }
 
     fn watch(&self, _: &str, _: Revision, _: Duration) -> Result<Changes, Error> {
-        self.refuse()
+        self.fail()
     }
 
     fn grant(&self, _: Duration) -> Result<LeaseId, Error> {
-        self.refuse()
+        self.fail()
     }
 
     fn renew(&self, _: LeaseId) -> Result<(), Error> {
-        self.refuse()
+        self.fail()
     }
 
     fn revoke(&self, _: LeaseId) -> Result<(), Error> {
-        self.refuse()
+        self.fail()
     }
 }
 
-/// A reader of a store that is down, which waits long between its calls.
-fn start() -> (Waker, Receiver<()>) {
+/// Starts a reader with a long backoff whose store is down.
+fn start_reader() -> (Waker, Receiver<()>) {
     let (called, calls) = channel();
     let waker = Waker::default();
     let woken = waker.clone();
     std::thread::spawn(move || {
         core::run(16, |stakker, handle| {
             let port = Port::open(stakker, handle, fwd_do!(|_: Update| {}));
-            let backoff = backoff::Config::new().first(LONG).max(LONG);
+            let backoff = backoff::Config::new().first(LONG_BACKOFF).max(LONG_BACKOFF);
             let config = sync::Config::default().backoff(backoff);
-            sync::start(Arc::new(Down(called)), config, 1, woken, port).unwrap();
+            sync::start(Arc::new(UnavailableStore(called)), config, 1, woken, port).unwrap();
         })
     });
-    calls.recv_timeout(PATIENCE).unwrap();
+    calls.recv_timeout(TEST_TIMEOUT).unwrap();
     (waker, calls)
 }
 
-// Guards against processes that return to the store one by one, long after it is back, and
-// against one cut off alone that calls the store with each report of a peer.
+// Guards against processes that return to the store one by one at the end of their backoff, long
+// after it has recovered, and against a process that alone cannot reach the store and calls it
+// after each report of a peer.
 #[test]
 fn wake_once_for_each_newer_revision() {
-    let (waker, calls) = start();
-    assert!(calls.recv_timeout(MOMENT).is_err(), "it waits");
+    let (waker, calls) = start_reader();
+    assert!(calls.recv_timeout(QUIET_PERIOD).is_err(), "the reader backs off");
     waker.wake(7);
-    calls.recv_timeout(PATIENCE).unwrap();
+    calls.recv_timeout(TEST_TIMEOUT).unwrap();
     for revision in [7, 6, 7] {
         waker.wake(revision);
     }
-    assert!(calls.recv_timeout(MOMENT).is_err(), "no peer showed anything new");
+    assert!(calls.recv_timeout(QUIET_PERIOD).is_err(), "no peer reported a newer revision");
     waker.wake(8);
-    calls.recv_timeout(PATIENCE).unwrap();
+    calls.recv_timeout(TEST_TIMEOUT).unwrap();
 }
