--- a/crates/wire-gen/src/main.rs
+++ b/crates/wire-gen/src/main.rs
@@ -1,5 +1,7 @@
-//! Writes the generated code of the wire member. Run it after a change of the
-//! messages and commit what it wrote; the build itself needs no generator.
+//! Generates the code of the crate `corianderfork-wire`.
+//!
+//! Run it after a change of `peer.proto` and commit the result; the build itself
+//! needs no generator.
 //!
 //! ```sh
 //! cargo run -p corianderfork-wire-gen
@@ -7,11 +9,13 @@
 
 use std::path::Path;
 
-const MESSAGES: &str = "proto/peer.proto";
+const PROTO_FILE: &str = "proto/peer.proto";
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let wire = Path::new(env!("CARGO_MANIFEST_DIR")).join("../wire");
-    let descriptors = protox::compile([wire.join(MESSAGES)], [wire.join("proto")])?;
-    tonic_prost_build::configure().out_dir(wire.join("src/generated")).compile_fds(descriptors)?;
+    let wire_dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../wire");
+    let descriptors = protox::compile([wire_dir.join(PROTO_FILE)], [wire_dir.join("proto")])?;
+    tonic_prost_build::configure()
+        .out_dir(wire_dir.join("src/generated"))
+        .compile_fds(descriptors)?;
     Ok(())
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,11 @@
-//! Messages between our own processes.
+//! Messages between proxies and controllers.
 //!
 //! The [`peer`] module is generated from `proto/peer.proto` and committed, so
-//! that the build needs no generator; `cargo run -p corianderfork-wire-gen`
-//! writes it anew after a change. Processes exchange a [`peer::Report`] a few
-//! times a second: who was heard of and how long ago, which configuration is
-//! in force where, which drains are confirmed, and how much work each runner
-//! has from whom.
+//! that the build needs no generator. Run `cargo run -p corianderfork-wire-gen`
+//! to regenerate it after a change. Processes exchange a [`peer::Report`] a few
+//! times a second. It contains the members and the age of their last message,
+//! the configuration that each has applied, acknowledged drains, and the
+//! sender's load on runners.
 //!
 //! ```
 //! use corianderfork_wire::peer;
@@ -20,6 +20,6 @@
     include!("generated/corianderfork.peer.rs");
 }
 
-/// The largest message taken, in bytes: a snapshot of the records of some
-/// thousands of VMs beside a configuration of a megabyte.
+/// The maximum size of a message in bytes: a snapshot of the records of several
+/// thousand VMs plus a configuration of 1 MB.
 pub const MAX_MESSAGE: usize = 16 << 20;
