--- a/crates/cli/src/acknowledge.rs
+++ b/crates/cli/src/acknowledge.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use corianderfork_provider::key;
-use corianderfork_provider::record::Heard;
+use corianderfork_provider::record::OperatorRevision;
 use corianderfork_provider::store::Revision;
 
 use crate::context::Context;
@@ -28,7 +28,7 @@
 pub fn wait(context: &Context<'_>, revision: Revision) -> Result<(), Error> {
     loop {
         // An unavailable store is retried until the deadline, too.
-        let acknowledged = record::get::<Heard>(context, key::HEARD);
+        let acknowledged = record::get::<OperatorRevision>(context, key::OPERATOR_REVISION);
         if acknowledged
             .is_ok_and(|record| record.is_some_and(|record| record.revision >= revision.0))
         {
--- a/crates/cli/src/cas.rs
+++ b/crates/cli/src/cas.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use corianderfork_provider::store::{Change, Entry, Error, Expect, Found, Revision};
+use corianderfork_provider::store::{Change, Entry, Error, Expect, Lookup, Revision};
 
 use crate::context::Context;
 
@@ -25,7 +25,7 @@
     /// this write, which is recognised by it.
     pub value: Option<&'a str>,
     /// The state of the key that the write replaces.
-    pub base: &'a Found,
+    pub base: &'a Lookup,
 }
 
 /// The outcome of a write.
@@ -136,7 +136,7 @@
     entry.map(|entry| entry.value.as_str()) == write.value
 }
 
-fn revision(found: &Found) -> Option<Revision> {
+fn revision(found: &Lookup) -> Option<Revision> {
     found.entry.as_ref().map(|entry| entry.revision)
 }
 
--- a/crates/cli/src/drain.rs
+++ b/crates/cli/src/drain.rs
@@ -5,7 +5,7 @@
 
 use corianderfork_model::Name;
 use corianderfork_provider::record::Drain;
-use corianderfork_provider::store::{Found, Revision};
+use corianderfork_provider::store::{Lookup, Revision};
 use corianderfork_provider::{key, record as records};
 use corianderfork_rules::nearest;
 use serde::Serialize;
@@ -53,7 +53,7 @@
         }
         // Another operator drained the VM first.
         Ok(Outcome::Conflict(entry)) if entry.is_some() => {
-            already_drained_report(context, vm, &Found { revision: base.revision, entry })
+            already_drained_report(context, vm, &Lookup { revision: base.revision, entry })
         }
         result => Err(write_error(vm, result)),
     }
@@ -82,7 +82,7 @@
     }
 }
 
-fn read(context: &Context<'_>, key: &str) -> Result<Found, Error> {
+fn read(context: &Context<'_>, key: &str) -> Result<Lookup, Error> {
     context.store.get(key).map_err(|error| Error::unchanged(&error))
 }
 
@@ -120,7 +120,7 @@
 fn already_drained_report(
     context: &Context<'_>,
     vm: &Name,
-    found: &Found,
+    found: &Lookup,
 ) -> Result<Report, Error> {
     if let Some(entry) = &found.entry {
         acknowledge::wait(context, entry.revision)?;
--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -1,7 +1,7 @@
 //! Reads records from the store and writes the audit trail.
 
-use corianderfork_provider::record::{Config, Line};
-use corianderfork_provider::store::{Found, Revision};
+use corianderfork_provider::record::{AuditLine, Config};
+use corianderfork_provider::store::{Lookup, Revision};
 use corianderfork_provider::{key, store};
 use serde::de::DeserializeOwned;
 
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// Fails if the entry is not a configuration.
-pub fn current(found: &Found) -> Result<Option<Current>, Error> {
+pub fn current(found: &Lookup) -> Result<Option<Current>, Error> {
     let Some(entry) = &found.entry else { return Ok(None) };
     Ok(Some(Current { revision: entry.revision, config: parse(entry)? }))
 }
@@ -78,7 +78,7 @@
 /// Returns a note if that failed. It is not an error of the command, as the change
 /// itself took effect.
 pub fn audit(context: &Context<'_>, update: &Update<'_>) -> Option<String> {
-    let line = Line {
+    let line = AuditLine {
         at_ms: context.clock.unix_ms(),
         who: context.operator.to_owned(),
         what: update.subject.to_owned(),
--- a/crates/cli/tests/apply.rs
+++ b/crates/cli/tests/apply.rs
@@ -3,7 +3,7 @@
 mod fake;
 
 use corianderfork_provider::key::{AUDIT, CONFIG, audit};
-use corianderfork_provider::record::{Audit, Config};
+use corianderfork_provider::record::{AuditSegment, Config};
 use fake::{FakeStore, Fault, bobs_record, config_text, run_json, temp_file};
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 fn audited_revisions(store: &FakeStore) -> Vec<u64> {
     let Some(value) = store.value(&audit(0)) else { return Vec::new() };
-    let trail: Audit = serde_json::from_str(&value).expect("a valid segment");
+    let trail: AuditSegment = serde_json::from_str(&value).expect("a valid segment");
     trail.lines.iter().map(|line| line.revision).collect()
 }
 
--- a/crates/cli/tests/fake/mod.rs
+++ b/crates/cli/tests/fake/mod.rs
@@ -11,9 +11,9 @@
 use corianderfork_cli::context::Clock;
 use corianderfork_cli::run::{Environment, run};
 use corianderfork_model::Time;
-use corianderfork_provider::key::HEARD;
+use corianderfork_provider::key::OPERATOR_REVISION;
 use corianderfork_provider::store::{
-    Change, Changes, Entry, Error, Expect, Found, LeaseId, Range, Revision, Store,
+    Change, Changes, Entry, Error, Expect, LeaseId, Lookup, Range, Revision, Store,
 };
 
 /// A fault of the next write of a key.
@@ -74,7 +74,7 @@
 
     /// Returns the record of a controller that has acknowledged all writes.
     fn acknowledgement(&self) -> Option<Entry> {
-        let (key, revision) = (HEARD.to_owned(), Revision(self.revision));
+        let (key, revision) = (OPERATOR_REVISION.to_owned(), Revision(self.revision));
         let value = format!("{{\"revision\":{}}}", self.revision);
         (!self.is_unacknowledged).then_some(Entry { key, value, revision, lease: None })
     }
@@ -182,16 +182,16 @@
 }
 
 impl Store for FakeStore {
-    fn get(&self, key: &str) -> Result<Found, Error> {
+    fn get(&self, key: &str) -> Result<Lookup, Error> {
         self.with(|inner| {
             inner.reads += 1;
             inner.check_up()?;
-            let entry = if key == HEARD {
+            let entry = if key == OPERATOR_REVISION {
                 inner.acknowledgement()
             } else {
                 inner.entries.get(key).cloned()
             };
-            Ok(Found { revision: Revision(inner.revision), entry })
+            Ok(Lookup { revision: Revision(inner.revision), entry })
         })
     }
 
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -11,9 +11,9 @@
 use corianderfork_model::{Name, Time};
 use corianderfork_provider::fleet::{Control, Task, Usage, Vm};
 use corianderfork_provider::key;
-use corianderfork_provider::record::Line;
+use corianderfork_provider::record::AuditLine;
 use corianderfork_provider::store::{
-    Changes, Entry, Error, Expect, Found, LeaseId, Range, Revision, Store,
+    Changes, Entry, Error, Expect, LeaseId, Lookup, Range, Revision, Store,
 };
 use corianderfork_wire::peer;
 
@@ -39,9 +39,9 @@
 }
 
 impl Store for LossyStore {
-    fn get(&self, _: &str) -> Result<Found, Error> {
+    fn get(&self, _: &str) -> Result<Lookup, Error> {
         let entry = self.entry.lock().expect("not poisoned").clone();
-        Ok(Found { revision: Revision(9), entry })
+        Ok(Lookup { revision: Revision(9), entry })
     }
 
     fn put(
@@ -179,7 +179,7 @@
 // be written, a failed write must not drop its lines.
 #[test]
 fn audit_failed_write_keeps_lines() {
-    let line = |revision| Line {
+    let line = |revision| AuditLine {
         at_ms: 0,
         who: String::new(),
         what: String::new(),
