--- a/crates/provider/src/audit.rs
+++ b/crates/provider/src/audit.rs
@@ -43,7 +43,7 @@
     /// The precondition of the write.
     pub expect: Expect,
     number: u64,
-    audit: AuditSegment,
+    content: AuditSegment,
 }
 
 /// A segment beyond the retention.
@@ -61,7 +61,7 @@
     number: u64,
     revision: Revision,
     bytes: usize,
-    audit: AuditSegment,
+    content: AuditSegment,
 }
 
 /// The trail as last read or written. [`Writer`] keeps only its end.
@@ -106,7 +106,7 @@
     pub fn missing(&self, lines: &[AuditLine]) -> Vec<AuditLine> {
         let is_missing = |line: &&AuditLine| {
             let latest = self.segments.iter().rev().take(SEARCHED_SEGMENTS);
-            !latest.flat_map(|segment| &segment.audit.lines).any(|other| other == *line)
+            !latest.flat_map(|segment| &segment.content.lines).any(|other| other == *line)
         };
         lines.iter().filter(is_missing).cloned().collect()
     }
@@ -122,17 +122,23 @@
         let next = || self.segments.back().map_or(0, |segment| segment.number + 1);
         let number = open.map_or_else(next, |segment| segment.number);
         let expect = open.map_or(Expect::Absent, |segment| Expect::Revision(segment.revision));
-        let mut audit = open.map_or_else(AuditSegment::default, |segment| segment.audit.clone());
-        audit.lines.extend(lines.iter().cloned());
-        let value = serde_json::to_string(&audit).expect("strings and numbers are always JSON");
-        Put { key: key::audit(number), value, expect, number, audit }
+        let mut content =
+            open.map_or_else(AuditSegment::default, |segment| segment.content.clone());
+        content.lines.extend(lines.iter().cloned());
+        let value = serde_json::to_string(&content).expect("strings and numbers are always JSON");
+        Put { key: key::audit(number), value, expect, number, content }
     }
 
     /// Records that `put` was written at `revision`.
     pub fn on_written(&mut self, put: Put, revision: Revision) {
         self.segments.retain(|segment| segment.number != put.number);
         let bytes = put.value.len();
-        self.segments.push_back(Segment { number: put.number, revision, bytes, audit: put.audit });
+        self.segments.push_back(Segment {
+            number: put.number,
+            revision,
+            bytes,
+            content: put.content,
+        });
     }
 
     /// Returns the segments beyond [`SEGMENTS`], oldest first.
@@ -150,7 +156,7 @@
     pub fn lines(&self) -> Vec<AuditLine> {
         let segments = self.segments.iter();
         let mut lines: Vec<AuditLine> =
-            segments.flat_map(|segment| segment.audit.lines.clone()).collect();
+            segments.flat_map(|segment| segment.content.lines.clone()).collect();
         lines.sort_by_key(|line| line.revision);
         lines
     }
@@ -167,9 +173,9 @@
         let number = entry.key.strip_prefix(key::AUDIT)?.parse().ok()?;
         let revision = entry.revision;
         let segment = match serde_json::from_str(&entry.value) {
-            Ok(audit) => Self { number, revision, bytes: entry.value.len(), audit },
+            Ok(content) => Self { number, revision, bytes: entry.value.len(), content },
             Err(_) => {
-                Self { number, revision, bytes: SEGMENT_BYTES, audit: AuditSegment::default() }
+                Self { number, revision, bytes: SEGMENT_BYTES, content: AuditSegment::default() }
             }
         };
         Some(segment)
--- a/crates/provider/src/http.rs
+++ b/crates/provider/src/http.rs
@@ -166,7 +166,7 @@
     }
 
     fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        json(&success_body(self.read(path, self.config.timeout)?)?)
+        parse_json(&success_body(self.read(path, self.config.timeout)?)?)
     }
 
     fn post(&self, path: &str, body: &impl Serialize) -> Result<String, Error> {
@@ -221,18 +221,18 @@
     }
 }
 
-fn json<T: DeserializeOwned>(body: &str) -> Result<T, Error> {
+fn parse_json<T: DeserializeOwned>(body: &str) -> Result<T, Error> {
     serde_json::from_str(body).map_err(|e| Error::Malformed(e.to_string()))
 }
 
 fn written_revision(key: &str, len: usize, response: HttpResponse) -> Result<Revision, Error> {
     match response.status {
         409 => {
-            let conflict: ConflictResponse = json(&response.body)?;
+            let conflict: ConflictResponse = parse_json(&response.body)?;
             Err(Error::Conflict { key: key.to_owned(), current: conflict.current })
         }
         413 => Err(Error::TooLarge { key: key.to_owned(), len }),
-        _ => Ok(json::<WriteResponse>(&success_body(response)?)?.revision),
+        _ => Ok(parse_json::<WriteResponse>(&success_body(response)?)?.revision),
     }
 }
 
@@ -279,12 +279,12 @@
 
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, Error> {
         let path = format!("/watch?prefix={prefix}&after={after}&wait_ms={}", millis(wait));
-        json(&success_body(self.read(&path, wait + WATCH_SLACK)?)?)
+        parse_json(&success_body(self.read(&path, wait + WATCH_SLACK)?)?)
     }
 
     fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
         let body = self.post("/lease", &GrantRequest { ttl_ms: millis(ttl) })?;
-        Ok(json::<LeaseBody>(&body)?.lease)
+        Ok(parse_json::<LeaseBody>(&body)?.lease)
     }
 
     fn renew(&self, lease: LeaseId) -> Result<(), Error> {
--- a/crates/provider/src/store.rs
+++ b/crates/provider/src/store.rs
@@ -127,7 +127,7 @@
     },
     /// The store no longer has the history from the start of the watch.
     #[error(
-        "the store no longer has changes that old; read the whole prefix and watch from its revision"
+        "the store has compacted these changes; read the whole prefix and watch from its revision"
     )]
     Compacted,
     /// The lease has expired.
