--- a/crates/entry/src/duty.rs
+++ b/crates/entry/src/duty.rs
@@ -32,8 +32,8 @@
 /// The extra delay of each further candidate, in case those before it don't take the duty.
 const TAKEOVER_STAGGER: Duration = Duration::from_millis(700);
 
-/// How long a replaced holder may go on granting leases: as long as it continues without
-/// the store, plus its previous lease.
+/// How long a replaced holder may continue to grant leases: as long as it continues without the
+/// store, plus its previous lease.
 const STALE_HOLDER_TIMEOUT: Duration = OUTAGE_GRACE.saturating_add(LEASE_TTL);
 /// The most former holders that a record names.
 const MAX_FORMER_HOLDERS: usize = 4;
@@ -63,7 +63,7 @@
     pub seen: Time,
 }
 
-/// The holder of a duty; nobody if `name` is empty.
+/// The holder of a duty. An empty `name` means that there is none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The member's name.
@@ -184,10 +184,9 @@
     /// Returns how much longer the holders of a duty up to now may grant leases on its
     /// workers if none of them responds.
     ///
-    /// A holder that has restarted grants nothing more. But it may have held the duty only
-    /// briefly, and its predecessor, if cut off from the store, goes on for the whole outage
-    /// grace period. Ignoring that predecessor's grants made tasks run twice on workers
-    /// that only it could reach.
+    /// A holder that has restarted grants nothing more. But it may have held the duty only briefly,
+    /// and its predecessor, if cut off from the store, continues for the whole outage grace period.
+    /// Ignoring that predecessor's grants made tasks run twice on workers that only it could reach.
     pub fn may_grant(&self, now: Time, duty: &str) -> Duration {
         let record = self.duties.get(duty).cloned().unwrap_or_default();
         let Record { holder, revision } = record;
@@ -249,7 +248,7 @@
             self.vacant.remove(duty);
             return None;
         }
-        // If nobody holds it or its holder has restarted, there is no need to wait.
+        // If it has no holder or its holder has restarted, there is no need to wait.
         let is_certain =
             record.holder.name.is_empty() || self.members.contains_key(&record.holder.name);
         let pause = if is_certain { Duration::ZERO } else { ABSENCE_GRACE };
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -13,7 +13,6 @@
 /// Releases in a row before the pause grows. If one instance in three may not run a step,
 /// this many are all refused once in 6,500 times.
 const QUICK_RELEASES: u32 = 8;
-/// The longest pause.
 const MAX_PAUSE: Duration = Duration::from_millis(80_000);
 /// The most doublings of the pause, which exceed [`MAX_PAUSE`].
 const MAX_DOUBLINGS: u32 = 5;
--- a/crates/entry/src/follow.rs
+++ b/crates/entry/src/follow.rs
@@ -189,7 +189,7 @@
             None => drop(table.members.remove(name)),
         }
     } else if let Some(name) = key.strip_prefix(DUTY_PREFIX) {
-        // A record that can't be decoded names no holder: whoever takes the duty
+        // A record that can't be decoded names no holder: the next member that takes the duty
         // overwrites it.
         let holder = value.and_then(|value| decode(node, key, value, revision));
         let revision = if value.is_some() { revision } else { 0 };
--- a/crates/entry/src/gateway.rs
+++ b/crates/entry/src/gateway.rs
@@ -39,7 +39,6 @@
     node: Rc<Node>,
     pending_jobs: RefCell<VecDeque<PendingJob>>,
     writes_in_flight: Cell<usize>,
-    /// The number of jobs submitted so far.
     submission_count: Cell<u64>,
 }
 
--- a/crates/entry/src/gateway/accept.rs
+++ b/crates/entry/src/gateway/accept.rs
@@ -20,8 +20,8 @@
 use crate::server::HttpRequest;
 use crate::store::Error;
 
-/// How long storing a job is attempted before the caller is told that it wasn't stored.
-/// This is within a quarter of the time that callers wait.
+/// How long storing a job is attempted before the response reports that it wasn't stored. This is
+/// within a quarter of the time that callers wait.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The fraction of a caller's deadline within which its job is to be stored, as a divisor.
 const DEADLINE_DIVISOR: u32 = 4;
--- a/crates/entry/src/gateway/state.rs
+++ b/crates/entry/src/gateway/state.rs
@@ -14,7 +14,7 @@
 use crate::server::HttpResponse;
 use crate::store::Error;
 
-/// The event logged when a caller is told that a job doesn't exist.
+/// The event logged when a response reports that a job doesn't exist.
 const UNKNOWN: &str = "job told unknown";
 
 impl Gateway {
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -20,13 +20,12 @@
 
 /// The largest response body: a page of the store is about 1 MB, encoded as text.
 const MAX_RESPONSE: usize = 8 << 20;
-/// How long a connection is kept unused. This is less than the usual timeouts of servers, so
-/// that a call seldom meets a connection that was just closed.
+/// How long a connection is kept unused. This is less than the usual timeouts of servers, so that a
+/// call rarely uses a connection that was just closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Unused connections kept for one address: as many as the busiest one, the fleet service,
 /// has in use at once.
 const DEFAULT_MAX_IDLE: usize = 24;
-/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest gap between two chunks of a body that may be large.
 const STALL_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/entry/src/listen.rs
+++ b/crates/entry/src/listen.rs
@@ -16,17 +16,16 @@
 const RESERVED_FDS: usize = 300;
 /// Descriptors that the platform reserves for files: sockets share the others.
 const FILE_FDS: usize = 200;
-/// The fraction of the descriptors that peers' connections may take, as a divisor. Each
-/// entry VM sends requests to the owners of pools and keeps some connections to them
-/// (`MAX_IDLE_PER_PEER` in `run`): an eighth of 4,100 is enough for 128 entry VMs. The limit
-/// is separate from those of the balancer and of metrics clients: with one limit for all
-/// three, an owner with many peer connections appeared not ready, and nobody could read why.
+/// The fraction of the descriptors that peers' connections may take, as a divisor. Each entry VM
+/// sends requests to the owners of pools and keeps some connections to them (`MAX_IDLE_PER_PEER` in
+/// `run`): an eighth of 4,100 is enough for 128 entry VMs. The limit is separate from those of the
+/// balancer and of metrics clients: with one limit for all three, an owner with many peer
+/// connections appeared not ready, and the metrics that show the cause could not be read.
 const PEER_FDS_DIVISOR: usize = 8;
 /// Connections of the balancer, and of metrics clients: a few of each at once.
 const MAX_MONITOR_CONNECTIONS: usize = 32;
 /// The largest body of a peer's request, which is a relayed call to the store.
 const MAX_PEER_BODY: usize = 8 << 20;
-/// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 /// The path under which jobs are explained, on the metrics address; the id follows.
 const EXPLAIN_PATH: &str = "/jobs/";
--- a/crates/entry/src/lookup.rs
+++ b/crates/entry/src/lookup.rs
@@ -37,10 +37,10 @@
 
 /// Looks up the state of a job.
 ///
-/// An end that is written between the two reads moves the job from the first key to the
-/// second. In the opposite order both would be found empty, and the caller of a job that has
-/// just completed would be told that there is no such job. In this order a job that has left
-/// the first key is found under the second.
+/// An end that is written between the two reads moves the job from the first key to the second. In
+/// the opposite order both would be found empty, and the caller of a job that has just completed
+/// would get the response that there is no such job. In this order a job that has left the first
+/// key is found under the second.
 ///
 /// ```
 /// use corianderfork_entry::lookup::{Lookup, LookupStep};
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -28,8 +28,8 @@
 /// The length of a member's lease. A holder that died is replaced when it expires;
 /// several renewals with their round trips must fit into it.
 pub const LEASE_TTL: Duration = Duration::from_millis(2_500);
-/// How long a holder continues without a renewal while the store responds to nobody: during
-/// such an outage nobody else can take over either.
+/// How long a holder continues without a renewal while the store doesn't respond at all: during
+/// such an outage no other member can take over either.
 pub const OUTAGE_GRACE: Duration = Duration::from_millis(8_000);
 
 /// A pause between two duty checks that only a freeze of the process explains.
@@ -104,8 +104,8 @@
 }
 
 impl Node {
-    /// Whether orders may be sent: this daemon's lease is valid, or the store responds to
-    /// nobody and this process wasn't frozen.
+    /// Whether orders may be sent: this daemon's lease is valid, or the store doesn't respond at
+    /// all and this process wasn't frozen.
     ///
     /// Right after a freeze, the silence of the store looks like an outage. Orders sent then
     /// would contradict what another holder did meanwhile: a job that it completed would be
@@ -132,8 +132,8 @@
     /// Whether a duty taken with `fence` is still this daemon's as far as it knows, and
     /// nothing has happened since by which it may have lost the duty unnoticed.
     ///
-    /// A new lease proves nothing about duties: while the old one was lost another member
-    /// may have taken them, and the news of that may arrive after the lease.
+    /// A new lease proves nothing about duties: while the old one was lost another member may have
+    /// taken them, and the change of the duty may be reported only after the lease.
     pub fn is_sure_of(&self, duty: &str, fence: u64) -> bool {
         let is_named = self.table.borrow().duties.get(duty).is_some_and(|r| r.revision == fence);
         is_named
@@ -158,7 +158,7 @@
         holder.boot == self.boot && holder.name == self.settings.name.as_str()
     }
 
-    /// Gives a duty up to a peer that says it has taken it, and returns the grants.
+    /// Gives up a duty to a peer that reports that it has taken it, and returns the grants.
     ///
     /// The new fence is remembered, since the store's record may still name this daemon for
     /// a while: it would resume with its old fence and grant beyond what it returned here.
--- a/crates/entry/src/outage.rs
+++ b/crates/entry/src/outage.rs
@@ -21,9 +21,9 @@
 
 /// The availability of the store, as observed by calls through any route. It does no I/O.
 ///
-/// During an outage no job can be accepted. A caller whose job is written anyway is told
-/// after some hundreds of milliseconds that the outcome is unknown, and retries; one that is
-/// refused at once, unwritten, knows that its job was not run and when to come back.
+/// During an outage no job can be accepted. A caller whose job is written anyway learns after some
+/// hundreds of milliseconds that the outcome is unknown, and retries; one that is refused at once,
+/// unwritten, knows that its job was not run and when to come back.
 ///
 /// ```
 /// use corianderfork_entry::outage::Outage;
--- a/crates/entry/src/owner.rs
+++ b/crates/entry/src/owner.rs
@@ -72,7 +72,6 @@
     /// The store's revision of the record of the last write's number.
     write_revision: Cell<u64>,
     last_write_number: Cell<u64>,
-    /// The number of jobs accepted.
     accepted_count: Cell<usize>,
 }
 
@@ -175,9 +174,9 @@
             }
             Message::State { id, .. } => self.state(&id),
             Message::Cancel { id, .. } => self.cancel(&id).await,
-            // An owner that may have been replaced doesn't hear of new jobs: it would
-            // count none as queued while its successor has hundreds. Nor does it hear of
-            // tasks that its successor started on workers that it would report as empty.
+            // An owner that may have been replaced isn't notified of new jobs: it would count none
+            // as queued while its successor has hundreds. Nor does it know the tasks that its
+            // successor started: it would report their workers as empty.
             Message::Queued { .. } | Message::Vacate { .. } | Message::Shrink { .. }
                 if !self.is_sure() =>
             {
--- a/crates/entry/src/owner/advise.rs
+++ b/crates/entry/src/owner/advise.rs
@@ -1,8 +1,8 @@
 //! Requests for advice: which workers may run a step.
 //!
-//! The advice service handles one request at a time from each VM, so an owner sends its
-//! requests through all entry VMs. *Measured:* a request takes 0.3 s and more; one VM alone
-//! gets three answers a second, seven get twenty.
+//! The advice service handles one request at a time from each VM, so an owner sends its requests
+//! through all entry VMs. A request takes 0.3 s and more; one VM alone gets three answers a second,
+//! seven get twenty.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/entry/src/owner/predecessors.rs
+++ b/crates/entry/src/owner/predecessors.rs
@@ -18,8 +18,8 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 impl Owner {
-    /// Tells former owners that they are replaced, and learns until when their grants hold.
-    /// For those that don't respond, the longest possible lease is waited out.
+    /// Notifies former owners that they are replaced, and asks until when their grants hold. For
+    /// those that don't respond, the longest possible lease is waited out.
     pub(super) async fn query_predecessors(&self) {
         let former_holders = self.holders_to_query();
         let message = Message::Retire { duty: self.name.clone(), fence: self.fence() };
--- a/crates/entry/src/owner/workers.rs
+++ b/crates/entry/src/owner/workers.rs
@@ -33,7 +33,6 @@
 const POLL_PAUSE_PER_WORKER: Duration = Duration::from_micros(250);
 /// The pause after a poll that returned only ends that are already being written.
 const POLL_PAUSE_NOTHING_NEW: Duration = Duration::from_millis(40);
-/// The pause after a poll that failed.
 const POLL_PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(200);
 
 impl Owner {
--- a/crates/entry/src/placement.rs
+++ b/crates/entry/src/placement.rs
@@ -162,10 +162,10 @@
 
 /// Searches for a job in the pools of its queue.
 ///
-/// The record known to this daemon may be older than the job. So before the search concludes
-/// that the job is absent, the record is read: a pool is in it before a job is in the pool.
-/// Otherwise a caller whose job was just accepted by another entry VM, in the queue's new
-/// pool, would be told that there is no such job.
+/// The record known to this daemon may be older than the job. So before the search concludes that
+/// the job is absent, the record is read: a pool is in it before a job is in the pool. Otherwise a
+/// caller whose job was just accepted by another entry VM, in the queue's new pool, would get the
+/// response that there is no such job.
 ///
 /// ```
 /// use corianderfork_entry::placement::{QueueRecord, Search, Step};
--- a/crates/entry/src/planner.rs
+++ b/crates/entry/src/planner.rs
@@ -31,9 +31,9 @@
 const WAVE_PREFIX: &str = "fleet/wave/";
 /// The key of the recently ordered VMs.
 const ORDERS_KEY: &str = "fleet/orders";
-/// How often sizes are decided: any delay in noticing a queue's busy time makes its jobs
-/// wait longer. *Measured* against 0.25 s, on days of 34 s with a worker's heartbeats seen
-/// as soon: 0.008 and 0.013 of a day's worth.
+/// How often sizes are decided: any delay in noticing a queue's busy time makes its jobs wait
+/// longer. Compared with 0.25 s, and with workers' heartbeats noticed as soon, days of 34 s earn
+/// 0.008 and 0.013 more of a day's possible earnings.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 /// How often the fleet is listed. The list lags by more than this, and each page of it is
 /// a call that is priced and counted.
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Tells owners that workers of their pools are gone. This is best effort: otherwise an
-    /// owner notices when the worker's lease expires.
+    /// Notifies owners that workers of their pools are gone. This is best effort: an owner that
+    /// isn't notified detects it when the worker's lease expires.
     fn report_gone_workers(&self, vms: &[Vm]) {
         let mut gone: BTreeMap<&str, Vec<String>> = BTreeMap::new();
         for vm in vms.iter().filter(|vm| !vm.worker.is_empty()) {
@@ -187,10 +187,10 @@
     /// Sends requests to owners of pools concurrently; the replies are in the order of the
     /// requests.
     ///
-    /// Sent one after the other, a request to an owner that is cut off would delay all
-    /// others by its timeout, and with them the sizes of all pools. *Measured* with a third
-    /// of the entry VMs cut off and VMs to be maintained: 0.8 to 2.2 s from one decision to
-    /// the next, 0.3 s since.
+    /// Sent one after the other, a request to an owner that is cut off would delay all others by
+    /// its timeout, and with them the sizes of all pools. With a third of the entry VMs cut off and
+    /// VMs to be maintained, it would take 0.8 to 2.2 s from one decision to the next; sent
+    /// concurrently, it takes 0.3 s.
     async fn send_to_owners(&self, messages: Vec<Message>) -> Vec<Option<Reply>> {
         let send = |message: Message| {
             let node = self.node.clone();
--- a/crates/entry/src/planner/size.rs
+++ b/crates/entry/src/planner/size.rs
@@ -19,7 +19,7 @@
 
 /// The most orders in flight at once.
 const MAX_CONCURRENT_ORDERS: usize = 24;
-/// Tells an owner to keep all workers.
+/// The `keep` of a shrink request by which an owner keeps all workers.
 const KEEP_ALL: u32 = u32::MAX;
 
 /// The sizing state of a pool.
@@ -197,8 +197,8 @@
         self.arrivals.contains(vm) || self.in_maintenance.contains_key(vm) || !self.may_order_vm(vm)
     }
 
-    /// Returns the request that tells a pool's owner how many workers to keep, if needed:
-    /// it keeps all until told otherwise.
+    /// Returns the request that sets how many workers a pool's owner keeps, if needed: an owner
+    /// keeps all until it receives one.
     fn shrink_message(&mut self, demand: &Demand, target: usize) -> Option<Message> {
         let sizing = self.sizes.get_mut(&demand.pool)?;
         let is_stuck = demand.load.refused > 0 && sizing.has_shortage;
--- a/crates/entry/src/predecessor.rs
+++ b/crates/entry/src/predecessor.rs
@@ -1,8 +1,8 @@
 //! Tracks until when the former holders of a duty may grant leases on its workers.
 //!
-//! This module does no I/O. The wait for former holders is bounded by the time after which
-//! all of them stop by themselves; it ends earlier once each is known to have ended or to
-//! have given way.
+//! This module does no I/O. The wait for former holders is bounded by the time after which all of
+//! them stop by themselves; it ends earlier once each is known to have ended or to have retired in
+//! favour of a successor.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Records the report of a former holder that gave way: for how many more milliseconds
-    /// the grants on each worker hold. They cover those of the holders before it.
+    /// Records the report of a former holder that has retired: for how many more milliseconds the
+    /// grants on each worker hold. They cover those of the holders before it.
     pub fn record_report(
         &mut self,
         now: Time,
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -22,9 +22,9 @@
 use crate::trace::Trace;
 use crate::{clock, follow, member, relay};
 
-/// Unused connections kept to each peer. A request takes milliseconds, and each connection
-/// kept by any entry VM is open at the receiver. *Measured* on days of 44 entry VMs: with 24
-/// each, unused connections took all 150 connections of the owner of a busy pool.
+/// Unused connections kept to each peer. A request takes milliseconds, and each connection kept by
+/// any entry VM is open at the receiver. With 24 to each peer and 44 entry VMs, unused connections
+/// took all 150 connections of the owner of a busy pool.
 const MAX_IDLE_PER_PEER: usize = 4;
 /// How often the settings file is checked: it may change without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/entry/src/store/routing.rs
+++ b/crates/entry/src/store/routing.rs
@@ -19,9 +19,9 @@
 const DIRECT_RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 impl Store {
-    /// Probes the store while it is down or rejects this VM, so that its return is noticed
-    /// by one small call rather than by callers' requests: such a request would take the
-    /// whole timeout, and its caller would be told that the outcome is unknown.
+    /// Probes the store while it is down or rejects this VM, so that its return is noticed by one
+    /// small call rather than by callers' requests: such a request would take the whole timeout,
+    /// and its caller would learn only that the outcome is unknown.
     pub async fn probe(&self) {
         loop {
             tokio::time::sleep(PROBE_PAUSE).await;
--- a/crates/entry/tests/arrivals.rs
+++ b/crates/entry/tests/arrivals.rs
@@ -67,9 +67,9 @@
 
 #[test]
 fn keep_while_workers_are_vacated() {
-    // Failure: a pool that should give up twenty workers gives up none for seconds. Workers
-    // being vacated didn't count as present, so at the next decision the pool had no surplus
-    // and was told to keep all, and they took work again each time.
+    // Failure: a pool that should give up twenty workers gives up none for seconds. Workers being
+    // vacated didn't count as present, so at the next decision the pool had no surplus and was
+    // asked to keep all, and they took work again each time.
     let stock = Stock::new(&load(8, 20), 0);
     assert_eq!(stock.keep(8), Some(8));
     assert_eq!(stock.missing(20), 0, "vacated workers take work again instead");
--- a/crates/entry/tests/attempts.rs
+++ b/crates/entry/tests/attempts.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn may_be_stored_during_another_attempt() {
-    // Failure: a caller is told that its job never runs, but it runs. The job was submitted
-    // twice; the second attempt was refused unwritten while the first one's write was in
+    // Failure: a caller gets the response that its job never runs, but it runs. The job was
+    // submitted twice; the second attempt was refused unwritten while the first one's write was in
     // flight, and that refusal was taken for the result of both.
     let mut attempts = Attempts::default();
     attempts.begin("a");
--- a/crates/entry/tests/duty.rs
+++ b/crates/entry/tests/duty.rs
@@ -125,10 +125,10 @@
 
 #[test]
 fn may_grant_before_a_restarted_holder() {
-    // Failure: a task runs twice at once. A pool's owner is cut off from the store and goes
-    // on, on a worker that only it can reach. A second owner takes over and restarts at once.
-    // A third one takes over, can't reach the worker, and starts its task elsewhere: since
-    // the second one had ended, no grants were assumed to be left.
+    // Failure: a task runs twice at once. A pool's owner is cut off from the store and continues to
+    // use a worker that only it can reach. A second owner takes over and restarts at once. A third
+    // one takes over, can't reach the worker, and starts its task elsewhere: since the second one
+    // had ended, no grants were assumed to be left.
     let table = table_with_a_restarted_successor();
     assert!(table.may_grant(at(5_500), "a") > Duration::from_millis(8_000));
     assert_eq!(table.may_grant(at(15_500), "a"), Duration::ZERO, "the grace period has passed");
--- a/crates/entry/tests/listen.rs
+++ b/crates/entry/tests/listen.rs
@@ -102,9 +102,9 @@
 
 #[test]
 fn peer_request_while_others_keep_connections() {
-    // Failure: a pool's owner responds to nobody while its queue is busy: each request for a
-    // job's state costs two reads of the store, and the pool gets no VMs. The connection
-    // limit was made for a few entry VMs; see the test above.
+    // Failure: a pool's owner responds to no peer while its queue is busy: each request for a job's
+    // state costs two reads of the store, and the pool gets no VMs. The connection limit was
+    // sufficient for only a few entry VMs; see the test above.
     let daemon = Daemon::start("peer");
     let _connections = daemon.open_connections(daemon.peers, PEER_CONNECTIONS);
     let body = r#"{"ask":"state","pool":"alpha","id":"5c0e7a21d94b36f8"}"#;
--- a/crates/entry/tests/lookup.rs
+++ b/crates/entry/tests/lookup.rs
@@ -38,10 +38,10 @@
 
 #[test]
 fn lookup_while_the_job_ends() {
-    // Failure: a caller is told that a job accepted four seconds before doesn't exist. The
-    // entry VM couldn't reach the owner and read the progress record, which didn't exist
-    // yet; then the owner wrote the job's end and removed the acceptance record, which the
-    // entry VM read next. Both reads found nothing although the job existed all the time.
+    // Failure: a caller gets the response that a job accepted four seconds before doesn't exist.
+    // The entry VM couldn't reach the owner and read the progress record, which didn't exist yet;
+    // then the owner wrote the job's end and removed the acceptance record, which the entry VM read
+    // next. Both reads found nothing although the job existed all the time.
     let writes = writes();
     for first in 0..writes.len() {
         for second in first..writes.len() {
@@ -68,9 +68,9 @@
 
 #[test]
 fn lookup_damaged_record() {
-    // Failure: a caller is told that a job doesn't exist or is queued although it ended.
-    // Another writer overwrote the progress record, and an undecodable record was taken for
-    // a missing one.
+    // Failure: a caller gets the response that a job doesn't exist or is queued although it ended.
+    // Another writer overwrote the progress record, and an undecodable record was taken for a
+    // missing one.
     let damaged = Records::from([(run_key(POOL, ID), b"\xff{".to_vec())]);
     assert_eq!(look_up(&[&damaged, &damaged]), LookupStep::Unreadable);
 }
--- a/crates/entry/tests/outage.rs
+++ b/crates/entry/tests/outage.rs
@@ -11,9 +11,9 @@
 
 #[test]
 fn is_down_silent_store() {
-    // Failure: callers wait until their deadline and get no response. The store went silent,
-    // and each submitted job was written to it and waited for its response, since no call
-    // drew a conclusion from another.
+    // Failure: callers wait until their deadline and get no response. The store went silent, and
+    // each submitted job was written to it and waited for its response, since no call considered
+    // that others had got no response.
     let mut outage = Outage::default();
     outage.note_contact(at(1_000));
     let first = outage.note_sent(at(1_100));
--- a/crates/entry/tests/placement.rs
+++ b/crates/entry/tests/placement.rs
@@ -96,8 +96,8 @@
 
 #[test]
 fn search_unknown_record() {
-    // Failure: a caller is told that an accepted job doesn't exist. An entry VM started after
-    // the queue was moved and was asked before it had read the records: a pool that it didn't
+    // Failure: a caller gets the response that an accepted job doesn't exist. An entry VM started
+    // after the queue was moved and was asked before it had read the records: a pool that it didn't
     // know was taken for one that doesn't exist.
     let mut search = Search::new(QueueRecord::Missing, "beta");
     assert_eq!(pools(&mut search), ["beta"]);
@@ -126,9 +126,9 @@
 
 #[test]
 fn search_damaged_or_removed_record() {
-    // Failure: a caller is told that an accepted job doesn't exist. Another writer overwrote
-    // or removed the queue's record, and a record that names no pool was taken for a queue
-    // without jobs.
+    // Failure: a caller gets the response that an accepted job doesn't exist. Another writer
+    // overwrote or removed the queue's record, and a record that names no pool was taken for a
+    // queue without jobs.
     for read in [QueueRecord::read(b"\xff{", 40), QueueRecord::Missing] {
         let mut search = Search::new(record(1, &["alpha"]), "alpha");
         assert_eq!(pools(&mut search), ["alpha"]);
--- a/crates/entry/tests/predecessor.rs
+++ b/crates/entry/tests/predecessor.rs
@@ -71,7 +71,7 @@
     assert_eq!(limit.by_worker["w0"], at(4_000));
 }
 
-// Guards against waiting for a holder that gave way to one that was then killed.
+// Guards against waiting for a holder that retired in favour of one that was then killed.
 #[test]
 fn limit_reported_by_an_earlier_holder() {
     let mut tracker = two_former_holders();
--- a/crates/jobs/src/pool.rs
+++ b/crates/jobs/src/pool.rs
@@ -65,7 +65,7 @@
     pub(crate) lease: Duration,
     /// How long the state of a finished job is kept.
     pub(crate) remember: Duration,
-    /// When the leases end at the latest that predecessors granted and can't be asked about.
+    /// The latest end of leases whose granting predecessors can't be queried.
     pub(crate) inherited_until: Time,
     /// Factor by which a task takes longer away from the rack of its data.
     pub(crate) remote_factor: f64,
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Sets the factor by which a task takes longer away from the rack of its data.
-    /// The more, the longer a task waits for a worker there.
+    /// Sets the factor by which a task takes longer away from the rack of its data. The larger it
+    /// is, the longer a task waits for a worker there.
     #[must_use]
     pub fn remote_factor(mut self, times: f64) -> Self {
         self.remote_factor = times.clamp(1.0, 100.0);
--- a/crates/jobs/src/pool/choose.rs
+++ b/crates/jobs/src/pool/choose.rs
@@ -67,10 +67,10 @@
 
     /// Returns whether a task waits for a worker in the rack of its data.
     ///
-    /// Elsewhere it takes several times as long and occupies room for that time. It waits at
-    /// most as long as it saves, if a worker in the rack could run it once it has room.
-    /// *Measured* with a factor of three and half of the jobs near some rack: 0.16 to 0.21 more
-    /// of the possible earnings in full pools.
+    /// Elsewhere it takes several times as long and occupies room for that time. It waits at most
+    /// as long as it saves, if a worker in the rack could run it once it has room. With a factor of
+    /// three and half of the jobs near some rack, full pools earn 0.16 to 0.21 more of the possible
+    /// earnings.
     fn waits_for_rack(&self, now: Time, name: task::Name, step: &Step, rack: &str) -> bool {
         let could_run = |worker: &Worker| {
             worker.is_usable(now)
@@ -93,9 +93,9 @@
     }
 
     /// Returns whether a step may run on workers that are to be maintained and could not be
-    /// emptied. This is so if it needs a feature that no other worker has: it would otherwise
-    /// wait for the end of the maintenance, which may never find a moment to start.
-    /// Long-running tasks are excluded, since they would delay the maintenance forever.
+    /// emptied. This is so if it needs a feature that no other worker has: it would otherwise wait
+    /// for the end of the maintenance, which may never start. Long-running tasks are excluded,
+    /// since they would delay the maintenance forever.
     pub(super) fn may_use_stranded(&self, now: Time, step: &Step) -> bool {
         let Some(feature) = Feature::of(step).filter(|_| !step.long_running) else { return false };
         let has_feature = |worker: &&Worker| feature.is_provided_by(&worker.labels, &worker.room);
--- a/crates/jobs/src/pool/departed.rs
+++ b/crates/jobs/src/pool/departed.rs
@@ -7,7 +7,6 @@
 
 use crate::worker::Registration;
 
-/// Maximum number of remembered instances.
 const MAX_INSTANCES: usize = 512;
 /// How long after the end of an instance its entry may still change, since an earlier heartbeat
 /// may be reported late. A worker sends one every 1.5 s, so an instance that is alive is
@@ -15,15 +14,15 @@
 const LATE_UPDATE: Duration = Duration::from_millis(3_000);
 
 /// Worker instances that have ended, oldest first. The list of workers lags and includes an
-/// instance for seconds after its end. If it were added again, it would be polled in vain and
-/// written into the roster.
+/// instance for seconds after its end. If it were added again, it would be polled without an answer
+/// and written into the roster.
 ///
-/// An instance may be alive although it is recorded here: one that is silent past its lease and
-/// not listed may be partitioned, and an answer that confirms an earlier order for a VM may be
-/// mistaken for the end of a later instance. If such a worker were excluded for good, it would
-/// idle while jobs wait, until the pool gets a new owner. An instance whose entry changes later
-/// than any earlier heartbeat could explain is therefore accepted again. If it has ended after
-/// all, the only cost is a failed poll.
+/// An instance may be alive although it is recorded here: one that is silent past its lease and not
+/// listed may be partitioned, and an answer that confirms an earlier order for a VM may be mistaken
+/// for the end of a later instance. If such a worker were excluded permanently, it would idle while
+/// jobs wait, until the pool gets a new owner. An instance whose entry changes later than any
+/// earlier heartbeat could explain is therefore accepted again. If it has ended after all, the only
+/// cost is a failed poll.
 #[derive(Debug, Default)]
 pub(super) struct EndedInstances {
     instances: VecDeque<EndedInstance>,
--- a/crates/jobs/src/pool/exits.rs
+++ b/crates/jobs/src/pool/exits.rs
@@ -35,7 +35,6 @@
         self.handle_exit(now, key, exit);
     }
 
-    /// Handles the exit of a run.
     pub(super) fn handle_exit(&mut self, now: Time, key: worker::Key, exit: &Exit) {
         let name = exit.task;
         if self.entry(name.job).is_none() {
--- a/crates/jobs/src/pool/ranking.rs
+++ b/crates/jobs/src/pool/ranking.rs
@@ -8,9 +8,9 @@
 use super::{JobKey, Pool};
 use crate::job::chain_ms;
 
-/// How long before its expiry a late job is ranked before the others. A longer time serves more
-/// of the late jobs and fewer in time; between 0.5 s and 1.2 s the two effects cancel out by
-/// what users pay for each.
+/// How long before its expiry a late job is ranked before the others. A longer time serves more of
+/// the late jobs and fewer in time; between 0.5 s and 1.2 s the gain and the loss are equal in what
+/// users pay.
 const CRITICAL_MARGIN: Duration = Duration::from_millis(500);
 
 /// The urgency of a job, most urgent first.
--- a/crates/jobs/src/pool/workers.rs
+++ b/crates/jobs/src/pool/workers.rs
@@ -174,8 +174,8 @@
     /// lost its entry, and its tasks would run twice. Therefore a worker gets its first order
     /// only after its location is in the store.
     ///
-    /// Locations of ended instances are removed: a successor would poll them in vain and wait
-    /// until their last possible lease has ended.
+    /// Locations of ended instances are removed: a successor would poll them without an answer and
+    /// wait until their last possible lease has ended.
     pub fn roster_update(&self) -> Option<Vec<Location>> {
         let locations: BTreeSet<Location> = self.workers.values().map(Worker::location).collect();
         (locations != self.written_roster).then(|| locations.into_iter().collect())
--- a/crates/jobs/src/size.rs
+++ b/crates/jobs/src/size.rs
@@ -8,9 +8,9 @@
 use crate::job::Room;
 use crate::pool::Load;
 
-/// Factor by which a pool requests more than it needs, so that tasks of uneven sizes find a
-/// worker with enough room. *Measured* against 1.15, on pools of about 10 and about 80 workers:
-/// 0.007 and 0.009 more of the possible earnings, for 3% more worker-seconds.
+/// Factor by which a pool requests more than it needs, so that tasks of uneven sizes find a worker
+/// with enough room. Compared with 1.15, pools of about 10 and about 80 workers earn 0.007 and
+/// 0.009 more of the possible earnings, for 3% more worker-seconds.
 const HEADROOM: f64 = 1.3;
 /// How long the largest recent request is kept. Moving a worker takes about this long, and a
 /// move there and back costs more than it saves, so shorter dips are ignored.
@@ -85,7 +85,7 @@
     let rest = f64::from(total.saturating_sub(min));
     let allocation = |request: &Request| {
         let share = f64::from(above_min(request)) / f64::from(requested.max(1));
-        // Rounded to the nearest; if the sum is one too many, one worker is just not found.
+        // Rounded to the nearest; if the sum is one too many, one requested worker isn't available.
         request.min + (share * rest).round().min(f64::from(request.peak)) as u32
     };
     requests.iter().map(allocation).collect()
@@ -95,9 +95,9 @@
     /// Returns the demand at the time when a worker ordered now arrives, if the demand keeps
     /// growing as recently.
     ///
-    /// Growth that may be random is not extrapolated: where jobs are few and large, each
-    /// arrival would order workers that nobody needs. *Measured*: 6% to 9% fewer moves and 4%
-    /// to 5% fewer worker-seconds, for 0.002 to 0.007 less of the possible earnings, which
+    /// Growth that may be random is not extrapolated: where jobs are few and large, each arrival
+    /// would order workers that aren't needed. Not extrapolating it results in 6% to 9% fewer moves
+    /// and 4% to 5% fewer worker-seconds, for 0.002 to 0.007 less of the possible earnings, which
     /// [`HEADROOM`] makes up for.
     fn extrapolate(&mut self, now: Time, demand: f64, noise: f64) -> f64 {
         self.demands.push_back((now, demand));
--- a/crates/jobs/tests/long_running.rs
+++ b/crates/jobs/tests/long_running.rs
@@ -145,12 +145,11 @@
     (sim, first_task(job))
 }
 
-// Guards against a long-running task that doesn't run for seconds beside idle workers (LOST). A
-// wave empties two workers: the owner stops a task of the first one to move it to another
-// worker, and before the task has started there the planner vacates that worker too, since
-// neither knows the other's decision. The log showed `task evacuated`, 9 ms later `worker
-// vacates` for the worker of `room kept`, then `kept room given up`; the task started again 10
-// s later.
+// Guards against a long-running task that doesn't run for seconds beside idle workers. A wave
+// empties two workers: the owner stops a task of the first one to move it to another worker, and
+// before the task has started there the planner vacates that worker too, since neither knows the
+// other's decision. The log showed `task evacuated`, 9 ms later `worker vacates` for the worker of
+// `room kept`, then `kept room given up`; the task started again 10 s later.
 #[test]
 fn vacate_waits_for_a_task_that_is_moving_to_the_worker() {
     let (mut sim, task) = moving();
--- a/crates/jobs/tests/pool.rs
+++ b/crates/jobs/tests/pool.rs
@@ -39,8 +39,8 @@
     assert!(jobs.iter().all(is_over));
 }
 
-// Guards against running a job again that was reported as completed: its last task ends,
-// callers are told, and every process dies before the end is written.
+// Guards against running a job again that was reported as completed: its last task ends, callers
+// receive that state, and every process dies before the end is written.
 #[test]
 fn state_completed_only_once_written() {
     let mut sim = Simulation::new(1);
--- a/crates/jobs/tests/reserve_random.rs
+++ b/crates/jobs/tests/reserve_random.rs
@@ -42,7 +42,7 @@
         Event::Small(cpu) => {
             sim.submit(next, vec![step(3, *cpu)]);
         }
-        // Each needs a worker of its own, so that a useless reservation is noticed.
+        // Each needs a separate worker, so that a useless reservation is noticed.
         Event::LongRunning(cpu) if long_running_jobs.len() < 4 => {
             long_running_jobs.push(sim.submit(next, vec![long_running_step(*cpu)]));
         }
--- a/crates/jobs/tests/returning_worker.rs
+++ b/crates/jobs/tests/returning_worker.rs
@@ -20,10 +20,10 @@
     }
 }
 
-// Guards against a job that waits beside an idle worker until its pool gets a new owner. The
-// only worker is partitioned from the owner and the store for longer than its lease, and its
-// entry expires. It recovers, writes its entry again and answers, but it had been recorded as
-// ended for good.
+// Guards against a job that waits beside an idle worker until its pool gets a new owner. The only
+// worker is partitioned from the owner and the store for longer than its lease, and its entry
+// expires. It recovers, writes its entry again and answers, but it had been recorded as permanently
+// ended.
 #[test]
 fn set_workers_with_an_instance_that_was_partitioned() {
     let mut sim = Simulation::new(1);
--- a/crates/jobs/tests/unknown_job.rs
+++ b/crates/jobs/tests/unknown_job.rs
@@ -95,9 +95,9 @@
     assert!(sim.workers_running(first_task(job)).is_empty());
 }
 
-// Guards against stopping a run that nobody cancelled: the store becomes unavailable after a
-// complete read, and a recovered worker lists a run of a job that was accepted since. The read
-// is too old to say anything about the job.
+// Guards against stopping a run whose job wasn't cancelled: the store becomes unavailable after a
+// complete read, and a recovered worker lists a run of a job that was accepted since. The read is
+// too old to say anything about the job.
 #[test]
 fn plan_leaves_a_run_alone_that_is_newer_than_the_last_read() {
     let (mut sim, job) = simulation();
