--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -63,7 +63,7 @@
 ///
 /// Fails if the file is invalid, if another revision is in force, if the store is
 /// unavailable, or if the write is pending or its outcome unknown; [`Error::code`]
-/// tells these apart.
+/// distinguishes these.
 pub fn run(context: &Context<'_>, request: &Request<'_>) -> Result<Report, Error> {
     let file = ini::read(request.path)?;
     let warnings = ini::check(request.path, &file)?.warnings;
--- a/crates/cli/src/cas.rs
+++ b/crates/cli/src/cas.rs
@@ -96,7 +96,7 @@
     Unchanged,
     /// The outcome of the write.
     Resolved(Outcome),
-    /// The key was changed, and the history that would tell by whom is compacted.
+    /// The key was changed, and the history that shows by whom is compacted.
     Compacted,
 }
 
@@ -112,7 +112,7 @@
         }));
     }
     // Someone else wrote the key, either before this write or after it. The history
-    // tells which: the first change since `base` is this write, or no change is.
+    // shows which: if this write took effect, it is the first change since `base`.
     let after = write.base.revision;
     let changes = match context.store.watch(write.key, after, Duration::ZERO) {
         Err(Error::Compacted) => return Ok(ReadBack::Compacted),
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -10,7 +10,7 @@
 //! whether the write took effect, and reports an unknown outcome only after the
 //! timeout. Each change is recorded in the audit trail.
 //!
-//! The exit code tells what happened to the fleet:
+//! The exit code states what happened to the fleet:
 //!
 //! | code | outcome | |
 //! |---|---|---|
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -35,7 +35,7 @@
 }
 
 /// Replaces control characters by spaces. Reasons and notes are free text: a line
-/// break in one would look like a row of its own, and an escape sequence could hide
+/// break in one would look like a separate row, and an escape sequence could hide
 /// other rows.
 pub fn plain(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect()
--- a/crates/cli/tests/apply.rs
+++ b/crates/cli/tests/apply.rs
@@ -145,8 +145,8 @@
 
 #[test]
 fn apply_lost_response_compacted_history() {
-    // A guess was reported as a fact: the response was lost, others wrote, and the store
-    // compacted the history that would tell whether the write took effect.
+    // A guess was reported as a fact: the response was lost, others wrote, and the
+    // store compacted the history that shows whether the write took effect.
     let store = Arc::new(FakeStore::default());
     store.compact();
     store.inject(CONFIG, Fault::LoseResponse(vec![bobs_record(&config_text(14, 8))]));
--- a/crates/config/src/services.rs
+++ b/crates/config/src/services.rs
@@ -16,7 +16,6 @@
 const MAX_SLOTS: u16 = 1_024;
 /// The maximum run time and warm-up time, in milliseconds (one day).
 const MAX_MILLIS: u32 = 86_400_000;
-/// The maximum weight.
 const MAX_WEIGHT: u32 = 1_000_000;
 
 pub(crate) fn weights(fleet: &mut Fleet, mut keys: Keys<'_, '_, '_>) {
--- a/crates/controller/src/actor/planner/mod.rs
+++ b/crates/controller/src/actor/planner/mod.rs
@@ -92,9 +92,9 @@
 }
 
 /// After a decision this process pauses for this many times its duration.
-/// Otherwise a large fleet would have decisions follow one another and leave
-/// the core no time for its peers; about one part in 24 of the core's time is
-/// available for decisions.
+/// Otherwise, in a large fleet, decisions would follow one another without a
+/// pause and leave the core no time for its peers. Decisions use at most about
+/// one part in 24 of the core's time.
 const PAUSE_FACTOR: u32 = 24;
 /// The delay between new information and the decision on it, so that
 /// information arriving together leads to a single decision.
--- a/crates/controller/src/daemon/tree.rs
+++ b/crates/controller/src/daemon/tree.rs
@@ -43,7 +43,7 @@
     pub(super) release_ports: ReleasePorts,
 }
 
-/// Ports that tell the actors holding a lease to release it.
+/// Ports to ask the actors that hold a lease to release it.
 pub(super) type ReleasePorts = Arc<Mutex<Vec<Port<()>>>>;
 
 type StartFn = Box<dyn Fn(&mut Cx<'_, Supervisor>, Ret<StopCause>) -> ActorOwnAnon>;
--- a/crates/controller/src/directory.rs
+++ b/crates/controller/src/directory.rs
@@ -188,11 +188,11 @@
 
     /// Drops members that ended long ago.
     ///
-    /// Entry VMs can be replaced at any time. If the old ones were kept for
-    /// ever, they would eventually be the majority and no process would be in
-    /// touch any more. A member has stopped acting if the store does not list
-    /// it, it has been silent for longer than any wait for its confirmation,
-    /// and it was cut off from the majority.
+    /// Entry VMs can be replaced at any time. If the old ones were kept
+    /// forever, they would eventually be the majority and no process would be
+    /// in touch any more. A member has stopped acting if the store does not
+    /// list it, it has been silent for longer than any wait for its
+    /// confirmation, and it was cut off from the majority.
     fn prune(&mut self, now: Time) {
         let is_expired = |peer: &Peer| {
             let is_silent = now - peer.last_contact > self.expiry && peer.cut_off;
--- a/crates/controller/src/facts.rs
+++ b/crates/controller/src/facts.rs
@@ -170,15 +170,15 @@
         }
     }
 
-    /// Returns the next step for a VM whose record has it rebooting since the
-    /// drain `epoch`.
+    /// Returns the next step for a VM whose record shows it as rebooting since
+    /// the drain `epoch`.
     ///
     /// The list lags and shows a VM as live both before and after its reboot,
     /// so a VM counts as back only if it was seen down and is live again. A
     /// reboot that was not seen within `retry` is requested once more, which is
     /// safe as nothing is in flight on the VM. If it is still not seen, it
     /// counts as done: it was too short for the list, and the VM would
-    /// otherwise be rebooted for ever.
+    /// otherwise be rebooted forever.
     pub fn reboot(&mut self, now: Time, vm: &Name, epoch: u64, retry: Duration) -> RebootStep {
         let state = self.vm_state(vm);
         let new = Reboot { epoch, requested_at: None, requests: 0, seen_down: false };
--- a/crates/controller/src/lease.rs
+++ b/crates/controller/src/lease.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Reads the key before granting a lease, so that processes that do not
-    /// hold it cost one read now and then instead of three writes.
+    /// Reads the key before granting a lease, so that an attempt costs one read
+    /// instead of three writes while another process holds the key.
     fn grant(&self) -> Answer {
         match self.store.get(&self.key) {
             Ok(found) if found.entry.is_none() => match self.store.grant(self.ttl) {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Tells whether this process still holds the lease it decided under. Can be
+/// Checks whether this process still holds the lease it decided under. Can be
 /// used from any thread.
 #[derive(Clone)]
 pub struct Fence {
--- a/crates/controller/src/outbox.rs
+++ b/crates/controller/src/outbox.rs
@@ -1,6 +1,6 @@
-//! Records written for operators beside the decisions: the audit trail, the
-//! explanation and the acknowledgement of operators' writes. They may lag; no
-//! decision waits for them.
+//! Records written for operators in addition to the decisions: the audit trail,
+//! the explanation and the acknowledgement of operators' writes. They may lag;
+//! no decision waits for them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/controller/src/plan/barriers.rs
+++ b/crates/controller/src/plan/barriers.rs
@@ -41,7 +41,7 @@
     /// `revision` has nothing in flight.
     ///
     /// A proxy that knows this record sends the copy nothing new. Once it
-    /// reports no load there either, it has confirmed for good.
+    /// reports no load there either, its confirmation is final.
     pub fn stop(&mut self, now: Time, copy: &Copy, revision: u64, directory: &Directory) -> Status {
         let new = || Barrier::new(self.config, copy.0.clone(), revision, now);
         let barrier = self.stops.entry(copy.clone()).or_insert_with(new);
--- a/crates/controller/src/plan/change.rs
+++ b/crates/controller/src/plan/change.rs
@@ -11,10 +11,10 @@
 
 /// The age of the last maintenance that a VM's first record claims.
 ///
-/// The real time is unknown. If it were taken as long ago, the first
-/// configuration would reboot VMs in a fleet that has no copies yet. If it were
-/// taken as now, all VMs would count as returned from a reboot today, and those
-/// that fail at startup would halt maintenance.
+/// The real time is unknown. If a time long ago were assumed, the first
+/// configuration would reboot VMs in a fleet that has no copies yet. If the
+/// current time were assumed, all VMs would count as returned from a reboot
+/// today, and those that fail at startup would halt maintenance.
 const SINCE_MAINTAINED: Duration = Duration::from_secs(25 * 3600);
 
 /// Returns the first record of a VM, which serves its pool `home`.
--- a/crates/controller/src/plan/observe.rs
+++ b/crates/controller/src/plan/observe.rs
@@ -97,8 +97,9 @@
     }
 }
 
-/// Returns what the VM is out for. If operators gave it another home, it moves
-/// there once it is drained, whatever the reason for the drain.
+/// Returns the purpose for which the VM is out of service. If operators gave it
+/// another home, it moves there once it is drained, whatever the reason for the
+/// drain.
 fn purpose(fleet: &Fleet, id: VmId, record: &record::Vm, view: &View) -> Option<Purpose> {
     if record.phase == Phase::Serving {
         return None;
--- a/crates/controller/tests/phases.rs
+++ b/crates/controller/tests/phases.rs
@@ -95,7 +95,7 @@
     assert_eq!(sim.store.vm("v3").epoch, 0, "not named by the wave");
 }
 
-// Guards against a VM that stays out for ever after its controller died right
+// Guards against a VM that stays out forever after its controller died right
 // after writing a phase. The next holder has to continue from the record of any
 // phase, without what only the dead process knew.
 #[test]
--- a/crates/coord/src/claim/batch.rs
+++ b/crates/coord/src/claim/batch.rs
@@ -53,8 +53,8 @@
         actions.extend(refused.map(|w| Action::Reply { key: w.request.key, verdict }));
     }
 
-    /// Drops claims without a waiter. Their requesters were told that nothing
-    /// was run, so writing these claims would only block the ids.
+    /// Drops claims without a waiter. Their requests were refused as not run,
+    /// so writing these claims would only block the ids.
     ///
     /// If the journal contains an older claim of the id, the dropped claim
     /// replaced an abandonment that is not written yet. That abandonment is
@@ -77,7 +77,7 @@
         for Waiter { request, .. } in &self.waiters {
             let verdict = match verdict_for(index.state(request.id), request.attempt, retry_after) {
                 // The holder's request was refused, and its claim is about to
-                // be abandoned: nobody runs the request.
+                // be abandoned, so no attempt runs the request.
                 Some(Verdict::Duplicate { holder, .. }) if self.is_orphan(request.id, holder) => {
                     unavailable
                 }
--- a/crates/coord/src/claim/id.rs
+++ b/crates/coord/src/claim/id.rs
@@ -10,9 +10,7 @@
 
 /// Position of the timestamp in a UUIDv7: the upper 48 bits.
 const TIME_SHIFT: u32 = 80;
-/// Position of the version.
 const VERSION_SHIFT: u32 = 76;
-/// Position of the variant.
 const VARIANT_SHIFT: u32 = 62;
 
 /// The id of a non-idempotent request: a UUIDv7 (RFC 9562) that the caller
--- a/crates/coord/src/claim/segment.rs
+++ b/crates/coord/src/claim/segment.rs
@@ -76,7 +76,8 @@
     /// The sequence number of the last write. It increases with each write that
     /// is sent, so that an owner recognises a write whose answer was lost.
     pub seq: u64,
-    /// The fencing token of the owner that closed the segment for good.
+    /// The fencing token of the owner that sealed the segment, if it is sealed;
+    /// no record is added to it after that.
     pub sealed_by: Option<u64>,
     /// The first segment that is still needed; lower ones may be deleted.
     pub first: u64,
--- a/crates/coord/src/drain.rs
+++ b/crates/coord/src/drain.rs
@@ -10,9 +10,10 @@
 //! The wait counts from the later of the last contact and the start of the
 //! drain. Until then the proxy may have read the platform's service before the
 //! drain was written, and may have sent work on that basis. The wait is also
-//! only sufficient if the proxy cannot be in touch with a majority of its own
-//! ([`Peer::cut_off`]); otherwise a partition between only the controller and
-//! that proxy would release a VM to which the proxy still sends.
+//! only sufficient if the proxy cannot be in touch with a majority of the
+//! members that it knows ([`Peer::cut_off`]); otherwise a partition between
+//! only the controller and that proxy would release a VM to which the proxy
+//! still sends.
 //!
 //! A new incarnation of a proxy has to acknowledge again. While the service is
 //! down, it may have its view from a peer that had not heard of the drain, so
@@ -23,7 +24,7 @@
 //! This process may not have seen the previous incarnation: a controller that
 //! takes over a drain may know only the current one. The acknowledgement of the
 //! current incarnation says nothing about requests of the previous one, and a
-//! VM released on it alone would be rebooted under them. Therefore every
+//! VM released on it alone would be rebooted while they run. Therefore every
 //! incarnation except the first of its name is assumed to have had a
 //! predecessor until it has been known ([`Barrier::set_known_since`]) for the
 //! request deadline.
@@ -159,7 +160,7 @@
 impl Barrier {
     /// Creates the barrier for the drain `epoch` of `vm`. `started` is when
     /// this process learned that the drain was written. A controller that takes
-    /// over the drain starts anew, which only makes it wait longer.
+    /// over the drain starts the wait again, which only makes it longer.
     pub fn new(config: Config, vm: Name, epoch: u64, started: Time) -> Self {
         let (proxies, acks, known_since) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self { config, vm, epoch, started, proxies, acks, known_since }
@@ -213,7 +214,7 @@
     }
 
     /// Returns whether the VM may be released, where `proxies` are the live
-    /// proxies, without those that are gone for good.
+    /// proxies, without those that have ended.
     pub fn status(&mut self, now: Time, proxies: &[Peer]) -> Status {
         let waits: Vec<Wait> = proxies.iter().filter_map(|peer| self.wait_for(now, peer)).collect();
         if waits.is_empty() { Status::Clear } else { Status::Waiting(waits) }
--- a/crates/coord/src/member.rs
+++ b/crates/coord/src/member.rs
@@ -92,8 +92,8 @@
         self.last_sync = self.last_sync.max(Some(sent));
         let listed = self.insert_listed(sent, members);
         // While the length stays the same, the revision at which it was first
-        // seen is kept: whoever has read the list since then knows as many
-        // members. With the revision of each read, a peer whose reads are
+        // seen is kept: a member that has read the list since then knows as
+        // many members. With the revision of each read, a peer whose reads are
         // slightly behind would never count as knowing the list, and its
         // silence would block drains forever.
         if listed != self.latest_list.1 {
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Removes a member that is gone for good: it left cleanly with nothing in
-    /// flight, or the platform reports that its VM is gone.
+    /// Removes a member that has ended: it left cleanly with nothing in flight,
+    /// or the platform reports that its VM is gone.
     ///
     /// Call this only while this process can read the platform's service. A
     /// process that is cut off would otherwise create its own majority by
@@ -252,10 +252,9 @@
 
     /// Returns the members to call in `round`, at most the configured fan-out.
     ///
-    /// The members are shuffled anew for each pass over all of them, seeded by
-    /// this process's incarnation. Independent random draws could leave a
-    /// member uncalled for a long time; in a shuffle each one is called once
-    /// per pass.
+    /// The members are shuffled for each pass over all of them, seeded by this
+    /// process's incarnation. Independent random draws could leave a member
+    /// uncalled for a long time; in a shuffle each one is called once per pass.
     pub fn partners(&self, round: u64) -> Vec<Name> {
         let (count, fan_out) = (self.contacts.len(), self.config.fan_out);
         if count <= fan_out || fan_out == 0 {
--- a/crates/coord/src/register.rs
+++ b/crates/coord/src/register.rs
@@ -3,8 +3,8 @@
 //! A configuration reaches a process by a watch, by a read and from several
 //! peers, in any order. If the last message to arrive won, a delayed one would
 //! bring back an older configuration: an accepted change would be undone
-//! although nobody undid it. [`Register`] accepts only revisions newer than its
-//! own, whatever their source.
+//! although no operator undid it. [`Register`] accepts only revisions newer
+//! than its own, whatever their source.
 //!
 //! ```
 //! use corianderfork_coord::register::{Offer, Register};
--- a/crates/coord/tests/claim_faults.rs
+++ b/crates/coord/tests/claim_faults.rs
@@ -182,9 +182,9 @@
 
 // The create of an owner's first segment times out and its second try succeeds.
 // A successor seals the segment and deletes it after the retention time; then
-// the first try arrives, and the old owner finds a segment of its own. If it
-// took that for an earlier write that took effect late, a deposed owner would
-// grant again.
+// the first try arrives, and the old owner finds a segment that it wrote
+// itself. If it took that for an earlier write that took effect late, a deposed
+// owner would grant again.
 #[test]
 fn owner_delayed_create_after_delete_is_deposed() {
     let mut sim = Simulation::new(config());
@@ -235,7 +235,7 @@
 
 // A write times out and is not found, and its request is refused; then the
 // write takes effect after all. The id must not stay blocked for the retention
-// time although nobody ran the request.
+// time although no attempt ran the request.
 #[test]
 fn owner_late_write_of_refused_request_frees_the_id() {
     let (mut sim, owner) = simulation_with_owner(config());
--- a/crates/coord/tests/claim_history.rs
+++ b/crates/coord/tests/claim_history.rs
@@ -176,6 +176,6 @@
         Ok(())
     });
     outcome.unwrap_or_else(|failure| panic!("{failure}"));
-    // With fewer runs the histories would be too poor to prove anything.
+    // With fewer runs the histories would cover too few cases.
     assert!(granted.get() > 6_000, "only {} runs", granted.get());
 }
--- a/crates/coord/tests/member.rs
+++ b/crates/coord/tests/member.rs
@@ -36,7 +36,7 @@
 
 // A process that starts while the platform's service is down, and that reaches
 // no other member, knows no members. It must not count as a majority by itself
-// and route without a view of its own.
+// and route without a view.
 #[test]
 fn in_touch_new_process_without_list_is_false() {
     assert!(!Table::new(Config::new(), identity(0, 1)).in_touch(Time::ZERO));
--- a/crates/proxy/src/claims/machine.rs
+++ b/crates/proxy/src/claims/machine.rs
@@ -29,7 +29,6 @@
         (actions, Some(ids))
     }
 
-    /// Returns when the next tick is due.
     pub(super) fn next_tick(&self) -> Option<Time> {
         match self {
             Self::Takeover(takeover) => takeover.next_tick(),
--- a/crates/proxy/src/convert.rs
+++ b/crates/proxy/src/convert.rs
@@ -132,8 +132,8 @@
     ejected.map(suspect).collect()
 }
 
-/// Converts the report of a proxy for the router. A VM that reported itself as leaving
-/// leaves with all its `services`.
+/// Converts the report of a proxy for the router. If a VM reported itself as leaving, its
+/// copies of all `services` count as leaving.
 pub fn report(report: &peer::Report, services: &[Name]) -> Report {
     let mut converted = Report::default();
     for demand in &report.demands {
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -22,8 +22,8 @@
 
 /// The header by which a backend server guarantees that nothing ran.
 const NOT_RUN: &str = "not-run";
-/// The maximum idle time of a pooled connection: shorter than a wave of drains, so that
-/// no connection to a VM is kept if the news of its drain did not arrive.
+/// The maximum idle time of a pooled connection: shorter than a wave of drains, so that a
+/// proxy that has not learned of a drain keeps no connection to the VM.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(5);
 
 /// Limits of a try.
@@ -92,8 +92,8 @@
     /// Tries `request` at `to` until `deadline`. At most `idle` idle connections to `to`
     /// are kept afterwards.
     ///
-    /// A non-idempotent request uses a connection of its own: the backend server may have
-    /// closed a pooled one, and then it is unknown whether the request reached it before.
+    /// A non-idempotent request uses a new connection: the backend server may have closed
+    /// a pooled one, and then it is unknown whether the request reached it before.
     pub fn exchange(
         &self,
         to: SocketAddr,
--- a/crates/proxy/src/gate/inner.rs
+++ b/crates/proxy/src/gate/inner.rs
@@ -12,7 +12,7 @@
 
 use super::{Key, Slot, SlotRequest};
 
-/// How long peers are told that a VM refused a request as leaving.
+/// How long a VM that refused a request as leaving is reported to peers.
 const LEAVING_REPORT_TIME: Duration = Duration::from_secs(60);
 
 #[derive(Debug)]
@@ -23,8 +23,8 @@
     next_waiter: u64,
     retry_budgets: HashMap<Name, Budget>,
     pub(super) in_flight: BTreeMap<Key, u32>,
-    /// VMs whose backend server refused a request as leaving, and until when peers are
-    /// told.
+    /// VMs whose backend server refused a request as leaving, and until when they are
+    /// reported to peers.
     pub(super) leaving: HashMap<Name, Time>,
 }
 
--- a/crates/proxy/src/gossip.rs
+++ b/crates/proxy/src/gossip.rs
@@ -37,7 +37,7 @@
     SnapshotRequest(peer::SnapshotRequest, Reply<peer::SnapshotReply>),
     /// The snapshot request to a peer ended.
     Snapshot(Result<peer::SnapshotReply, Error>),
-    /// The store is reachable again after an outage; all peers are to be told.
+    /// The store is reachable again after an outage; all peers are to be notified.
     StoreReturned,
 }
 
--- a/crates/proxy/src/members.rs
+++ b/crates/proxy/src/members.rs
@@ -1,6 +1,6 @@
 //! The table of other processes: their addresses and what each has confirmed. Pure.
 //!
-//! Proxies and controllers are members alike, because all of them count for whether a
+//! Proxies and controllers are both members, because all of them count for whether a
 //! process is in touch. A proxy and a controller on the same entry VM may share a name,
 //! so members are identified by role and name.
 
--- a/crates/proxy/src/run/tree.rs
+++ b/crates/proxy/src/run/tree.rs
@@ -1,5 +1,5 @@
-//! The supervisor tree: a root with one actor per task; the claim shards have a
-//! supervisor of their own.
+//! The supervisor tree: a root with one actor per task; the claim shards have a separate
+//! supervisor.
 
 use corianderfork_provider::key;
 use corianderfork_provider::record::{Holder, Role};
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -107,9 +107,9 @@
 }
 
 /// Sets options that accepted sockets inherit from the listener, because tiny_http sets
-/// neither. Without a write timeout, a caller that stops reading blocks a worker for
-/// ever; without `nodelay`, the end of a response waits for the delayed acknowledgement
-/// of the caller.
+/// neither. Without a write timeout, a caller that stops reading blocks a worker forever;
+/// without `nodelay`, the end of a response waits for the delayed acknowledgement of the
+/// caller.
 fn configure_listener(listener: TcpListener) -> std::io::Result<TcpListener> {
     let socket = TcpStream::from(OwnedFd::from(listener));
     socket.set_write_timeout(Some(WRITE_TIMEOUT))?;
--- a/crates/proxy/src/serve/responder.rs
+++ b/crates/proxy/src/serve/responder.rs
@@ -30,7 +30,6 @@
 
 type Stream = Box<dyn ReadWrite + Send>;
 
-/// Sends responses.
 pub(super) struct Responder {
     shared: Arc<Shared>,
     max_drained: usize,
@@ -57,7 +56,6 @@
         Ok(Self { shared, max_drained, drain_queue, on_failure })
     }
 
-    /// Sends `response`.
     pub(super) fn respond(
         &self,
         request: tiny_http::Request,
@@ -84,7 +82,7 @@
     ///
     /// When a request is dropped, tiny_http reads the rest of its body before the
     /// response is sent, and allocates memory for all of it at once. A caller that waits
-    /// for the response before it continues would wait for ever, and a Content-Length of
+    /// for the response before it continues would wait forever, and a Content-Length of
     /// an exabyte would crash this process. So the response is sent first, and a
     /// connection with a far too long body is never dropped: it is leaked and counted.
     fn respond_early(&self, request: tiny_http::Request, response: &Response, length: usize) {
--- a/crates/proxy/tests/exchange.rs
+++ b/crates/proxy/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Tries at a backend server that misbehaves in every way it can.
+//! Tries at a backend server that misbehaves.
 #![allow(clippy::unwrap_used)]
 
 mod support;
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -218,7 +218,7 @@
 fn drain_withdrawn_is_not_restored_by_lagging_peer() {
     // A withdrawn drain request, reported by a peer that is cut off, must not be taken
     // for a new one by a proxy that started later; the VM would get no requests from it
-    // for ever.
+    // forever.
     let (mut new, mut lagging) = (View::default(), View::default());
     lagging.on_range(&range(vec![vm(Phase::Serving, 0, 4)], 4));
     lagging.on_changes(&changes(vec![drain_request(7)], 7));
--- a/crates/routing/benches/limits/scenario.rs
+++ b/crates/routing/benches/limits/scenario.rs
@@ -8,7 +8,7 @@
 /// The membership removes the dead proxy.
 pub const MEMBER_REMOVAL: u64 = 15_000;
 
-/// A measured scenario.
+/// A scenario of the bench.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Scenario {
     Even,
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -50,11 +50,11 @@
 //! fails 165 at 85% without [`outlier`](crate::outlier) ejection and less than
 //! 1 with it.
 //!
-//! Two variants of `Proportional` were tried and dropped. With waiting requests
-//! counted as demand, a proxy that was briefly short of slots took those of its
-//! peers, which then ran short themselves: 99 were refused at 60% and even
-//! load. With demands in whole slots averaged over few requests, shares that
-//! were wrong by one slot persisted: 87 were refused at 85%.
+//! Two other ways to compute the demands for `Proportional` refuse more. If
+//! waiting requests count as demand, a proxy that is briefly short of slots
+//! takes those of its peers, which then run short themselves: 99 are refused at
+//! 60% and even load. If demands are in whole slots and averaged over few
+//! requests, shares that are wrong by one slot persist: 87 are refused at 85%.
 
 use std::fmt;
 use std::time::Duration;
--- a/crates/routing/src/limits/borrowing.rs
+++ b/crates/routing/src/limits/borrowing.rs
@@ -68,7 +68,7 @@
 /// would never be used again.
 const GAIN_PER_SECOND: f64 = 2.0;
 
-/// The number of requests that may be in flight beyond the own share of a
+/// The number of requests that may be in flight beyond this proxy's share of a
 /// service's slots.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Allowance {
@@ -87,9 +87,9 @@
         self.in_flight += 1;
     }
 
-    /// Releases a borrowed slot. `accepted` tells whether the backend server
-    /// took the request or rejected it as busy, `None` if neither;
-    /// `total_slots` limits the allowance.
+    /// Releases a borrowed slot. `accepted` is true if the backend server
+    /// accepted the request, false if it rejected the request as busy, and
+    /// `None` otherwise; `total_slots` limits the allowance.
     pub(crate) fn release(&mut self, now: Time, accepted: Option<bool>, total_slots: u32) {
         self.in_flight -= 1;
         let change = match accepted {
--- a/crates/routing/src/limits/grant.rs
+++ b/crates/routing/src/limits/grant.rs
@@ -5,7 +5,7 @@
 
 use super::Share;
 
-/// A share that decreases immediately and increases after the settle_time time.
+/// A share that decreases immediately and increases after the settle time.
 ///
 /// Proxies receive reports at different times. If a larger share were used at
 /// once, it would overlap with that of a proxy that does not know yet that it
--- a/crates/routing/src/limits/least_of_two.rs
+++ b/crates/routing/src/limits/least_of_two.rs
@@ -1,4 +1,4 @@
-//! The less loaded of two runners, by own counts.
+//! The less loaded of two runners, by this proxy's own counts.
 
 use std::time::Duration;
 
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -170,9 +170,9 @@
         self.runners.get(&runner).is_some_and(Runner::is_restricted)
     }
 
-    /// Whether the runner fails by this proxy's own results. This is what peers
-    /// are told. If hints of others were passed on, two proxies could keep a
-    /// hint alive between them.
+    /// Whether the runner fails by this proxy's own results. This is what is
+    /// reported to peers. If hints of others were passed on, two proxies could
+    /// keep a hint alive between them.
     ///
     /// A runner that fails everything is included even if it still receives
     /// work because the limit of ejected runners is reached. Otherwise a second
@@ -198,9 +198,9 @@
     /// A balancer that prefers successful runners skips a runner after one
     /// failure, and hardly tries it again while the failure is remembered. A
     /// runner that fails everything then never accumulates enough consecutive
-    /// failures to be ejected, peers are not told, and a wave that breaks VM
-    /// after VM continues to its end. A runner that failed once by chance stays
-    /// idle for seconds. A few retests settle either case.
+    /// failures to be ejected, peers receive no report, and a wave that breaks
+    /// VM after VM continues to its end. A runner that failed once by chance
+    /// stays idle for seconds. A few retests settle either case.
     pub fn needs_retest(&self, now: Time, runner: RunnerKey) -> bool {
         self.runners.get(&runner).is_some_and(|runner| {
             let is_undecided =
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -40,7 +40,8 @@
 /// The shortest `Retry-After`: a caller that returned sooner would find the
 /// same queue.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The longest `Retry-After`: after half a minute the current load says little.
+/// The longest `Retry-After`: the load more than half a minute ahead cannot be
+/// estimated from the current load.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Settings of a [`Queue`].
--- a/crates/routing/src/router/runner.rs
+++ b/crates/routing/src/router/runner.rs
@@ -10,7 +10,7 @@
 
 /// How long a runner gets no work after it rejected a request as busy. The
 /// pause doubles with each consecutive rejection. Without it, a full runner
-/// would look free by own counts and be tried again and again.
+/// would look free by this proxy's own counts and be tried again and again.
 const BUSY_PAUSE: Duration = Duration::from_millis(10);
 /// The number of doublings of the longest pause.
 const BUSY_DOUBLINGS: u32 = 4;
--- a/crates/routing/src/router/selection.rs
+++ b/crates/routing/src/router/selection.rs
@@ -20,7 +20,7 @@
 
 impl Router {
     /// Updates the shares of all services. This is not left to the next pick,
-    /// because the settle_time time of a larger share starts when it is computed.
+    /// because the settle time of a larger share starts when it is computed.
     pub(super) fn update_all_shares(&mut self, now: Time) {
         let services: Vec<ServiceKey> = self.services.keys().collect();
         for service in services {
@@ -72,7 +72,8 @@
     }
 
     /// Returns a runner to try beyond the share: the better of two random ones,
-    /// because the best one by own counts would be the same every time.
+    /// because the best one by this proxy's own counts would be the same every
+    /// time.
     pub(super) fn borrow(
         &mut self,
         now: Time,
--- a/crates/routing/src/router/service.rs
+++ b/crates/routing/src/router/service.rs
@@ -17,9 +17,9 @@
     pub(super) capacity: Share,
     pub(super) allowance: Allowance,
     /// The runners that the newest records list, by VM. Stored here in addition
-    /// to the VMs' own lists: when a division searched the whole fleet for the
-    /// few runners of one service, each change of a record cost as much as all
-    /// records together.
+    /// to the VMs' own lists: if a division searched the whole fleet for the
+    /// few runners of one service, each change of a record would cost as much
+    /// as all records together.
     pub(super) listed: BTreeSet<(Name, RunnerKey)>,
     /// The runners whose slots are divided among the proxies, by VM.
     pub(super) available: Vec<RunnerKey>,
@@ -55,7 +55,6 @@
         demand
     }
 
-    /// Releases a borrowed slot.
     pub(super) fn release_borrowed(&mut self, now: Time, result: Attempt) {
         let accepted = match result {
             Attempt::Rejected(Rejection::Busy) => Some(false),
--- a/crates/routing/tests/drain.rs
+++ b/crates/routing/tests/drain.rs
@@ -148,7 +148,7 @@
 fn is_drained_waits_for_requests_in_flight() {
     // A VM drains while a request is in flight there, and its record drops the
     // copy. If the request were no longer counted, the VM would be rebooted
-    // under it.
+    // while it runs.
     let mut router = router(Config::default(), 1);
     let ticket = router.pick(at(1000), &name("transfer"), &[]).unwrap();
     assert!(!router.is_drained(&vm_name(0), 2), "the drain is not known");
--- a/crates/routing/tests/outlier.rs
+++ b/crates/routing/tests/outlier.rs
@@ -236,8 +236,9 @@
 #[test]
 fn is_failing_first_hand_runner_beyond_ejection_limit() {
     // With four runners, the limit of ejected ones is reached, and another one
-    // fails everything but is not ejected. If peers were told only of ejected
-    // runners, a wave with a bad update would continue after its second bad VM.
+    // fails everything but is not ejected. If only ejected runners were
+    // reported to peers, a wave with a bad update would continue after its
+    // second bad VM.
     let share = Share::from_per_mille(300).unwrap();
     let (mut detector, keys) = detector(Config::default().max_share(share), 4);
     fail_five_times(&mut detector, 0, keys[0]);
--- a/crates/routing/tests/router.rs
+++ b/crates/routing/tests/router.rs
@@ -61,8 +61,8 @@
 
 #[test]
 fn done_busy_runner_is_paused() {
-    // Other proxies fill a runner that has the lowest load by own counts. If
-    // its rejection had no effect, it would be tried again and again
+    // Other proxies fill a runner that has the lowest load by this proxy's own
+    // counts. If its rejection had no effect, it would be tried again and again
     // immediately.
     let mut router = router(with_policy(LeastOfTwo), 2);
     let ticket = router.pick(at(1000), &name("transfer"), &[]).unwrap();
