--- a/crates/e2e/src/playground.rs
+++ b/crates/e2e/src/playground.rs
@@ -16,7 +16,6 @@
 
 /// The number of entry VMs that each user has today.
 const ENTRIES: usize = 8;
-/// The duration of the load.
 const LOAD_DURATION: Duration = Duration::from_secs(15);
 /// Calls per second.
 const RATE: f64 = 250.0;
--- a/crates/e2e/tests/availability.rs
+++ b/crates/e2e/tests/availability.rs
@@ -135,7 +135,7 @@
     let findings = history::check(&system.runs(), &calls);
     assert!(findings.is_clean(), "{findings:?}");
     assert!(not_run * 1000 <= calls.len() * MAX_NOT_RUN, "{not_run} of {} not run", calls.len());
-    // Nobody can know the outcome of requests that an unplanned failure cuts off.
+    // The outcome of requests that an unplanned failure cuts off can't be known.
     let max_unknown = if unplanned { calls.len() / 50 } else { 0 };
     assert!(unknown <= max_unknown, "{unknown} of {} unknown", calls.len());
 }
--- a/crates/e2e/tests/leaving.rs
+++ b/crates/e2e/tests/leaving.rs
@@ -236,8 +236,8 @@
     // The second time, knowledge of the first drain's removal must not hide the new drain.
     //
     // Each VM has a copy of each service, so that a returned VM is the only place for the
-    // copies it lost. With fewer copies than VMs it may stay without any: its record came
-    // back from the drain with `copies []`, and nothing was ever sent there.
+    // copies it lost. With fewer copies than VMs it may stay without any: its record then
+    // has no copies after the drain, and no request is ever sent there.
     let system = System::converged(Config::new(&generated_config(1, 8, COPY_PER_VM)));
     wait_copies(&system);
     let callers = Callers::new(&SERVICES).start(&system);
--- a/crates/e2e/tests/not_run.rs
+++ b/crates/e2e/tests/not_run.rs
@@ -299,11 +299,12 @@
 
 #[test]
 fn not_run_never_reported_if_it_may_have_run() {
-    // Guards against a caller that gets "not run" for a request that ran, retries, and two
-    // owners claim one car. Backend servers run requests and then send no response, close
-    // the connection, or send a truncated or another request's response. Later tries find no
-    // runner left. A timeout, a reset or an invalid response must not count as a refusal, and
-    // a later try must not override one that may have run.
+    // Guards against a caller that gets "not run" for a transfer that ran and retries it: the
+    // transfer runs twice, and one car has two registered owners. Backend servers run
+    // requests and then send no response, close the connection, or send a truncated or another
+    // request's response. Later tries find no runner left. A timeout, a reset or an invalid
+    // response must not count as a refusal, and a later try must not override one that may
+    // have run.
     let lines = "try_timeout_ms = 200\nrequest_timeout_ms = 1500\n";
     let system = System::converged(Config::new(SMALL).entries(1).proxy(lines));
     let target = proxies(&system)[0];
--- a/crates/e2e/tests/own_answer.rs
+++ b/crates/e2e/tests/own_answer.rs
@@ -1,5 +1,6 @@
 //! `own_answer`: every caller receives the complete response to its own request,
-//! even if backend servers respond late, crossed, truncated or not at all.
+//! even if backend servers respond late, with another request's response, with a truncated
+//! response, or not at all.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -18,7 +19,6 @@
 const PROXY: &str = "try_timeout_ms = 250\nrequest_timeout_ms = 800\n";
 /// Longer than both timeouts and shorter than the period of usage reports.
 const LATE_MS: u64 = 850;
-/// Concurrent callers.
 const CALLERS: u64 = 12;
 /// Tries at backend servers that a fault has to affect before it ends.
 const AFFECTED_TRIES: f64 = 10.0;
@@ -137,7 +137,7 @@
     // Guards against a caller getting the response to the previous request. A response
     // arrives after the proxy's try timed out, or never, and the proxy sends the next
     // request to the same backend server. If the connection of a timed-out try returned
-    // to the pool, the late response would meet the next request.
+    // to the pool, the late response would be taken for that of the next request.
     let system = start();
     let late = json!({ "late_ms": LATE_MS });
     let silent = json!({ "silent": 6 });
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -12,7 +12,8 @@
 use crate::failure_domain::copies_to_survive;
 use crate::view::{CopyStatus, Placement, View};
 
-/// Returns the first service whose budget does not allow to take `vm` out.
+/// Returns the first service whose budget does not allow taking `vm` out of
+/// service.
 pub(crate) fn blocking_service(view: &View<'_>, vm: VmId) -> Option<ServiceId> {
     let services = view.state.vm(vm).copies.iter().map(|copy| copy.service);
     services.into_iter().find(|&service| !can_spare(view, service, vm))
--- a/crates/policy/src/config.rs
+++ b/crates/policy/src/config.rs
@@ -1,4 +1,4 @@
-//! Tuning parameters of the decisions. The defaults come from measurements.
+//! Parameters of the decisions.
 
 use std::time::Duration;
 
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,7 +1,7 @@
 //! An estimate learned from reports, with a declared value as its prior.
 
-/// The count of reports stops here, so that the estimate keeps adapting, for
-/// example to a release whose copies are larger.
+/// The maximum count of reports. Without a maximum, the estimate would stop
+/// adapting, for example to a release whose copies are larger.
 const MAX_COUNT: f64 = 200.0;
 
 /// The mean and variance of the reported values.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,5 @@
-//! Decisions about a fleet: how many copies, where, and which VM next.
+//! Decides how many copies of each service run, on which VMs, and which VMs are
+//! maintained next.
 //!
 //! [`decide`] is the only entry point. It takes the configuration, the current
 //! state, the directive of the operators' rules and the time, and returns the
--- a/crates/policy/src/periodic.rs
+++ b/crates/policy/src/periodic.rs
@@ -14,7 +14,6 @@
 use crate::state::Phase;
 use crate::view::{View, VmStatus};
 
-/// One day.
 pub(crate) const DAY: Duration = Duration::from_secs(24 * 3600);
 /// VMs are scheduled this many days before they are overdue.
 const SLACK_DAYS: u32 = 2;
--- a/crates/policy/src/progress.rs
+++ b/crates/policy/src/progress.rs
@@ -67,7 +67,6 @@
         }
     }
 
-    /// Returns the sum of both counts.
     pub(crate) fn add(self, other: Self) -> Self {
         Self {
             in_progress: self.in_progress + other.in_progress,
--- a/crates/policy/src/status.rs
+++ b/crates/policy/src/status.rs
@@ -9,7 +9,6 @@
 /// The number of consecutive failed starts from which a VM counts as unfit.
 pub(crate) const UNFIT_FAILED_STARTS: u16 = 2;
 
-/// The status of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VmStatus {
     /// Serves and takes new copies.
@@ -24,7 +23,6 @@
     Lost,
 }
 
-/// The status of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CopyStatus {
     /// Serves.
@@ -67,7 +65,6 @@
     }
 }
 
-/// Returns the status of `vm`.
 pub(crate) fn vm_status(fleet: &Fleet, state: &State, id: VmId, vm: &Vm) -> VmStatus {
     let rack = fleet.vm(id).rack;
     let domain_failed = state.failed_racks.contains(&rack)
--- a/crates/policy/src/step.rs
+++ b/crates/policy/src/step.rs
@@ -1,4 +1,4 @@
-//! The steps that a decision tells the controller to take.
+//! The steps of a decision, which the controller carries out.
 
 use std::fmt;
 
@@ -86,7 +86,8 @@
     Budget,
     /// Replaces a copy that is lost or failing.
     Replace,
-    /// Replaces a copy in advance on a VM that is about to be drained.
+    /// Starts a replacement in advance for a copy on a VM that is about to be
+    /// drained.
     Surge,
     /// The copy's VM is overcommitted, or being vacated for other reasons.
     Overcommitted,
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -26,13 +26,11 @@
     replace_delay: Duration,
     /// How long a copy is kept after the load last required it.
     pub(crate) hold_time: Duration,
-    /// The status of each VM.
     pub(crate) vm_statuses: Vec<VmStatus>,
     /// The resources of each VM in use by copies.
     pub(crate) used: Vec<Size>,
     /// The estimated size of a copy of each service.
     pub(crate) sizes: Vec<Size>,
-    /// The demand of each service.
     pub(crate) demands: Vec<Demand>,
     /// The copies of each service.
     placements: Vec<Vec<Placement>>,
--- a/crates/policy/tests/wave.rs
+++ b/crates/policy/tests/wave.rs
@@ -205,7 +205,7 @@
 
 #[test]
 fn plan_pace_counts_vm_lost_in_reboot() {
-    // Guards against two VMs out at a pace of one. A VM disappears from the
+    // Guards against two VMs out of service at a pace of one VM. A VM disappears from the
     // platform's list during its reboot. Lost VMs don't count as in progress, so
     // that an outage neither uses up the width of the wave nor halts it, but they
     // have to count against the operators' limit.
--- a/crates/rules/src/condition_parser.rs
+++ b/crates/rules/src/condition_parser.rs
@@ -13,7 +13,6 @@
 
 /// The maximum percentage, in per mille.
 const MAX_PER_MILLE: i64 = 100_000;
-/// The maximum count.
 const MAX_COUNT: i64 = 1_000_000;
 /// One week; older usage reports are useless.
 const MAX_SECONDS: i64 = 7 * 86_400;
@@ -40,7 +39,6 @@
     "not",
 ];
 
-/// Parses a condition.
 pub(crate) fn parse(text: &str, fleet: &Fleet) -> Result<Node, Error> {
     let mut cursor = Cursor::new(text, fleet)?;
     let node = parse_or(&mut cursor, 0)?;
--- a/crates/rules/src/lexer.rs
+++ b/crates/rules/src/lexer.rs
@@ -4,7 +4,6 @@
 
 use crate::error::{Error, Kind, MAX_LEN};
 
-/// The kind of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TokenKind {
     /// A word, name or number.
@@ -30,7 +29,6 @@
     pub span: Range<usize>,
 }
 
-/// Splits `text` into tokens.
 pub(crate) fn split(text: &str) -> Result<Vec<Token>, Error> {
     if text.len() > MAX_LEN {
         let help = "split the rule in two";
--- a/crates/rules/src/number.rs
+++ b/crates/rules/src/number.rs
@@ -18,7 +18,6 @@
 const MAX_DIGITS: usize = 9;
 
 impl Number {
-    /// Parses `word`.
     pub(crate) fn parse(word: &Word<'_>) -> Result<Self, Error> {
         Self::from_text(word.text).ok_or_else(|| {
             let kind = Kind::InvalidNumber(word.text.to_owned());
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -4,8 +4,8 @@
 //! loop is one thread that runs stakker actors ([`core`]) under a
 //! [`supervisor`], with a [`timer`] actor for periodic ticks. Blocking work runs
 //! on other threads and posts results through a [`port::Port`]: calls to the
-//! platform on [`worker`] threads, the watch of shared keys on a thread of its
-//! own ([`sync`]), and messages between peers on one tokio thread ([`peers`]).
+//! platform on [`worker`] threads, the watch of shared keys on a separate thread
+//! ([`sync`]), and messages between peers on one tokio thread ([`peers`]).
 //! All queues between threads are bounded.
 //!
 //! ```
--- a/crates/standins/src/history.rs
+++ b/crates/standins/src/history.rs
@@ -138,7 +138,8 @@
     pub crossed: Vec<String>,
     /// Calls that got a truncated response.
     pub truncated: Vec<String>,
-    /// Ids of attempts that ran although the caller was told they did not.
+    /// Ids of attempts that ran although the outcome that the caller saw rules
+    /// that out.
     pub ran_though_not_run: Vec<String>,
     /// Requests cut off while in flight at a backend server.
     pub cut: u64,
--- a/crates/standins/src/runner.rs
+++ b/crates/standins/src/runner.rs
@@ -301,8 +301,8 @@
         }
     }
 
-    /// Returns a response to a request that nobody sent, for when there was no
-    /// other request.
+    /// Returns a response to a request that was never sent, for use while there is
+    /// no response to another request.
     fn unrelated_response(&self) -> (String, Vec<u8>) {
         let id = "nobodys-request";
         (id.to_owned(), answer::body(id, &self.service, &self.vm, b"", self.config.pad))
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -188,7 +188,7 @@
     }
 
     /// Ends each lease that has expired by `now`. Leases also expire during an
-    /// outage, since nobody can renew them then.
+    /// outage, since their holders can't renew them then.
     pub fn expire_leases(&mut self, now: u64) {
         let expired = self.leases.iter().filter(|(_, l)| l.expires_at <= now);
         let mut ids: Vec<_> = expired.map(|(id, _)| *id).collect();
--- a/examples/at_most_once.rs
+++ b/examples/at_most_once.rs
@@ -130,7 +130,7 @@
     assert!(verdicts.is_none_or(|verdicts| !verdicts.contains(&Verdict::Granted)));
     println!("entry-1 woke, and grants nothing");
 
-    // Nobody ran that transfer, so entry-2 may.
+    // That transfer was never run, so entry-2 may run it.
     let request = Request { key: 4, id: other, attempt: Attempt::new(42, 2) };
     let actions = second.on_event(later, Event::Request(request));
     let verdicts = execute(&mut second, &mut journal, later, actions);
--- a/examples/route_and_retry.rs
+++ b/examples/route_and_retry.rs
@@ -16,7 +16,6 @@
 use corianderfork::router::{Config, Router};
 use corianderfork::view::{Runner, Vm};
 
-/// The number of requests.
 const REQUESTS: u64 = 300;
 /// The time between two requests.
 const INTERVAL: Duration = Duration::from_millis(20);
